--- /dev/null
+++ b/tools/compatibility/scenarios.ts
@@ -0,0 +1,190 @@
+/**
+ * The runs whose messages are recorded. All are in virtual time and give the same messages each time.
+ */
+
+import { makeRollOutDesk } from '../../test/rolloutdesk';
+import { Indexers, reachIndexers } from '../../src/data/gateway/indexers';
+import { Loads } from '../../src/data/gateway/loads';
+import { boundsOf } from '../../src/shared/bounds';
+import { converse, HelloEdge } from '../../src/shared/connections';
+import { follow, Follower } from '../../src/shared/follow';
+import { makeFeed } from '../../src/shared/lib';
+import { EngineLoad } from '../../src/shared/loads';
+import { Connection } from '../../src/shared/ports';
+import { defaultSettings } from '../../src/shared/settings';
+import { Member } from '../../src/shared/words';
+import { makeScene, PROMPT, SALT, Scene } from '../sim/feedscene';
+import { drawnDocument, makeNewsRig } from '../sim/news/rig';
+import { runSeed } from '../sim/simrun';
+import { askControllers } from './controller-asks';
+import { makeProbe, Probe, settled } from './probe';
+import { makeRecorder, RecordedType, Recorder } from './recording';
+
+/** A run and how its messages come about. */
+export interface Scenario {
+  name: string;
+  /** What sends the messages. */
+  description: string;
+  run(recorder: Recorder): Promise<void>;
+}
+
+const SEED = 1;
+const FAULTS = 6;
+/** Routes whose configuration is too long for one message. */
+const MANY_ROUTES = 3000;
+const PROBE_IP = '127.10.8.1';
+
+async function wholeFleet(recorder: Recorder): Promise<void> {
+  const links = recorder.links();
+  await runSeed(SEED, { deployment: 'saffron-bay', faults: FAULTS, links });
+}
+
+/** A gateway's side of the load board and of queries, over indexers at these addresses. */
+function gatewayAt(probe: Probe, ats: readonly string[], own: EngineLoad[]): Indexers {
+  function ownLoads(): EngineLoad[] {
+    return own;
+  }
+  function nothing(): void {}
+  function memberAt(at: string): Member {
+    return { name: at, role: 'indexer', at, http: '', zone: 'z', life: 'a' };
+  }
+  function members(): Member[] {
+    return ats.map(memberAt);
+  }
+  function routers(): number {
+    return 2;
+  }
+  const loads = { own: ownLoads, others: nothing, noBoard: nothing } as unknown as Loads;
+  const membership = makeFeed<Member[]>().feed;
+  const follower = { members, membership } as unknown as Follower;
+  const bounds = boundsOf(defaultSettings());
+  return reachIndexers(probe.ports, bounds, follower, probe.hello, loads, routers);
+}
+
+/** Two gateways and two indexers, one of which misses events of an engine. */
+async function indexers(recorder: Recorder): Promise<void> {
+  const scene = await makeScene(2, 2);
+  const { w: world, net } = scene;
+  net.links = recorder.links();
+  const probe = makeProbe(world, net, PROBE_IP);
+  const ats: string[] = [];
+  for (const proc of scene.procs) ats.push(`${proc.ip}:7001`);
+  for (const source of scene.sources.values())
+    for (const [id, tokens] of PROMPT) source.keep(SALT, id, tokens);
+  await world.run(world.now() + 3000);
+  const own: EngineLoad[] = [['engine-1', 2, 800, 1200]];
+  const reach = gatewayAt(probe, ats, own);
+  const other = gatewayAt(makeProbe(world, net, '127.10.8.2'), ats, [['engine-2', 1, 0]]);
+  await world.run(world.now() + 2000);
+  const asked = { model: 'm', salt: SALT, parts: PROMPT };
+  await settled(world, reach.overlap(asked, 1000));
+  reach.placed({ ...asked, engine: 'engine-1' });
+  reach.placed({ ...asked, engine: 'engine-2', store: 'store-1' });
+  own[0] = ['engine-1', 3, 400];
+  await world.run(world.now() + 1000);
+  await settled(world, reach.overlap({ ...asked, parts: [['unknown', 5]] }, 1000));
+  reach.stop();
+  other.stop();
+  await missEvents(scene);
+  for (const [source, known] of knownOf(await probe.ask(ats[0], 'dump', {}))) {
+    const { epoch, seq } = known;
+    await probe.ask(ats[0], 'whole', { source, epoch, seq });
+    await probe.ask(ats[0], 'missed', { source, epoch, from: 1, to: seq });
+  }
+  await probe.ask(ats[0], 'dump-rows', {});
+}
+
+/** Has the second indexer miss what an engine tells, until the engine no longer has it. */
+async function missEvents({ w: world, sources, procs }: Scene): Promise<void> {
+  const engine = world.procs().find(isFirstEngine)!;
+  function isFirstEngine(proc: { name: string }): boolean {
+    return proc.name === 'engine-1';
+  }
+  const source = sources.get(engine.name)!;
+  world.cut(engine.ip, procs[1].ip, true);
+  world.cut(procs[1].ip, engine.ip, true);
+  for (const [id] of PROMPT) source.keep(SALT, id, 0);
+  source.keep(SALT, 'd', 16);
+  await world.run(world.now() + 3000);
+  source.loseHeld();
+  source.keep(SALT, 'e', 16);
+  world.healLinks();
+  await world.run(world.now() + 10000);
+}
+
+/** What an indexer has heard of each source, by its own dump. */
+function knownOf(dump: { extract(): unknown }): [string, { epoch: string; seq: number }][] {
+  return (dump.extract() as { heard: [string, { epoch: string; seq: number }][] }).heard;
+}
+
+/** Weights that are brought to engines, with a node that hears of it. */
+async function rollOut(recorder: Recorder): Promise<void> {
+  const desk = await makeRollOutDesk(3, 4, 2);
+  desk.net.links = recorder.links();
+  const ip = '127.20.3.1';
+  const { ports, hello } = makeProbe(desk.w, desk.net, ip);
+  const seeds: string[] = [];
+  for (const controller of ['1', '2', '3']) seeds.push(`127.20.1.${controller}:7000`);
+  const member: Member = { ...hello, http: '', life: 'a' };
+  const edges: object[] = [new HelloEdge(hello)];
+  const follower = follow(ports, boundsOf(defaultSettings()), hello, member, seeds, edges);
+  function taken(connection: Connection): void {
+    converse(ports, connection, edges);
+  }
+  await ports.wire.accept(hello.at, taken);
+  desk.engines[3].mute = true;
+  await desk.until(follower.live, 20000);
+  await desk.name(2);
+  await desk.at(desk.w.now() + 15000);
+}
+
+/** A configuration that is fetched in pieces. */
+async function pieces(recorder: Recorder): Promise<void> {
+  const rig = makeNewsRig(5, 1);
+  rig.net.links = recorder.links(rig.net.links);
+  await rig.pass(4000);
+  for (const proc of rig.followerProcs) rig.startFollower(proc);
+  await rig.until(rig.everyoneHas(0), 6000);
+  await rig.change({ base: 0, doc: drawnDocument(1, MANY_ROUTES) }, 8000);
+  await rig.until(rig.everyoneHas(1), 8000);
+}
+
+/** All runs, in the order in which they are recorded. */
+export const SCENARIOS: readonly Scenario[] = [
+  {
+    name: 'fleet',
+    description: `the whole fleet in the simulator, seed ${SEED}, with ${FAULTS} faults`,
+    run: wholeFleet,
+  },
+  {
+    name: 'controllers',
+    description: 'a probe asks controllers, a router and an indexer of a founded fleet',
+    run: askControllers,
+  },
+  {
+    name: 'indexers',
+    description:
+      'two gateways and two indexers, one of which misses events; a probe asks the other',
+    run: indexers,
+  },
+  {
+    name: 'roll-out',
+    description: 'controllers bring weights to four engines, one of which never answers',
+    run: rollOut,
+  },
+  {
+    name: 'pieces',
+    description: `a follower fetches a configuration of ${MANY_ROUTES} routes`,
+    run: pieces,
+  },
+];
+
+/** Plays all scenarios and gives what was recorded. */
+export async function recordAll(): Promise<RecordedType[]> {
+  const recorder = makeRecorder();
+  for (const scenario of SCENARIOS) {
+    recorder.begin(scenario.name);
+    await scenario.run(recorder);
+  }
+  return recorder.types();
+}
--- a/tools/sim/feedscene.ts
+++ b/tools/sim/feedscene.ts
@@ -9,7 +9,7 @@
 import { KEYS } from '../../src/shared/words';
 import { startCore, StandInCore } from '../standins/core';
 import { KvSource, KvWays, makeKvSource } from '../standins/kvsource';
-import { makeNet } from './simwire';
+import { makeNet, SimNet } from './simwire';
 import { makeWorld, Proc, World } from './simworld';
 
 /** The salt that all prompts of a scene have. */
@@ -24,6 +24,7 @@
 /** Indexers of a dialect with a core and sources that stand in, in a simulated world. */
 export interface Scene {
   w: World;
+  net: SimNet;
   core: StandInCore;
   sources: Map<string, KvSource>;
   indexers: Indexer[];
@@ -135,5 +136,5 @@
   list(ids);
   for (let i = 0; i < indexers; i++) await start(i);
   await pass(2000);
-  return { w, core, sources, indexers: all, procs, pass, sleep, list, start, told };
+  return { w, net, core, sources, indexers: all, procs, pass, sleep, list, start, told };
 }
--- a/tools/sim/simrun.ts
+++ b/tools/sim/simrun.ts
@@ -4,6 +4,7 @@
 import { seededDice } from './dice';
 import { askCore, makeSimFleet, SimFleet, simIntents } from './simfleet';
 import { drawFaults, Fault, healAll, injectSim } from './simfaults';
+import { ThinLinks } from './thin-links';
 import { Traffic } from './traffic';
 import {
   applyRule,
@@ -31,6 +32,8 @@
   schedule?: Fault[];
   keepLines?: boolean;
   traffic?: Traffic;
+  /** Links that every message between our processes passes. */
+  links?: ThinLinks;
   watch?: (f: SimFleet, seen: readonly Seen[]) => void;
 }
 
@@ -70,6 +73,7 @@
   );
   const { w } = f;
   f.net.traffic = ways.traffic;
+  f.net.links = ways.links;
   const ops = makeOpsLog();
   const keys: Record<string, string> = {};
   const keyIds = new Map<string, string>();
