--- /dev/null
+++ b/tools/compatibility/disk-state.ts
@@ -0,0 +1,127 @@
+/**
+ * The state that a controller reads from the files of its disk, in a form that can be kept as JSON.
+ */
+
+import { createHash } from 'node:crypto';
+import { Right } from 'purify-ts';
+import { openSlots, Slots } from '../../src/control/slots';
+import { KeptVotes, readVotes, Vote } from '../../src/control/votes';
+import { open, Outcome } from '../../src/shared/errors';
+import { Ports } from '../../src/shared/ports';
+import { seededDice } from '../sim/dice';
+import { makeNet } from '../sim/simwire';
+import { makeWorld } from '../sim/simworld';
+
+/** The files of a disk, by name. */
+export type DiskFiles = Map<string, Uint8Array>;
+
+/** What a disk gives when it is opened: everything that a controller builds on. */
+export interface DiskState {
+  disk: string;
+  spoilt: boolean;
+  founding: unknown;
+  /** Cells by key, in the order of the keys; values that are long stand as a digest of their text. */
+  cells: Record<string, unknown>;
+  votes: Vote[];
+  votesDisk: string;
+  votesSpoilt: boolean;
+}
+
+/** The log that a controller's slots may grow to, as the controller sets it. */
+export const MOST_LOG_BYTES = 1 << 20;
+/** Values whose text is longer are told by their digest. */
+const LONGEST_TEXT = 400;
+const DICE_SEED = 77;
+
+/** What long values were shortened to: the values of cells are never changed in place. */
+const shortForms = new WeakMap<object, unknown>();
+
+/** Ports of a process whose disk holds these files. */
+export function portsOfFiles(files: DiskFiles, seed = DICE_SEED): Ports {
+  const world = makeWorld(1, false);
+  const base = makeNet(world).ports(world.proc('node', '127.10.1.1'));
+  async function read(name: string): Promise<Outcome<Uint8Array | undefined>> {
+    return Right(files.get(name));
+  }
+  async function write(name: string, bytes: Uint8Array): Promise<Outcome<void>> {
+    files.set(name, Uint8Array.from(bytes));
+    return Right(undefined);
+  }
+  async function append(name: string, bytes: Uint8Array): Promise<Outcome<void>> {
+    files.set(name, Buffer.concat([files.get(name) ?? new Uint8Array(0), bytes]));
+    return Right(undefined);
+  }
+  return { ...base, dice: seededDice(seed), disk: { read, write, append } };
+}
+
+/** The digest of some bytes or of a text. */
+export function digestOfBytes(bytes: Uint8Array | string): string {
+  return createHash('sha256').update(bytes).digest('hex').slice(0, 16);
+}
+
+function sorted(value: unknown): unknown {
+  if (Array.isArray(value)) return value.map(sorted);
+  if (typeof value !== 'object' || value === null) return value;
+  const out: Record<string, unknown> = {};
+  for (const [name, inner] of Object.entries(value).sort(byName))
+    if (inner !== undefined) out[name] = sorted(inner);
+  return out;
+}
+
+function byName(a: [string, unknown], b: [string, unknown]): number {
+  return a[0] < b[0] ? -1 : 1;
+}
+
+function shortened(value: unknown): unknown {
+  if (typeof value !== 'object' || value === null) return value;
+  const before = shortForms.get(value);
+  if (before !== undefined) return before;
+  const text = JSON.stringify(sorted(value));
+  const isLong = text.length > LONGEST_TEXT;
+  const form = isLong ? { textBytes: text.length, digest: digestOfBytes(text) } : value;
+  shortForms.set(value, form);
+  return form;
+}
+
+function shortenedPlace(place: { value: unknown } | undefined): unknown {
+  return place && { ...place, value: shortened(place.value) };
+}
+
+/** Cells as JSON. */
+export function cellsOf(slots: Pick<Slots, 'cells'>): Record<string, unknown> {
+  const cells: Record<string, unknown> = {};
+  for (const [key, cell] of [...slots.cells].sort(byName))
+    cells[key] = {
+      promised: cell.promised,
+      accepted: shortenedPlace(cell.accepted),
+      learned: shortenedPlace(cell.learned),
+    };
+  return cells;
+}
+
+/** Opens the files of a disk as a controller does at its start; they are changed as it changes them. */
+export async function openDisk(
+  files: DiskFiles,
+  seed?: number,
+): Promise<{ slots: Slots; kept: KeptVotes; ports: Ports }> {
+  const ports = portsOfFiles(files, seed);
+  const kept = (await readVotes(ports)).extract() as KeptVotes;
+  const [, slots] = open(await openSlots(ports, MOST_LOG_BYTES, kept));
+  return { slots: slots!, kept, ports };
+}
+
+/** Reads the state of a disk, and leaves its files as they are; a new disk's id comes from the seed. */
+export async function stateOf(files: DiskFiles, seed?: number): Promise<DiskState> {
+  const { slots, kept } = await openDisk(new Map(files), seed);
+  return JSON.parse(
+    JSON.stringify({
+      disk: slots.disk,
+      spoilt: slots.spoilt,
+      founding: slots.founding(),
+      cells: cellsOf(slots),
+      votes: kept.votes,
+      votesDisk: kept.disk,
+      votesSpoilt: kept.spoilt,
+    }),
+  );
+}
--- /dev/null
+++ b/tools/compatibility/write-on.ts
@@ -0,0 +1,67 @@
+/**
+ * Writing on a stored disk with the present code: the same lines and votes behind what it holds.
+ */
+
+import { Cell } from '../../src/control/slots';
+import { Vote, Votes } from '../../src/control/votes';
+import { DiskFiles, digestOfBytes, DiskState, openDisk, cellsOf } from './disk-state';
+
+/** What the process that wrote held at its end. */
+export interface WrittenOn {
+  disk: string;
+  cells: DiskState['cells'];
+  votes: Vote[];
+  /** A digest of each file. */
+  digests: Record<string, string>;
+}
+
+const VOTES_KEPT_MS = 1_000_000;
+
+function nobody(): undefined {
+  return undefined;
+}
+
+/** The next value of a cell: a field more, so that a long one is stored as a difference. */
+function nextOf(key: string, cell: Cell): NonNullable<Cell['accepted']> | undefined {
+  const { learned } = cell;
+  if (!learned || typeof learned.value !== 'object') return undefined;
+  const { epoch, by } = cell.promised;
+  const number = learned.number + 1;
+  return { key, epoch, by, number, value: { ...learned.value, writtenOn: number } };
+}
+
+/** Opens a disk, accepts and learns another value of each key, adds two votes, and opens it once more in between. */
+export async function writeOn(files: DiskFiles): Promise<WrittenOn> {
+  let last: WrittenOn | undefined;
+  for (const round of [1, 2]) {
+    const { slots, kept, ports } = await openDisk(files);
+    const votes = new Votes(slots, ports, nobody, VOTES_KEPT_MS);
+    await votes.begin(kept);
+    for (const [key, cell] of [...slots.cells]) {
+      const accepted = nextOf(key, cell);
+      if (!accepted) continue;
+      await slots.put({ key, promised: cell.promised, accepted });
+      await slots.put({ key, learned: true });
+    }
+    const added: Vote[] = [
+      { key: `written-${round}`, run: 'run-1', state: 'running' },
+      { key: `written-${round}-done`, run: 'run-2', state: 'done' },
+    ];
+    await votes.copy(added);
+    const digests: Record<string, string> = {};
+    for (const [name, bytes] of [...files].sort(byName)) digests[name] = digestOfBytes(bytes);
+    last = JSON.parse(
+      JSON.stringify({
+        disk: slots.disk,
+        cells: cellsOf(slots),
+        votes: ((await votes.held({ begins: '' })).extract() as { votes: Vote[] }).votes,
+        digests,
+      }),
+    );
+  }
+  return last!;
+}
+
+function byName(a: [string, unknown], b: [string, unknown]): number {
+  return a[0] < b[0] ? -1 : 1;
+}
