--- a/eslint.config.mjs
+++ b/eslint.config.mjs
@@ -52,7 +52,7 @@
   ...core,
   {
     selector: 'TryStatement',
-    message: 'Catch only where a library is called: shared/real*, shared/lib.',
+    message: 'Catch only where a library is called: shared/system, shared/util.',
   },
 ];
 
@@ -118,10 +118,13 @@
   },
   { files: ['src/**/*.ts'], rules: { 'no-restricted-syntax': ['error', ...tryless, names] } },
   {
-    files: ['src/shared/real*.ts', 'src/shared/lib.ts'],
+    files: ['src/shared/system/**/*.ts', 'src/shared/util/*.ts'],
     rules: { 'no-restricted-syntax': ['error', ...lib, names] },
   },
-  { files: ['src/shared/formats.ts'], rules: { 'no-restricted-syntax': ['error', ...style] } },
+  {
+    files: ['src/shared/settings/validators.ts'],
+    rules: { 'no-restricted-syntax': ['error', ...style] },
+  },
   {
     files: ['platform/**/*.ts'],
     rules: { 'no-restricted-syntax': ['error', ...tryless], ...fence('control', 'data', 'index') },
--- a/src/control/shutdown.ts
+++ b/src/control/api/call-draining.ts
@@ -1,5 +1,5 @@
-import { Call, Clock, Listening, Wire } from '../shared/ports';
-import { Bounds } from '../shared/bounds';
+import { Call, Clock, Listening, Wire } from '../../shared/ports/ports';
+import { Bounds } from '../../shared/settings/time-limits';
 
 /** How often it is looked whether calls are under way, as a share of `pause`. */
 const LOOK = 0.1;
--- a/src/control/deployment-api.ts
+++ b/src/control/api/deployment-api.ts
@@ -1,15 +1,15 @@
-import { Dialect } from '../shared/dialect';
-import { giveFault, giveJson, takeCalls, takeJson } from '../shared/edge';
-import { Fault, open, Outcome } from '../shared/errors';
-import { Call, Listening, Ports } from '../shared/ports';
-import { DeploymentValue } from '../shared/deployment';
-import { withTimeout } from '../shared/timeout';
-import { KEYS } from '../shared/words';
-import { OperatorApi } from './api';
-import { Changed } from './changes';
-import { Controller } from './controller';
-import { makeOrder } from './deployment';
-import { Operation } from './operations';
+import { Dialect } from '../../shared/platform-adapter/platform-adapter';
+import { giveFault, giveJson, takeCalls, takeJson } from '../../shared/transport/handlers';
+import { Fault, open, Outcome } from '../../shared/errors/errors';
+import { Call, Listening, Ports } from '../../shared/ports/ports';
+import { DeploymentValue } from '../../shared/state/deployment';
+import { withTimeout } from '../../shared/concurrency/timeout';
+import { KEYS } from '../../shared/state/words';
+import { OperatorApi } from './operator-api';
+import { Changed } from '../configuration/change-coordinator';
+import { Controller } from '../controller';
+import { makeOrder } from '../configuration/deployment-change';
+import { Operation } from '../configuration/operations';
 
 /** How long a call is worked on before its caller is sent on to another controller, as a share of `ackMs`. */
 const ANSWER_SHARE = 0.18;
--- a/src/control/api.ts
+++ b/src/control/api/operator-api.ts
@@ -1,17 +1,24 @@
-import { Fault, open, Outcome } from '../shared/errors';
-import { field, giveFault, giveJson, handles, takeAs, takeCalls } from '../shared/edge';
-import { wholeHash } from '../shared/lib';
-import { isId } from '../shared/formats';
-import { Call, Listening, Ports } from '../shared/ports';
-import { IntentsValue, KEYS, Place } from '../shared/words';
-import { checkIntents } from './intents';
-import { Changed } from './changes';
-import { Controller } from './controller';
-import { NamedWeights } from '../shared/weights';
-import { Operation, TenantKeys } from './operations';
-import { reached } from './peers';
-import { voterRows, votersStatus } from './voter-status';
-import { replaceVoter } from './voters';
+import { Fault, open, Outcome } from '../../shared/errors/errors';
+import {
+  field,
+  giveFault,
+  giveJson,
+  handles,
+  takeAs,
+  takeCalls,
+} from '../../shared/transport/handlers';
+import { wholeHash } from '../../shared/util/lib';
+import { isId } from '../../shared/settings/validators';
+import { Call, Listening, Ports } from '../../shared/ports/ports';
+import { IntentsValue, KEYS, Place } from '../../shared/state/words';
+import { checkIntents } from '../configuration/intents-validation';
+import { Changed } from '../configuration/change-coordinator';
+import { Controller } from '../controller';
+import { NamedWeights } from '../../shared/state/weights';
+import { Operation, TenantKeys } from '../configuration/operations';
+import { reached } from '../peer-handlers';
+import { voterRows, votersStatus } from '../membership/voter-status';
+import { replaceVoter } from '../membership/reconfiguration';
 
 class ApplyAsk {
   @field('number') basedOn!: number;
--- a/src/control/change-log.ts
+++ b/src/control/change-log.ts
@@ -1,6 +1,6 @@
-import { Clock, Log } from '../shared/ports';
-import { KEYS, Numbered, Voter, Voters } from '../shared/words';
-import { DutyValue } from './term';
+import { Clock, Log } from '../shared/ports/ports';
+import { KEYS, Numbered, Voter, Voters } from '../shared/state/words';
+import { DutyValue } from './singletons/singleton-lease';
 
 /** How much of a disk's identity is logged. */
 const DISK_CHARACTERS = 8;
--- a/src/control/taken-orders.ts
+++ b/src/control/configuration/accepted-changes.ts
@@ -1,4 +1,4 @@
-import { DeploymentValue, StoredOrder } from '../shared/deployment';
+import { DeploymentValue, StoredOrder } from '../../shared/state/deployment';
 
 /**
  * How many taken orders are kept, so that one that is sent again is known. A caller that got no
--- a/src/control/changes.ts
+++ b/src/control/configuration/change-coordinator.ts
@@ -1,19 +1,19 @@
 import { isDeepStrictEqual } from 'node:util';
 import { Left, Right } from 'purify-ts';
-import { bad, Fault, open, Outcome } from '../shared/errors';
-import { rendezvous } from '../shared/lib';
-import { Exchange, noConnection } from '../shared/connections';
-import { Clock, Dice } from '../shared/ports';
-import { Bounds } from '../shared/bounds';
-import { Settings } from '../shared/settings';
-import { Intents, IntentsValue, KEYS, Numbered, Place, Voters } from '../shared/words';
-import { DocumentReader, identityOf, verdictByBase } from './deployment';
-import { handOver } from './hand-over';
-import { checkIntents } from './intents';
+import { bad, Fault, open, Outcome } from '../../shared/errors/errors';
+import { rendezvous } from '../../shared/util/lib';
+import { Exchange, noConnection } from '../../shared/transport/connections';
+import { Clock, Dice } from '../../shared/ports/ports';
+import { Bounds } from '../../shared/settings/time-limits';
+import { Settings } from '../../shared/settings/settings';
+import { Intents, IntentsValue, KEYS, Numbered, Place, Voters } from '../../shared/state/words';
+import { DocumentReader, identityOf, verdictByBase } from './deployment-change';
+import { handOver } from './change-forwarding';
+import { checkIntents } from './intents-validation';
 import { keyOf, makeValue, Operation } from './operations';
-import { Owner } from './register';
-import { makeSingleFlight } from './single-flight';
-import { DutyValue } from './term';
+import { Owner } from '../consensus/key-owner';
+import { makeSingleFlight } from '../../shared/concurrency/single-flight';
+import { DutyValue } from '../singletons/singleton-lease';
 
 /** What became of a change. */
 export interface Changed {
--- a/src/control/effects.ts
+++ b/src/control/configuration/change-effects.ts
@@ -1,11 +1,11 @@
 import { Left, Right } from 'purify-ts';
-import { open, Outcome } from '../shared/errors';
-import { poll } from '../shared/poll';
-import { Clock } from '../shared/ports';
-import { Bounds } from '../shared/bounds';
-import { Settings } from '../shared/settings';
-import { Place, Voter, Voters } from '../shared/words';
-import { Changed } from './changes';
+import { open, Outcome } from '../../shared/errors/errors';
+import { poll } from '../../shared/transport/quorum-poll';
+import { Clock } from '../../shared/ports/ports';
+import { Bounds } from '../../shared/settings/time-limits';
+import { Settings } from '../../shared/settings/settings';
+import { Place, Voter, Voters } from '../../shared/state/words';
+import { Changed } from './change-coordinator';
 import { keyOf, Operation } from './operations';
 
 /** How much longer than a voter waits for an effect its answer is waited for. */
--- a/src/control/hand-over.ts
+++ b/src/control/configuration/change-forwarding.ts
@@ -1,11 +1,11 @@
 /** Hands changes over to the owners of their keys, and tells owners that are busy from owners that are dead. */
 
 import { Left } from 'purify-ts';
-import { Bounds } from '../shared/bounds';
-import { Exchange } from '../shared/connections';
-import { makeFault, Outcome } from '../shared/errors';
-import { askPacked, packedBytes } from '../shared/packed';
-import { Clock } from '../shared/ports';
+import { Bounds } from '../../shared/settings/time-limits';
+import { Exchange } from '../../shared/transport/connections';
+import { makeFault, Outcome } from '../../shared/errors/errors';
+import { askPacked, packedBytes } from '../../shared/transport/compressed-requests';
+import { Clock } from '../../shared/ports/ports';
 import { Operation } from './operations';
 
 /** Compressed bytes of an order, some 3,500 routes, for which its owner is given as long again. */
--- a/src/control/deployment.ts
+++ b/src/control/configuration/deployment-change.ts
@@ -1,10 +1,10 @@
 import { Either, Left, Right } from 'purify-ts';
-import { Deployment, DeploymentValue, NamedChange } from '../shared/deployment';
-import { Dialect } from '../shared/dialect';
-import { Fault, makeFault, Outcome } from '../shared/errors';
-import { shortHash } from '../shared/lib';
-import { KEYS, Numbered } from '../shared/words';
-import { checkDeployment } from './deployment-check';
+import { Deployment, DeploymentValue, NamedChange } from '../../shared/state/deployment';
+import { Dialect } from '../../shared/platform-adapter/platform-adapter';
+import { Fault, makeFault, Outcome } from '../../shared/errors/errors';
+import { shortHash } from '../../shared/util/lib';
+import { KEYS, Numbered } from '../../shared/state/words';
+import { checkDeployment } from './deployment-validation';
 import {
   isOlderThanMemory,
   isTaken,
@@ -12,7 +12,7 @@
   readTakenOrders,
   remember,
   TakenOrder,
-} from './taken-orders';
+} from './accepted-changes';
 
 /** An operator's change of the deployment, on top of the revision that it builds on: a whole document, or a named change. */
 export interface DeploymentOperation {
--- a/src/control/deployment-check.ts
+++ b/src/control/configuration/deployment-validation.ts
@@ -1,4 +1,4 @@
-import { Deployment, HttpRoute } from '../shared/deployment';
+import { Deployment, HttpRoute } from '../../shared/state/deployment';
 
 /** What is wrong with a deployment; empty where it may come into force. */
 export function checkDeployment(d: Deployment): string[] {
--- a/src/control/check.ts
+++ b/src/control/configuration/intents-consistency.ts
@@ -1,7 +1,7 @@
-import { askJson } from '../shared/lib';
-import { Wire } from '../shared/ports';
-import { Engine, Intents, Member } from '../shared/words';
-import { NamedWeights } from '../shared/weights';
+import { askJson } from '../../shared/util/lib';
+import { Wire } from '../../shared/ports/ports';
+import { Engine, Intents, Member } from '../../shared/state/words';
+import { NamedWeights } from '../../shared/state/weights';
 
 /** Where a file of intents and the fleet as it is don't fit. */
 export interface Finding {
--- a/src/control/intents.ts
+++ b/src/control/configuration/intents-validation.ts
@@ -1,8 +1,8 @@
 import convict from 'convict';
 import { Either, Left, Right } from 'purify-ts';
-import { guard } from '../shared/lib';
-import { id, maybeId, neededAddress, share, whole } from '../shared/formats';
-import { Intents } from '../shared/words';
+import { guard } from '../../shared/util/lib';
+import { id, maybeId, neededAddress, share, whole } from '../../shared/settings/validators';
+import { Intents } from '../../shared/state/words';
 
 const ITEMS: Record<keyof Intents, Record<string, unknown>> = {
   tenants: {
--- a/src/control/operations.ts
+++ b/src/control/configuration/operations.ts
@@ -1,10 +1,18 @@
 import { Left, Right } from 'purify-ts';
-import { bad, makeFault, Outcome } from '../shared/errors';
-import { NamedWeights } from '../shared/weights';
-import { Engine, Intents, IntentsValue, KEYS, Numbered, setSalts, Voters } from '../shared/words';
-import { DeploymentOperation, DocumentReader, makeDeployment } from './deployment';
-import { checkIntents } from './intents';
-import { DutyValue } from './term';
+import { bad, makeFault, Outcome } from '../../shared/errors/errors';
+import { NamedWeights } from '../../shared/state/weights';
+import {
+  Engine,
+  Intents,
+  IntentsValue,
+  KEYS,
+  Numbered,
+  setSalts,
+  Voters,
+} from '../../shared/state/words';
+import { DeploymentOperation, DocumentReader, makeDeployment } from './deployment-change';
+import { checkIntents } from './intents-validation';
+import { DutyValue } from '../singletons/singleton-lease';
 
 /** The hashes of one tenant's keys. */
 export interface TenantKeys {
--- a/src/control/accepted.ts
+++ b/src/control/connection-acceptor.ts
@@ -1,6 +1,6 @@
-import { closeSilent, converse, Exchange } from '../shared/connections';
-import { Outcome } from '../shared/errors';
-import { Connection, Listening, Ports } from '../shared/ports';
+import { closeSilent, converse, Exchange } from '../shared/transport/connections';
+import { Outcome } from '../shared/errors/errors';
+import { Connection, Listening, Ports } from '../shared/ports/ports';
 
 /** What accepting connections needs of its controller. */
 export interface AcceptParts {
--- a/src/control/held-places.ts
+++ b/src/control/consensus/accepted-versions.ts
@@ -1,8 +1,8 @@
 /** Reads how far the disks of a majority have a key, without a write. */
 
-import { bad, open, Outcome } from '../shared/errors';
-import { poll } from '../shared/poll';
-import { comparePlaces, Numbered, Place, Voter, Voters } from '../shared/words';
+import { bad, open, Outcome } from '../../shared/errors/errors';
+import { poll } from '../../shared/transport/quorum-poll';
+import { comparePlaces, Numbered, Place, Voter, Voters } from '../../shared/state/words';
 import { HeldPlace, placeOnly } from './acceptor';
 
 /** Before every place. */
--- a/src/control/acceptor.ts
+++ b/src/control/consensus/acceptor.ts
@@ -1,10 +1,10 @@
 /** The part of the registers that each voter's disk plays. */
 
 import { Left, Right } from 'purify-ts';
-import { Delta, readDelta, sharing } from '../shared/delta';
-import { field, Handled, message } from '../shared/edge';
-import { bad, open, Outcome } from '../shared/errors';
-import { Ports } from '../shared/ports';
+import { Delta, readDelta, sharing } from '../../shared/replication/delta';
+import { field, Handled, message } from '../../shared/transport/handlers';
+import { bad, open, Outcome } from '../../shared/errors/errors';
+import { Ports } from '../../shared/ports/ports';
 import {
   compareEpochs,
   comparePlaces,
@@ -14,8 +14,8 @@
   Place,
   Voter,
   Voters,
-} from '../shared/words';
-import { Slots } from './slots';
+} from '../../shared/state/words';
+import { Slots } from '../storage/control-store';
 
 /** How the registers reach the other voters; `by` tells this life of this node from every other. */
 export interface Reach {
--- a/src/control/keep.ts
+++ b/src/control/consensus/key-maintenance.ts
@@ -1,7 +1,7 @@
 import { Right } from 'purify-ts';
-import { Exchange, Holds } from '../shared/connections';
-import { open, Outcome } from '../shared/errors';
-import { makeCatchUp } from '../shared/catch-up';
+import { Exchange, Holds } from '../../shared/transport/connections';
+import { open, Outcome } from '../../shared/errors/errors';
+import { makeCatchUp } from '../../shared/replication/catch-up';
 import {
   AppliedEntry,
   appliedEntries,
@@ -9,12 +9,12 @@
   isReached,
   readChange,
   targetOf,
-} from '../shared/change-message';
-import { rendezvous } from '../shared/lib';
-import { Bounds } from '../shared/bounds';
-import { Numbered } from '../shared/words';
-import { Owner } from './register';
-import { Slots } from './slots';
+} from '../../shared/replication/change-message';
+import { rendezvous } from '../../shared/util/lib';
+import { Bounds } from '../../shared/settings/time-limits';
+import { Numbered } from '../../shared/state/words';
+import { Owner } from './key-owner';
+import { Slots } from '../storage/control-store';
 
 /** Which keys a controller learned after a count of its life; without `has` where the asker counted in another life, or too long ago. */
 export interface LearnedAfter {
--- a/src/control/register.ts
+++ b/src/control/consensus/key-owner.ts
@@ -2,13 +2,13 @@
 
 import { isDeepStrictEqual } from 'node:util';
 import { Left, Right } from 'purify-ts';
-import { Delta, makeDelta } from '../shared/delta';
-import { bad, Fault, open, Outcome } from '../shared/errors';
-import { poll } from '../shared/poll';
-import { comparePlaces, KEYS, Numbered, Voter } from '../shared/words';
+import { Delta, makeDelta } from '../../shared/replication/delta';
+import { bad, Fault, open, Outcome } from '../../shared/errors/errors';
+import { poll } from '../../shared/transport/quorum-poll';
+import { comparePlaces, KEYS, Numbered, Voter } from '../../shared/state/words';
 import { HeldPlace, placeOnly, Promised, Reach } from './acceptor';
-import { isLaterHeld, pollHeldPlaces } from './held-places';
-import { Slots } from './slots';
+import { isLaterHeld, pollHeldPlaces } from './accepted-versions';
+import { Slots } from '../storage/control-store';
 
 interface Owned {
   epoch: number;
--- a/src/control/read.ts
+++ b/src/control/consensus/linearizable-read.ts
@@ -1,11 +1,11 @@
 import { Left, Right } from 'purify-ts';
-import { Handled, message } from '../shared/edge';
-import { bad, open, Outcome } from '../shared/errors';
-import { KEYS, Numbered, Voter, Voters } from '../shared/words';
+import { Handled, message } from '../../shared/transport/handlers';
+import { bad, open, Outcome } from '../../shared/errors/errors';
+import { KEYS, Numbered, Voter, Voters } from '../../shared/state/words';
 import { HeldPlace } from './acceptor';
-import { isLaterHeld, pollHeldPlaces } from './held-places';
-import { Owner } from './register';
-import { Slots } from './slots';
+import { isLaterHeld, pollHeldPlaces } from './accepted-versions';
+import { Owner } from './key-owner';
+import { Slots } from '../storage/control-store';
 
 /** Polls of one read: a second one where the first shows that the voters are others by now. */
 const POLLS = 2;
--- a/src/control/replicate.ts
+++ b/src/control/consensus/replica-sync.ts
@@ -1,9 +1,9 @@
 import { Left, Right } from 'purify-ts';
-import { field, Handled, message } from '../shared/edge';
-import { bad, Fault, open, Outcome } from '../shared/errors';
-import { KEYS, Numbered, Place, Voter } from '../shared/words';
-import { reached } from './peers';
-import { Slots } from './slots';
+import { field, Handled, message } from '../../shared/transport/handlers';
+import { bad, Fault, open, Outcome } from '../../shared/errors/errors';
+import { KEYS, Numbered, Place, Voter } from '../../shared/state/words';
+import { reached } from '../peer-handlers';
+import { Slots } from '../storage/control-store';
 
 /** Keys that one message asks about at the most. */
 const KEYS_AT_ONCE = 256;
--- a/src/control/ask-other.ts
+++ b/src/control/consensus/voter-request.ts
@@ -1,8 +1,8 @@
 import { Left } from 'purify-ts';
-import { Exchange, noConnection } from '../shared/connections';
-import { Outcome } from '../shared/errors';
-import { askPacked } from '../shared/packed';
-import { Voter } from '../shared/words';
+import { Exchange, noConnection } from '../../shared/transport/connections';
+import { Outcome } from '../../shared/errors/errors';
+import { askPacked } from '../../shared/transport/compressed-requests';
+import { Voter } from '../../shared/state/words';
 
 /** What may carry whole values or long differences. */
 const LONG_ASKS = new Set(['accept', 'accept-delta', 'learn']);
--- a/src/control/controller-interface.ts
+++ b/src/control/controller-interface.ts
@@ -1,18 +1,18 @@
-import { Hello } from '../shared/connections';
-import { Outcome } from '../shared/errors';
-import { Metrics } from '../shared/metrics';
-import { Bounds } from '../shared/bounds';
-import { Settings } from '../shared/settings';
-import { Waker } from '../shared/waker';
-import { Numbered, Place, Voter, Voters } from '../shared/words';
-import { Changed } from './changes';
-import { Leases } from './leases';
-import { Membership } from './membership';
-import { Operation } from './operations';
-import { Owner } from './register';
-import { RosterEdge } from './roster';
-import { Slots } from './slots';
-import { Votes } from './votes';
+import { Hello } from '../shared/transport/connections';
+import { Outcome } from '../shared/errors/errors';
+import { Metrics } from '../shared/observability/metrics';
+import { Bounds } from '../shared/settings/time-limits';
+import { Settings } from '../shared/settings/settings';
+import { Waker } from '../shared/concurrency/waker';
+import { Numbered, Place, Voter, Voters } from '../shared/state/words';
+import { Changed } from './configuration/change-coordinator';
+import { Leases } from './leases/lease-registry';
+import { Membership } from './membership/voter-liveness';
+import { Operation } from './configuration/operations';
+import { Owner } from './consensus/key-owner';
+import { RosterEdge } from './membership/voter-set-controller';
+import { Slots } from './storage/control-store';
+import { Votes } from './storage/idempotency-votes';
 
 /** The part of the view of the voters that the rest of a controller goes by. */
 type View = Pick<
--- a/src/control/news-sender.ts
+++ b/src/control/leases/change-sender.ts
@@ -5,12 +5,12 @@
   isCurrent,
   isReached,
   targetOf,
-} from '../shared/change-message';
-import { Exchange } from '../shared/connections';
-import { placeOf } from '../shared/delta';
-import { open } from '../shared/errors';
-import { Log } from '../shared/ports';
-import { Numbered, Place } from '../shared/words';
+} from '../../shared/replication/change-message';
+import { Exchange } from '../../shared/transport/connections';
+import { placeOf } from '../../shared/replication/delta';
+import { open } from '../../shared/errors/errors';
+import { Log } from '../../shared/ports/ports';
+import { Numbered, Place } from '../../shared/state/words';
 
 /** What sending changes to one follower needs. */
 export interface NewsSenderParts {
--- a/src/control/follower-lag.ts
+++ b/src/control/leases/follower-lag.ts
@@ -1,7 +1,7 @@
 /**
  * How far followers are behind what is learned here.
  */
-import { Numbered, Place } from '../shared/words';
+import { Numbered, Place } from '../../shared/state/words';
 
 /** Versions of a key of which the time is kept. */
 const KEPT_VERSIONS = 128;
--- a/src/control/leases.ts
+++ b/src/control/leases/lease-registry.ts
@@ -6,17 +6,17 @@
   ChangeMessage,
   isCurrent,
   isReached,
-} from '../shared/change-message';
-import { field, Handled, message } from '../shared/edge';
-import { bad } from '../shared/errors';
-import { PieceAsk } from '../shared/pieces';
-import { Ports } from '../shared/ports';
-import { Bounds } from '../shared/bounds';
-import { Exchange } from '../shared/connections';
-import { comparePlaces, KEYS, Member, Numbered, Place, Voters } from '../shared/words';
+} from '../../shared/replication/change-message';
+import { field, Handled, message } from '../../shared/transport/handlers';
+import { bad } from '../../shared/errors/errors';
+import { PieceAsk } from '../../shared/replication/chunk-fetcher';
+import { Ports } from '../../shared/ports/ports';
+import { Bounds } from '../../shared/settings/time-limits';
+import { Exchange } from '../../shared/transport/connections';
+import { comparePlaces, KEYS, Member, Numbered, Place, Voters } from '../../shared/state/words';
 import { FollowerLag, lagRows, makeFollowerLag } from './follower-lag';
-import { makeNewsSender, NewsSender } from './news-sender';
-import { Slots } from './slots';
+import { makeNewsSender, NewsSender } from './change-sender';
+import { Slots } from '../storage/control-store';
 import { makeVersionHistory } from './version-history';
 
 /** A follower's ask for a lease: who it is, and how far it has applied each key: whole, or what changed since its last ask on this stream. */
--- a/src/control/version-history.ts
+++ b/src/control/leases/version-history.ts
@@ -5,10 +5,10 @@
   InlineChange,
   offerOf,
   wholeMessage,
-} from '../shared/change-message';
-import { makeDelta, placeOf } from '../shared/delta';
-import { PIECE_BYTES, PieceAsk } from '../shared/pieces';
-import { Numbered, Place } from '../shared/words';
+} from '../../shared/replication/change-message';
+import { makeDelta, placeOf } from '../../shared/replication/delta';
+import { PIECE_BYTES, PieceAsk } from '../../shared/replication/chunk-fetcher';
+import { Numbered, Place } from '../../shared/state/words';
 
 /** The versions of each key that were committed here lately, for differences to what other nodes hold. */
 export interface VersionHistory {
--- a/src/control/founding.ts
+++ b/src/control/membership/bootstrap.ts
@@ -1,10 +1,10 @@
 import { Left, Right } from 'purify-ts';
-import { bad, open, Outcome } from '../shared/errors';
-import { Clock } from '../shared/ports';
-import { Bounds } from '../shared/bounds';
-import { Settings } from '../shared/settings';
-import { isVoter, KEYS, Voter, Voters } from '../shared/words';
-import { Slots } from './slots';
+import { bad, open, Outcome } from '../../shared/errors/errors';
+import { Clock } from '../../shared/ports/ports';
+import { Bounds } from '../../shared/settings/time-limits';
+import { Settings } from '../../shared/settings/settings';
+import { isVoter, KEYS, Voter, Voters } from '../../shared/state/words';
+import { Slots } from '../storage/control-store';
 
 /** How the disk of a founder is named that was not there. */
 export const ABSENT = 'absent ';
--- a/src/control/leave.ts
+++ b/src/control/membership/graceful-leave.ts
@@ -1,11 +1,11 @@
-import { open, Outcome } from '../shared/errors';
-import { Clock, Log } from '../shared/ports';
-import { Bounds } from '../shared/bounds';
-import { allVoters, isQuorum, isVoter, Voter, Voters } from '../shared/words';
-import { Membership } from './membership';
-import { bringUpToDate } from './replicate';
-import { LeaveReply } from './roster';
-import { Slots } from './slots';
+import { open, Outcome } from '../../shared/errors/errors';
+import { Clock, Log } from '../../shared/ports/ports';
+import { Bounds } from '../../shared/settings/time-limits';
+import { allVoters, isQuorum, isVoter, Voter, Voters } from '../../shared/state/words';
+import { Membership } from './voter-liveness';
+import { bringUpToDate } from '../consensus/replica-sync';
+import { LeaveReply } from './voter-set-controller';
+import { Slots } from '../storage/control-store';
 
 /** Why a controller that was told to end may go: it did not vote, another has its place, the others have all that it has and are a majority, all others leave as well, or its time is over. */
 export type LeaveReason = 'not-voting' | 'replaced' | 'covered' | 'all-leave' | 'grace-over';
--- a/src/control/voters.ts
+++ b/src/control/membership/reconfiguration.ts
@@ -1,13 +1,13 @@
 import { Left, Right } from 'purify-ts';
-import { bad, Fault, makeFault, open, Outcome } from '../shared/errors';
-import { poll } from '../shared/poll';
-import { Ports } from '../shared/ports';
-import { askOnce } from '../shared/connections';
-import { isVoter, KEYS, Numbered, Place, Voter, Voters } from '../shared/words';
-import { Controller } from './controller';
-import { bringAllUpToDate, ReplicateParts } from './replicate';
+import { bad, Fault, makeFault, open, Outcome } from '../../shared/errors/errors';
+import { poll } from '../../shared/transport/quorum-poll';
+import { Ports } from '../../shared/ports/ports';
+import { askOnce } from '../../shared/transport/connections';
+import { isVoter, KEYS, Numbered, Place, Voter, Voters } from '../../shared/state/words';
+import { Controller } from '../controller';
+import { bringAllUpToDate, ReplicateParts } from '../consensus/replica-sync';
 import { makeStepTimes, StepTimes } from './step-times';
-import { Vote } from './votes';
+import { Vote } from '../storage/idempotency-votes';
 
 const HEX = [...'0123456789abcdef'];
 const AT_ONCE = 16;
--- a/src/control/seeds.ts
+++ b/src/control/membership/seed-announcer.ts
@@ -1,10 +1,10 @@
-import { askOnce, Hello, Holds } from '../shared/connections';
-import { open, Outcome } from '../shared/errors';
-import { appliedEntries } from '../shared/change-message';
-import { Ports } from '../shared/ports';
-import { Bounds } from '../shared/bounds';
-import { Settings } from '../shared/settings';
-import { allVoters, Numbered, Voters } from '../shared/words';
+import { askOnce, Hello, Holds } from '../../shared/transport/connections';
+import { open, Outcome } from '../../shared/errors/errors';
+import { appliedEntries } from '../../shared/replication/change-message';
+import { Ports } from '../../shared/ports/ports';
+import { Bounds } from '../../shared/settings/time-limits';
+import { Settings } from '../../shared/settings/settings';
+import { allVoters, Numbered, Voters } from '../../shared/state/words';
 
 /** What telling the seeds needs of its controller. */
 export interface SeedParts {
--- a/src/control/membership.ts
+++ b/src/control/membership/voter-liveness.ts
@@ -1,6 +1,6 @@
-import { Exchange } from '../shared/connections';
-import { Clock } from '../shared/ports';
-import { allVoters, atOf, isQuorum, Voter, Voters } from '../shared/words';
+import { Exchange } from '../../shared/transport/connections';
+import { Clock } from '../../shared/ports/ports';
+import { allVoters, atOf, isQuorum, Voter, Voters } from '../../shared/state/words';
 
 /** What the view of the voters is made of. */
 export interface MembershipParts {
--- a/src/control/roster.ts
+++ b/src/control/membership/voter-set-controller.ts
@@ -1,11 +1,11 @@
 import { Right } from 'purify-ts';
-import { field, Handled, message } from '../shared/edge';
-import { open } from '../shared/errors';
-import { Ports } from '../shared/ports';
-import { Bounds } from '../shared/bounds';
-import { allVoters, atOf, isVoter, KEYS, Voter, Voters } from '../shared/words';
-import { Controller } from './controller';
-import { makeJointProgress, moveVoters, NEWCOMER_UNFIT, returnVoters } from './voters';
+import { field, Handled, message } from '../../shared/transport/handlers';
+import { open } from '../../shared/errors/errors';
+import { Ports } from '../../shared/ports/ports';
+import { Bounds } from '../../shared/settings/time-limits';
+import { allVoters, atOf, isVoter, KEYS, Voter, Voters } from '../../shared/state/words';
+import { Controller } from '../controller';
+import { makeJointProgress, moveVoters, NEWCOMER_UNFIT, returnVoters } from './reconfiguration';
 
 /** How a voter's machine stands: there with its disk, away, away for good while, leaving by its own word, or there with another disk. */
 export type Standing = 'here' | 'away' | 'lost' | 'leaving' | 'emptied';
--- a/src/control/voter-status.ts
+++ b/src/control/membership/voter-status.ts
@@ -1,7 +1,7 @@
-import { open } from '../shared/errors';
-import { allVoters, atOf, isQuorum, Voter, Voters } from '../shared/words';
-import { Controller } from './controller-interface';
-import { progressOf } from './replicate';
+import { open } from '../../shared/errors/errors';
+import { allVoters, atOf, isQuorum, Voter, Voters } from '../../shared/state/words';
+import { Controller } from '../controller-interface';
+import { progressOf } from '../consensus/replica-sync';
 
 /** How a voter's machine stands. */
 export type VoterState = 'here' | 'away' | 'leaving' | 'emptied';
--- a/src/control/peers.ts
+++ b/src/control/peer-handlers.ts
@@ -1,7 +1,7 @@
 import { Right } from 'purify-ts';
-import { Handled, message } from '../shared/edge';
-import { bad, Outcome } from '../shared/errors';
-import { appliedEntries } from '../shared/change-message';
+import { Handled, message } from '../shared/transport/handlers';
+import { bad, Outcome } from '../shared/errors/errors';
+import { appliedEntries } from '../shared/replication/change-message';
 import {
   allVoters,
   atOf,
@@ -11,10 +11,10 @@
   Place,
   Voter,
   Voters,
-} from '../shared/words';
-import { LearnedAfter } from './keep';
-import { Operation } from './operations';
-import { Slots } from './slots';
+} from '../shared/state/words';
+import { LearnedAfter } from './consensus/key-maintenance';
+import { Operation } from './configuration/operations';
+import { Slots } from './storage/control-store';
 
 /** What one controller says to another beside votes. */
 export class ControlEdge {
--- a/src/control/duties.ts
+++ b/src/control/singletons/background-tasks.ts
@@ -1,13 +1,13 @@
-import { open } from '../shared/errors';
-import { engineStatus, giveOrder } from '../shared/contracts/engine';
-import { Dialect } from '../shared/dialect';
-import { Ports } from '../shared/ports';
-import { NamedWeights } from '../shared/weights';
-import { Engine, KEYS } from '../shared/words';
-import { Controller } from './controller';
-import { listAll, settleWarm } from './instances';
-import { rollOut } from './rollout';
-import { askToJoin, followMachines } from './roster';
+import { open } from '../../shared/errors/errors';
+import { engineStatus, giveOrder } from '../../shared/contracts/engine';
+import { Dialect } from '../../shared/platform-adapter/platform-adapter';
+import { Ports } from '../../shared/ports/ports';
+import { NamedWeights } from '../../shared/state/weights';
+import { Engine, KEYS } from '../../shared/state/words';
+import { Controller } from '../controller';
+import { listAll, settleWarm } from './engine-listing';
+import { rollOut } from './weights-rollout';
+import { askToJoin, followMachines } from '../membership/voter-set-controller';
 
 /** Starts all duties of a controller. */
 export function startDuties(c: Controller, ports: Ports, dialect?: Dialect): void {
--- a/src/control/instances.ts
+++ b/src/control/singletons/engine-listing.ts
@@ -1,10 +1,10 @@
 import { Right } from 'purify-ts';
-import { listEngines } from '../shared/contracts/platform';
-import { Dialect, EnginePage } from '../shared/dialect';
-import { bad, open, Outcome } from '../shared/errors';
-import { Ports } from '../shared/ports';
-import { askWorded } from '../shared/worded';
-import { Engine } from '../shared/words';
+import { listEngines } from '../../shared/contracts/platform';
+import { Dialect, EnginePage } from '../../shared/platform-adapter/platform-adapter';
+import { bad, open, Outcome } from '../../shared/errors/errors';
+import { Ports } from '../../shared/ports/ports';
+import { askWorded } from '../../shared/platform-adapter/adapter-request';
+import { Engine } from '../../shared/state/words';
 
 /** Pages that a list may have at the most. */
 const MOST_PAGES = 64;
--- a/src/control/term.ts
+++ b/src/control/singletons/singleton-lease.ts
@@ -1,8 +1,8 @@
-import { open } from '../shared/errors';
-import { rendezvous } from '../shared/lib';
-import { Ports } from '../shared/ports';
-import { KEYS } from '../shared/words';
-import { Controller } from './controller';
+import { open } from '../../shared/errors/errors';
+import { rendezvous } from '../../shared/util/lib';
+import { Ports } from '../../shared/ports/ports';
+import { KEYS } from '../../shared/state/words';
+import { Controller } from '../controller';
 
 /** The committed value of a duty: who holds it, where, and the fence of that term: the number of the change that began it. */
 export interface DutyValue {
--- a/src/control/rollout.ts
+++ b/src/control/singletons/weights-rollout.ts
@@ -1,11 +1,11 @@
-import { Dialect, EngineReport, OrderAnswer } from '../shared/dialect';
-import { open } from '../shared/errors';
-import { Ports } from '../shared/ports';
-import { compareWeights, lacks, NamedWeights } from '../shared/weights';
-import { askWorded } from '../shared/worded';
-import { Engine, KEYS } from '../shared/words';
-import { Controller } from './controller';
-import { holdTerm } from './term';
+import { Dialect, EngineReport, OrderAnswer } from '../../shared/platform-adapter/platform-adapter';
+import { open } from '../../shared/errors/errors';
+import { Ports } from '../../shared/ports/ports';
+import { compareWeights, lacks, NamedWeights } from '../../shared/state/weights';
+import { askWorded } from '../../shared/platform-adapter/adapter-request';
+import { Engine, KEYS } from '../../shared/state/words';
+import { Controller } from '../controller';
+import { holdTerm } from './singleton-lease';
 
 /** Engines of a model that take up weights at once, as a share of them all. */
 const AT_ONCE = 0.25;
--- a/src/control/slots.ts
+++ b/src/control/storage/control-store.ts
@@ -1,8 +1,8 @@
 import { Left, Right } from 'purify-ts';
-import { bad, open, Outcome } from '../shared/errors';
-import { Delta } from '../shared/delta';
-import { Ports } from '../shared/ports';
-import { Journal, makeJournal } from '../shared/journal';
+import { bad, open, Outcome } from '../../shared/errors/errors';
+import { Delta } from '../../shared/replication/delta';
+import { Ports } from '../../shared/ports/ports';
+import { Journal, makeJournal } from '../../shared/replication/key-journal';
 import {
   applyLine,
   Cell,
@@ -15,9 +15,9 @@
   storeCell,
   StoredLine,
   storeLine,
-} from './cells';
+} from './register-state';
 import { frame, framesOf, Unframed, unframe } from './frames';
-import { makeGroup, untilWritten } from './group';
+import { makeGroup, untilWritten } from './group-commit';
 import { makeSyncedReader } from './synced-read';
 
 export { applyLine, Cell, Line };
--- a/src/control/frames.ts
+++ b/src/control/storage/frames.ts
@@ -1,7 +1,7 @@
 import { crc32 } from 'node:zlib';
 import { pack, unpack } from 'msgpackr';
-import { open } from '../shared/errors';
-import { guard } from '../shared/lib';
+import { open } from '../../shared/errors/errors';
+import { guard } from '../../shared/util/lib';
 
 const HEAD = 12;
 const OLD_HEAD = 8;
--- a/src/control/group.ts
+++ b/src/control/storage/group-commit.ts
@@ -1,7 +1,7 @@
 import { Right } from 'purify-ts';
-import { Outcome } from '../shared/errors';
-import { Ports } from '../shared/ports';
-import { withTimeout } from '../shared/timeout';
+import { Outcome } from '../../shared/errors/errors';
+import { Ports } from '../../shared/ports/ports';
+import { withTimeout } from '../../shared/concurrency/timeout';
 
 /** Lines that wait for the disk and are written and synced together, in order. */
 export interface Group<T> {
--- a/src/control/votes.ts
+++ b/src/control/storage/idempotency-votes.ts
@@ -1,11 +1,11 @@
 import { Left, Right } from 'purify-ts';
-import { field, Handled, message } from '../shared/edge';
-import { bad, open, Outcome } from '../shared/errors';
-import { Ports } from '../shared/ports';
-import { isVoter, Voters } from '../shared/words';
+import { field, Handled, message } from '../../shared/transport/handlers';
+import { bad, open, Outcome } from '../../shared/errors/errors';
+import { Ports } from '../../shared/ports/ports';
+import { isVoter, Voters } from '../../shared/state/words';
 import { frame, framesOf, Unframed, unframe } from './frames';
-import { Group, makeGroup, untilWritten } from './group';
-import { Slots } from './slots';
+import { Group, makeGroup, untilWritten } from './group-commit';
+import { Slots } from './control-store';
 import { makeSyncedReader } from './synced-read';
 
 /** What became of the run that holds a key, as far as it was told. */
--- a/src/control/cells.ts
+++ b/src/control/storage/register-state.ts
@@ -1,5 +1,5 @@
-import { Delta, makeDelta, readDelta } from '../shared/delta';
-import { comparePlaces, Numbered } from '../shared/words';
+import { Delta, makeDelta, readDelta } from '../../shared/replication/delta';
+import { comparePlaces, Numbered } from '../../shared/state/words';
 
 /** What a disk holds of one control key. */
 export interface Cell {
--- a/src/control/synced-read.ts
+++ b/src/control/storage/synced-read.ts
@@ -4,8 +4,8 @@
  */
 
 import { Left, Right } from 'purify-ts';
-import { open, Outcome } from '../shared/errors';
-import { Disk } from '../shared/ports';
+import { open, Outcome } from '../../shared/errors/errors';
+import { Disk } from '../../shared/ports/ports';
 
 /** Files that are read at a start, and synced after that. */
 export interface SyncedReader {
--- a/src/data/api.ts
+++ b/src/data/api.ts
@@ -6,10 +6,10 @@
   splitParts,
   tokenise,
 } from '../shared/contracts/engine';
-import { giveFault, giveJson, handles, readAs, takeJson } from '../shared/edge';
-import { Fault, open } from '../shared/errors';
-import { wholeHash } from '../shared/lib';
-import { Call } from '../shared/ports';
+import { giveFault, giveJson, handles, readAs, takeJson } from '../shared/transport/handlers';
+import { Fault, open } from '../shared/errors/errors';
+import { wholeHash } from '../shared/util/lib';
+import { Call } from '../shared/ports/ports';
 import { holdKey, tellRun, votersMark } from './once';
 import { Overlap, Placement } from './place';
 import { CallerAsk, CheckedAsk, isToken, tokensOf } from './caller-ask';
--- a/src/data/caller-ask.ts
+++ b/src/data/caller-ask.ts
@@ -1,6 +1,6 @@
 import { Part } from '../shared/contracts/engine';
-import { field } from '../shared/edge';
-import { Service } from '../shared/words';
+import { field } from '../shared/transport/handlers';
+import { Service } from '../shared/state/words';
 
 /** What a caller asks for, as its body says it. */
 export class CallerAsk {
--- a/src/data/engines.ts
+++ b/src/data/engines.ts
@@ -1,9 +1,9 @@
 import { EngineStatus, engineStatus } from '../shared/contracts/engine';
-import { open } from '../shared/errors';
-import { Follower } from '../shared/follow';
-import { Ports } from '../shared/ports';
-import { Bounds } from '../shared/bounds';
-import { Engine, KEYS } from '../shared/words';
+import { open } from '../shared/errors/errors';
+import { Follower } from '../shared/replication/follower';
+import { Ports } from '../shared/ports/ports';
+import { Bounds } from '../shared/settings/time-limits';
+import { Engine, KEYS } from '../shared/state/words';
 
 /** What this router knows of one engine's health and load. */
 export interface Seen {
--- a/src/data/gateway/budget.ts
+++ b/src/data/gateway/budget.ts
@@ -1,5 +1,5 @@
-import { Clock } from '../../shared/ports';
-import { Settings } from '../../shared/settings';
+import { Clock } from '../../shared/ports/ports';
+import { Settings } from '../../shared/settings/settings';
 
 /** The part of what the fleet may spend that routers spend together, so that counting apart stays sound. */
 const SHARE = 0.8;
--- a/src/data/gateway/choose.ts
+++ b/src/data/gateway/choose.ts
@@ -1,12 +1,18 @@
 import { Either, Left, Right } from 'purify-ts';
-import { CallerRequest, HttpRoute, PartStore, Pool, TenantAccess } from '../../shared/deployment';
-import { helloOf } from '../../shared/hello';
-import { Follower } from '../../shared/follow';
-import { OverlapAnswer, WirePart } from '../../shared/loads';
-import { Ports } from '../../shared/ports';
-import { Settings } from '../../shared/settings';
-import { boundsOf } from '../../shared/bounds';
-import { Engine, KEYS } from '../../shared/words';
+import {
+  CallerRequest,
+  HttpRoute,
+  PartStore,
+  Pool,
+  TenantAccess,
+} from '../../shared/state/deployment';
+import { helloOf } from '../../shared/transport/hello';
+import { Follower } from '../../shared/replication/follower';
+import { OverlapAnswer, WirePart } from '../../shared/contracts/indexer';
+import { Ports } from '../../shared/ports/ports';
+import { Settings } from '../../shared/settings/settings';
+import { boundsOf } from '../../shared/settings/time-limits';
+import { Engine, KEYS } from '../../shared/state/words';
 import { reachIndexers } from './indexers';
 import { makePlacement } from './placement';
 import { EngineSpot, NoPlace, PlaceAsk, Placed, StoreSpot } from './placement-types';
--- a/src/data/gateway/drain.ts
+++ b/src/data/gateway/drain.ts
@@ -1,8 +1,8 @@
 /** How a router leaves: what it still takes once it is told to end, and for how long it waits. */
 
-import { Clock, Log, RawListening } from '../../shared/ports';
-import { Settings } from '../../shared/settings';
-import { StallWatch } from '../../shared/stalls';
+import { Clock, Log, RawListening } from '../../shared/ports/ports';
+import { Settings } from '../../shared/settings/settings';
+import { StallWatch } from '../../shared/observability/event-loop-stalls';
 import { InFlight } from './in-flight';
 
 /** How much of the grace a drain takes at the most. */
--- a/src/data/gateway/forward.ts
+++ b/src/data/gateway/forward.ts
@@ -1,7 +1,7 @@
-import { CallerRequest, HttpRoute, TenantAccess } from '../../shared/deployment';
-import { RawHeaders, StreamEvent } from '../../shared/dialect';
-import { Fault, open } from '../../shared/errors';
-import { HttpConnection, RawCall, RawReply } from '../../shared/ports';
+import { CallerRequest, HttpRoute, TenantAccess } from '../../shared/state/deployment';
+import { RawHeaders, StreamEvent } from '../../shared/platform-adapter/platform-adapter';
+import { Fault, open } from '../../shared/errors/errors';
+import { HttpConnection, RawCall, RawReply } from '../../shared/ports/ports';
 import { AttemptEnd, Chosen, Load, Wanted } from './choose';
 import { RequestInFlight } from './in-flight';
 import { GatewayParts } from './parts';
--- a/src/data/gateway/in-flight.ts
+++ b/src/data/gateway/in-flight.ts
@@ -1,7 +1,7 @@
 /** The requests that a router has taken and whose answers have not ended, and what is logged of those that are cut off. */
 
-import { Clock, Log } from '../../shared/ports';
-import { Settings } from '../../shared/settings';
+import { Clock, Log } from '../../shared/ports/ports';
+import { Settings } from '../../shared/settings/settings';
 
 /** A request on its way through a router. Times are of the clock port, in ms. */
 export interface RequestInFlight {
--- a/src/data/gateway/indexers.ts
+++ b/src/data/gateway/indexers.ts
@@ -1,11 +1,17 @@
-import { Hello, holdAll } from '../../shared/connections';
-import { open } from '../../shared/errors';
-import { Follower } from '../../shared/follow';
-import { rendezvous } from '../../shared/lib';
-import { EngineLoad, LoadsAnswer, OverlapAnswer, OverlapAsk, PlacedTell } from '../../shared/loads';
-import { Ports } from '../../shared/ports';
-import { Bounds } from '../../shared/bounds';
-import { Member } from '../../shared/words';
+import { Hello, holdAll } from '../../shared/transport/connections';
+import { open } from '../../shared/errors/errors';
+import { Follower } from '../../shared/replication/follower';
+import { rendezvous } from '../../shared/util/lib';
+import {
+  EngineLoad,
+  LoadsAnswer,
+  OverlapAnswer,
+  OverlapAsk,
+  PlacedTell,
+} from '../../shared/contracts/indexer';
+import { Ports } from '../../shared/ports/ports';
+import { Bounds } from '../../shared/settings/time-limits';
+import { Member } from '../../shared/state/words';
 import { Loads } from './loads';
 
 /** What a router says to indexers. */
--- a/src/data/gateway/loads.ts
+++ b/src/data/gateway/loads.ts
@@ -1,4 +1,4 @@
-import { EngineLoad } from '../../shared/loads';
+import { EngineLoad } from '../../shared/contracts/indexer';
 
 /** One request in flight at an engine. */
 export interface Flight {
--- a/src/data/gateway/parts.ts
+++ b/src/data/gateway/parts.ts
@@ -1,7 +1,7 @@
-import { Dialect } from '../../shared/dialect';
-import { Ports } from '../../shared/ports';
-import { Settings } from '../../shared/settings';
-import { Engine } from '../../shared/words';
+import { Dialect } from '../../shared/platform-adapter/platform-adapter';
+import { Ports } from '../../shared/ports/ports';
+import { Settings } from '../../shared/settings/settings';
+import { Engine } from '../../shared/state/words';
 import { RetryBudget } from './budget';
 import { Chooser } from './choose';
 import { Drain } from './drain';
--- a/src/data/gateway/placement-types.ts
+++ b/src/data/gateway/placement-types.ts
@@ -1,6 +1,6 @@
 import { Either } from 'purify-ts';
 import { Part } from '../../shared/contracts/engine';
-import { OverlapAnswer } from '../../shared/loads';
+import { OverlapAnswer } from '../../shared/contracts/indexer';
 import { Links } from './links';
 import { Loads } from './loads';
 import { Paces } from './pace';
--- a/src/data/gateway/placement.ts
+++ b/src/data/gateway/placement.ts
@@ -1,6 +1,6 @@
 import { Either, Left, Right } from 'purify-ts';
 import { Part } from '../../shared/contracts/engine';
-import { OverlapAnswer } from '../../shared/loads';
+import { OverlapAnswer } from '../../shared/contracts/indexer';
 import { Homes, makeHomes } from './homes';
 import { makeLinks, Side } from './links';
 import { Flight, makeLoads } from './loads';
--- a/src/data/gateway/pools.ts
+++ b/src/data/gateway/pools.ts
@@ -1,8 +1,8 @@
 import { Left, Right } from 'purify-ts';
-import { makeFault, open, Outcome } from '../../shared/errors';
-import { Clock, HttpConnection, HttpWire } from '../../shared/ports';
-import { Settings } from '../../shared/settings';
-import { Engine } from '../../shared/words';
+import { makeFault, open, Outcome } from '../../shared/errors/errors';
+import { Clock, HttpConnection, HttpWire } from '../../shared/ports/ports';
+import { Settings } from '../../shared/settings/settings';
+import { Engine } from '../../shared/state/words';
 
 /** The share of an engine's connections that routers take together. */
 const SHARE = 0.8;
--- a/src/data/gateway/request.ts
+++ b/src/data/gateway/request.ts
@@ -1,6 +1,6 @@
-import { open } from '../../shared/errors';
-import { CallerRequest, HttpRoute, TenantAccess } from '../../shared/deployment';
-import { HttpConnection, RawCall } from '../../shared/ports';
+import { open } from '../../shared/errors/errors';
+import { CallerRequest, HttpRoute, TenantAccess } from '../../shared/state/deployment';
+import { HttpConnection, RawCall } from '../../shared/ports/ports';
 import { Chosen, Load, Refusal } from './choose';
 import { Attempted, forward, Taken, wantedOf } from './forward';
 import { CutOffCause, RequestInFlight } from './in-flight';
--- a/src/data/gateway/routes.ts
+++ b/src/data/gateway/routes.ts
@@ -5,7 +5,7 @@
   PartStore,
   Pool,
   TenantAccess,
-} from '../../shared/deployment';
+} from '../../shared/state/deployment';
 
 /** Routes by prefix, by host. */
 type RoutesByHost = ReadonlyMap<string, ReadonlyMap<string, HttpRoute>>;
--- a/src/data/gateway/weights.ts
+++ b/src/data/gateway/weights.ts
@@ -1,8 +1,8 @@
 import { Right } from 'purify-ts';
-import { field, Handled, message } from '../../shared/edge';
-import { Clock } from '../../shared/ports';
-import { compareWeights, lacks, NamedWeights } from '../../shared/weights';
-import { Engine } from '../../shared/words';
+import { field, Handled, message } from '../../shared/transport/handlers';
+import { Clock } from '../../shared/ports/ports';
+import { compareWeights, lacks, NamedWeights } from '../../shared/state/weights';
+import { Engine } from '../../shared/state/words';
 
 /** The weights that a fresh request is sent under: `now` are the named ones or newer, `old` ones may serve for some time yet; an engine that is `loading` turns requests away until it is done. */
 export interface Expected {
--- a/src/data/once.ts
+++ b/src/data/once.ts
@@ -1,5 +1,5 @@
-import { Follower } from '../shared/follow';
-import { Member, Voter } from '../shared/words';
+import { Follower } from '../shared/replication/follower';
+import { Member, Voter } from '../shared/state/words';
 
 interface VoteAnswer {
   disk: string;
--- a/src/data/parts.ts
+++ b/src/data/parts.ts
@@ -1,9 +1,9 @@
-import { Follower } from '../shared/follow';
-import { Metrics } from '../shared/metrics';
-import { Ports } from '../shared/ports';
-import { Bounds } from '../shared/bounds';
-import { Settings } from '../shared/settings';
-import { Service } from '../shared/words';
+import { Follower } from '../shared/replication/follower';
+import { Metrics } from '../shared/observability/metrics';
+import { Ports } from '../shared/ports/ports';
+import { Bounds } from '../shared/settings/time-limits';
+import { Settings } from '../shared/settings/settings';
+import { Service } from '../shared/state/words';
 import { Engines, Seen } from './engines';
 import { Placer } from './place';
 
--- a/src/data/place.ts
+++ b/src/data/place.ts
@@ -1,11 +1,11 @@
 import { Part } from '../shared/contracts/engine';
-import { open } from '../shared/errors';
-import { Follower } from '../shared/follow';
-import { rendezvous } from '../shared/lib';
-import { Ports } from '../shared/ports';
-import { Bounds } from '../shared/bounds';
-import { Hello, holdAll } from '../shared/connections';
-import { atOf, CacheStore, IntentsValue, KEYS, Member } from '../shared/words';
+import { open } from '../shared/errors/errors';
+import { Follower } from '../shared/replication/follower';
+import { rendezvous } from '../shared/util/lib';
+import { Ports } from '../shared/ports/ports';
+import { Bounds } from '../shared/settings/time-limits';
+import { Hello, holdAll } from '../shared/transport/connections';
+import { atOf, CacheStore, IntentsValue, KEYS, Member } from '../shared/state/words';
 import { Engines, Seen } from './engines';
 
 /** How much a doubted token counts of a sure one. */
--- a/src/index/api.ts
+++ b/src/index/api.ts
@@ -1,6 +1,6 @@
-import { field, giveJson, handles, takeAs, takeCalls } from '../shared/edge';
-import { Outcome } from '../shared/errors';
-import { Call, Listening, Ports } from '../shared/ports';
+import { field, giveJson, handles, takeAs, takeCalls } from '../shared/transport/handlers';
+import { Outcome } from '../shared/errors/errors';
+import { Call, Listening, Ports } from '../shared/ports/ports';
 import { Indexer } from './indexer';
 import { partsOf, QueryAsk } from './messages';
 
--- a/src/index/coming.ts
+++ b/src/index/coming.ts
@@ -1,4 +1,4 @@
-import { PlacedTell, WirePart } from '../shared/loads';
+import { PlacedTell, WirePart } from '../shared/contracts/indexer';
 
 interface Note {
   until: number;
--- a/src/index/dump.ts
+++ b/src/index/dump.ts
@@ -2,10 +2,10 @@
  * What an indexer that starts takes over from another replica.
  */
 
-import { Bounds } from '../shared/bounds';
-import { Exchange, Holds } from '../shared/connections';
-import { open } from '../shared/errors';
-import { Ports } from '../shared/ports';
+import { Bounds } from '../shared/settings/time-limits';
+import { Exchange, Holds } from '../shared/transport/connections';
+import { open } from '../shared/errors/errors';
+import { Ports } from '../shared/ports/ports';
 import { CompactDump } from './messages';
 
 /** How often it is looked whether a peer is connected, as a share of the usual pause. */
--- a/src/index/gaps.ts
+++ b/src/index/gaps.ts
@@ -2,11 +2,11 @@
  * Fills gaps in a source's numbered batches of events from what other replicas heard.
  */
 
-import { Bounds } from '../shared/bounds';
-import { Holds } from '../shared/connections';
+import { Bounds } from '../shared/settings/time-limits';
+import { Holds } from '../shared/transport/connections';
 import { EventBatch } from '../shared/contracts/engine';
-import { open } from '../shared/errors';
-import { Ports } from '../shared/ports';
+import { open } from '../shared/errors/errors';
+import { Ports } from '../shared/ports/ports';
 import { Heard } from './listener';
 import { Repair } from './repair';
 import { Trees } from './tree';
--- a/src/index/listener.ts
+++ b/src/index/listener.ts
@@ -1,9 +1,9 @@
 import { Stream as Feed } from 'most';
 import { EventBatch, EventsAnswer } from '../shared/contracts/engine';
-import { open } from '../shared/errors';
-import { makeFeed } from '../shared/lib';
-import { Ports } from '../shared/ports';
-import { Bounds } from '../shared/bounds';
+import { open } from '../shared/errors/errors';
+import { makeFeed } from '../shared/util/lib';
+import { Ports } from '../shared/ports/ports';
+import { Bounds } from '../shared/settings/time-limits';
 import { Registration, Sources } from './sources';
 
 /** Where a listener stands. */
--- a/src/index/loads.ts
+++ b/src/index/loads.ts
@@ -1,4 +1,4 @@
-import { EngineLoad, LoadsAnswer, LoadsTell } from '../shared/loads';
+import { EngineLoad, LoadsAnswer, LoadsTell } from '../shared/contracts/indexer';
 
 type Load = [running: number, unread: number, held: number];
 
--- a/src/index/messages.ts
+++ b/src/index/messages.ts
@@ -1,6 +1,6 @@
 import { Right } from 'purify-ts';
 import { Part, PartEvent, splitParts, tokenise } from '../shared/contracts/engine';
-import { field, Handled, message } from '../shared/edge';
+import { field, Handled, message } from '../shared/transport/handlers';
 import { BatchRing, Heard } from './listener';
 import { Overlap, Rows } from './tree';
 
--- a/src/index/overlap.ts
+++ b/src/index/overlap.ts
@@ -1,7 +1,7 @@
 import { Right } from 'purify-ts';
-import { Exchange } from '../shared/connections';
-import { Handled, message } from '../shared/edge';
-import { bad } from '../shared/errors';
+import { Exchange } from '../shared/transport/connections';
+import { Handled, message } from '../shared/transport/handlers';
+import { bad } from '../shared/errors/errors';
 import {
   LoadsShape,
   LoadsTell,
@@ -11,7 +11,7 @@
   PlacedShape,
   PlacedTell,
   WirePart,
-} from '../shared/loads';
+} from '../shared/contracts/indexer';
 import { Coming } from './coming';
 import { Loads } from './loads';
 import { Trees } from './tree';
--- a/src/index/repair.ts
+++ b/src/index/repair.ts
@@ -1,10 +1,10 @@
 import { Right } from 'purify-ts';
-import { bad, open } from '../shared/errors';
-import { field, Handled, message } from '../shared/edge';
-import { rendezvous } from '../shared/lib';
-import { Holds } from '../shared/connections';
-import { Ports } from '../shared/ports';
-import { Bounds } from '../shared/bounds';
+import { bad, open } from '../shared/errors/errors';
+import { field, Handled, message } from '../shared/transport/handlers';
+import { rendezvous } from '../shared/util/lib';
+import { Holds } from '../shared/transport/connections';
+import { Ports } from '../shared/ports/ports';
+import { Bounds } from '../shared/settings/time-limits';
 import { Heard } from './listener';
 import { Registration, Sources } from './sources';
 import { Rows, Trees } from './tree';
--- a/src/index/sources.ts
+++ b/src/index/sources.ts
@@ -1,14 +1,14 @@
 import { Left, Right } from 'purify-ts';
 import { EventsAnswer, PartEvent, pullEvents } from '../shared/contracts/engine';
 import { pullStoreEvents } from '../shared/contracts/store';
-import { DeploymentValue } from '../shared/deployment';
-import { Dialect, KeptEvent } from '../shared/dialect';
-import { bad, makeFault, open, Outcome } from '../shared/errors';
-import { Follower } from '../shared/follow';
-import { askWorded } from '../shared/worded';
-import { Ports } from '../shared/ports';
-import { Bounds } from '../shared/bounds';
-import { CacheStore, Engine, IntentsValue, KEYS } from '../shared/words';
+import { DeploymentValue } from '../shared/state/deployment';
+import { Dialect, KeptEvent } from '../shared/platform-adapter/platform-adapter';
+import { bad, makeFault, open, Outcome } from '../shared/errors/errors';
+import { Follower } from '../shared/replication/follower';
+import { askWorded } from '../shared/platform-adapter/adapter-request';
+import { Ports } from '../shared/ports/ports';
+import { Bounds } from '../shared/settings/time-limits';
+import { CacheStore, Engine, IntentsValue, KEYS } from '../shared/state/words';
 
 /** A registration derived from the platform's list or from a declared store. */
 export interface Registration {
--- a/src/index/tree.ts
+++ b/src/index/tree.ts
@@ -1,5 +1,5 @@
 import { Part, PartEvent } from '../shared/contracts/engine';
-import { WirePart } from '../shared/loads';
+import { WirePart } from '../shared/contracts/indexer';
 import { Holding, makePartStore, PartNode, PartTree } from './parts';
 
 /** What one source holds of a prompt. */
--- a/src/programs/common.ts
+++ b/src/programs/common.ts
@@ -1,15 +1,15 @@
 import { readFileSync } from 'node:fs';
 import { Either, Left } from 'purify-ts';
 import { platform } from '../../platform/dialect';
-import { Dialect } from '../shared/dialect';
-import { Fault, open, sayFault } from '../shared/errors';
-import { guard } from '../shared/lib';
-import { Ports } from '../shared/ports';
-import { realClock, realDice, realDisk, realLog } from '../shared/real';
-import { realHttp } from '../shared/realhttp';
-import { realWire } from '../shared/realwire';
-import { Settings } from '../shared/settings';
-import { boundsOf } from '../shared/bounds';
+import { Dialect } from '../shared/platform-adapter/platform-adapter';
+import { Fault, open, sayFault } from '../shared/errors/errors';
+import { guard } from '../shared/util/lib';
+import { Ports } from '../shared/ports/ports';
+import { realClock, realDice, realDisk, realLog } from '../shared/system/system-ports';
+import { realHttp } from '../shared/system/raw-http';
+import { realWire } from '../shared/system/tcp-network';
+import { Settings } from '../shared/settings/settings';
+import { boundsOf } from '../shared/settings/time-limits';
 import { Running } from './running';
 import { makeShutdown } from './shutdown';
 
--- a/src/programs/controller.ts
+++ b/src/programs/controller.ts
@@ -1,14 +1,14 @@
 #!/usr/bin/env node
 import { Left, Right } from 'purify-ts';
 import { startController } from '../control/controller';
-import { serveOperators } from '../control/api';
-import { serveDeployment } from '../control/deployment-api';
-import { startDuties } from '../control/duties';
-import { countCalls, endService } from '../control/shutdown';
-import { Dialect } from '../shared/dialect';
-import { Fault, open, Outcome } from '../shared/errors';
-import { Ports } from '../shared/ports';
-import { Settings } from '../shared/settings';
+import { serveOperators } from '../control/api/operator-api';
+import { serveDeployment } from '../control/api/deployment-api';
+import { startDuties } from '../control/singletons/background-tasks';
+import { countCalls, endService } from '../control/api/call-draining';
+import { Dialect } from '../shared/platform-adapter/platform-adapter';
+import { Fault, open, Outcome } from '../shared/errors/errors';
+import { Ports } from '../shared/ports/ports';
+import { Settings } from '../shared/settings/settings';
 import { runDaemon } from './common';
 import { Running } from './running';
 
--- a/src/programs/flags.ts
+++ b/src/programs/flags.ts
@@ -1,6 +1,6 @@
 import { Command } from 'commander';
 import { Either } from 'purify-ts';
-import { readSettings, Settings, settingsFields } from '../shared/settings';
+import { readSettings, Settings, settingsFields } from '../shared/settings/settings';
 
 function flagOf(name: string): string {
   return '--' + name.replace(/[A-Z]/g, lower);
--- a/src/programs/history-command.ts
+++ b/src/programs/history-command.ts
@@ -1,10 +1,10 @@
 /** The command `plumhollow history check`. */
 import { readFileSync } from 'node:fs';
 import { Command } from 'commander';
-import { open, sayFault } from '../shared/errors';
+import { open, sayFault } from '../shared/errors/errors';
 import { HistoryCall, LineFault, parseHistory } from '../shared/history/calls';
 import { checkHistory, sayVerdict } from '../shared/history/verdict';
-import { guard } from '../shared/lib';
+import { guard } from '../shared/util/lib';
 
 const FINE = 0;
 const FINDINGS = 1;
--- a/src/programs/indexer.ts
+++ b/src/programs/indexer.ts
@@ -2,10 +2,10 @@
 import { Left, Right } from 'purify-ts';
 import { serveIndex } from '../index/api';
 import { startIndexer } from '../index/indexer';
-import { Dialect } from '../shared/dialect';
-import { Fault, open, Outcome } from '../shared/errors';
-import { Ports } from '../shared/ports';
-import { Settings } from '../shared/settings';
+import { Dialect } from '../shared/platform-adapter/platform-adapter';
+import { Fault, open, Outcome } from '../shared/errors/errors';
+import { Ports } from '../shared/ports/ports';
+import { Settings } from '../shared/settings/settings';
 import { runDaemon } from './common';
 import { Running } from './running';
 
--- a/src/programs/plumhollow.ts
+++ b/src/programs/plumhollow.ts
@@ -1,14 +1,14 @@
 #!/usr/bin/env node
 import { readFileSync } from 'node:fs';
 import { Command } from 'commander';
-import { checkIntents, IntentFault } from '../control/intents';
-import { compareFleet, Finding } from '../control/check';
-import { Fault, open, Outcome, sayFault } from '../shared/errors';
-import { askJson, guard, parseJson } from '../shared/lib';
-import { Wire } from '../shared/ports';
-import { realWire } from '../shared/realwire';
-import { Intents } from '../shared/words';
-import { VoterStatus, VotersStatus } from '../control/voter-status';
+import { checkIntents, IntentFault } from '../control/configuration/intents-validation';
+import { compareFleet, Finding } from '../control/configuration/intents-consistency';
+import { Fault, open, Outcome, sayFault } from '../shared/errors/errors';
+import { askJson, guard, parseJson } from '../shared/util/lib';
+import { Wire } from '../shared/ports/ports';
+import { realWire } from '../shared/system/tcp-network';
+import { Intents } from '../shared/state/words';
+import { VoterStatus, VotersStatus } from '../control/membership/voter-status';
 import { VERSION } from './common';
 import { addHistoryCommands } from './history-command';
 
--- a/src/programs/router.ts
+++ b/src/programs/router.ts
@@ -1,10 +1,10 @@
 #!/usr/bin/env node
 import { Left, Right } from 'purify-ts';
 import { startDialectRouter, startRouter } from '../data/router';
-import { Dialect } from '../shared/dialect';
-import { Fault, open, Outcome } from '../shared/errors';
-import { Ports } from '../shared/ports';
-import { Settings } from '../shared/settings';
+import { Dialect } from '../shared/platform-adapter/platform-adapter';
+import { Fault, open, Outcome } from '../shared/errors/errors';
+import { Ports } from '../shared/ports/ports';
+import { Settings } from '../shared/settings/settings';
 import { runDaemon } from './common';
 import { Running } from './running';
 
--- a/src/shared/timeout.ts
+++ b/src/shared/concurrency/timeout.ts
@@ -1,5 +1,5 @@
-import { bad, Outcome } from './errors';
-import { Clock } from './ports';
+import { bad, Outcome } from '../errors/errors';
+import { Clock } from '../ports/ports';
 
 /** Waits for a result, but not past a time; what comes later is dropped, and its fate is told as unknown. */
 export function withTimeout<T>(
--- a/src/shared/waker.ts
+++ b/src/shared/concurrency/waker.ts
@@ -1,4 +1,4 @@
-import { Clock } from './ports';
+import { Clock } from '../ports/ports';
 
 /** Waits that end at their time, or sooner where something has come up meanwhile. */
 export interface Waker {
--- a/src/shared/contracts/engine.ts
+++ b/src/shared/contracts/engine.ts
@@ -1,7 +1,7 @@
 import { Left, Right } from 'purify-ts';
-import { bad, makeFault, open, Outcome } from '../errors';
-import { askJson, finishReply, lineReader, parseJson, shortHash } from '../lib';
-import { Ports, Wire } from '../ports';
+import { bad, makeFault, open, Outcome } from '../errors/errors';
+import { askJson, finishReply, lineReader, parseJson, shortHash } from '../util/lib';
+import { Ports, Wire } from '../ports/ports';
 
 /** A part of a prompt: its hash takes in all before it. */
 export interface Part {
--- a/src/shared/contracts/platform.ts
+++ b/src/shared/contracts/platform.ts
@@ -1,8 +1,8 @@
 import { Left, Right } from 'purify-ts';
-import { bad, open, Outcome } from '../errors';
-import { askJson } from '../lib';
-import { Wire } from '../ports';
-import { Engine } from '../words';
+import { bad, open, Outcome } from '../errors/errors';
+import { askJson } from '../util/lib';
+import { Wire } from '../ports/ports';
+import { Engine } from '../state/words';
 
 /** Asks the platform for its list of engines. */
 export async function listEngines(
--- a/src/shared/contracts/store.ts
+++ b/src/shared/contracts/store.ts
@@ -1,5 +1,5 @@
-import { Outcome } from '../errors';
-import { Wire } from '../ports';
+import { Outcome } from '../errors/errors';
+import { Wire } from '../ports/ports';
 import { EventsAnswer, pullEvents } from './engine';
 
 /** Pulls the store's events: the store tells of its parts as engines do. */
--- a/src/shared/metrics.ts
+++ b/src/shared/observability/metrics.ts
@@ -1,5 +1,5 @@
 import type { Histogram, Registry } from 'prom-client';
-import { Clock, Disk } from './ports';
+import { Clock, Disk } from '../ports/ports';
 
 /** Figures of one process in the text form that collectors read. */
 export interface Metrics {
--- a/src/shared/worded.ts
+++ b/src/shared/platform-adapter/adapter-request.ts
@@ -1,8 +1,8 @@
 import { Left, Right } from 'purify-ts';
-import { Worded } from './dialect';
-import { open, Outcome } from './errors';
-import { parseJson } from './lib';
-import { Wire } from './ports';
+import { Worded } from './platform-adapter';
+import { open, Outcome } from '../errors/errors';
+import { parseJson } from '../util/lib';
+import { Wire } from '../ports/ports';
 
 /** What was answered to what a dialect worded; a body that is no JSON is none. */
 export interface Answered {
--- a/src/shared/dialect.ts
+++ b/src/shared/platform-adapter/platform-adapter.ts
@@ -1,8 +1,8 @@
 import { Either } from 'purify-ts';
-import { CallerRequest, Deployment, NamedChange } from './deployment';
-import { HeaderList } from './ports';
-import { Settings } from './settings';
-import { Engine } from './words';
+import { CallerRequest, Deployment, NamedChange } from '../state/deployment';
+import { HeaderList } from '../ports/ports';
+import { Settings } from '../settings/settings';
+import { Engine } from '../state/words';
 
 /** A header list as it stands on the wire: name, value, name, value. */
 export type RawHeaders = HeaderList;
--- a/src/shared/ports.ts
+++ b/src/shared/ports/ports.ts
@@ -1,5 +1,5 @@
 import { Stream as Feed } from 'most';
-import { Outcome } from './errors';
+import { Outcome } from '../errors/errors';
 
 /** Monotonic time; wall time for logs only. */
 export interface Clock {
--- a/src/shared/catch-up.ts
+++ b/src/shared/replication/catch-up.ts
@@ -6,10 +6,10 @@
   InlineChange,
   isReached,
 } from './change-message';
-import { Exchange } from './connections';
-import { open } from './errors';
-import { makePieceFetcher } from './pieces';
-import { Numbered } from './words';
+import { Exchange } from '../transport/connections';
+import { open } from '../errors/errors';
+import { makePieceFetcher } from './chunk-fetcher';
+import { Numbered } from '../state/words';
 
 /** What fetching missed changes needs of its node. */
 export interface CatchUpParts {
--- a/src/shared/change-message.ts
+++ b/src/shared/replication/change-message.ts
@@ -1,9 +1,9 @@
 import { pack } from 'msgpackr';
-import { compress, decompress, deflate } from './compression';
+import { compress, decompress, deflate } from '../transport/compression';
 import { Delta, placeOf, readDelta } from './delta';
 import { digestOf } from './digest';
-import { hashOfBytes } from './lib';
-import { comparePlaces, Numbered, Place } from './words';
+import { hashOfBytes } from '../util/lib';
+import { comparePlaces, Numbered, Place } from '../state/words';
 
 /** A committed change on its way to a node that lacks it, in a form that is read at once. */
 export type InlineChange = WholeChange | CompressedChange | DeltaChange | CompressedDelta;
--- a/src/shared/pieces.ts
+++ b/src/shared/replication/chunk-fetcher.ts
@@ -7,11 +7,11 @@
  * the pieces that it was asked for; what has been fetched is kept for as long as the same bytes are offered.
  */
 import { ChangeOffer, fetchedMessage, InlineChange } from './change-message';
-import { Exchange } from './connections';
+import { Exchange } from '../transport/connections';
 import { placeOf } from './delta';
-import { field } from './edge';
-import { open } from './errors';
-import { Place } from './words';
+import { field } from '../transport/handlers';
+import { open } from '../errors/errors';
+import { Place } from '../state/words';
 
 /** Bytes of one piece: some 20 ms on a link of 7 Mbit/s. */
 export const PIECE_BYTES = 16384;
--- a/src/shared/delta.ts
+++ b/src/shared/replication/delta.ts
@@ -1,6 +1,6 @@
 import { isDeepStrictEqual } from 'node:util';
 import { digestOf } from './digest';
-import { comparePlaces, Numbered, Place } from './words';
+import { comparePlaces, Numbered, Place } from '../state/words';
 
 type PlainObject = Record<string, unknown>;
 
--- a/src/shared/follow-edge.ts
+++ b/src/shared/replication/follower-handlers.ts
@@ -10,9 +10,9 @@
   readChange,
   targetOf,
 } from './change-message';
-import { Exchange } from './connections';
-import { Handled, message } from './edge';
-import { Numbered, Voters } from './words';
+import { Exchange } from '../transport/connections';
+import { Handled, message } from '../transport/handlers';
+import { Numbered, Voters } from '../state/words';
 
 /** What the handlers of a follower work with. */
 export interface FollowEdgeParts {
--- a/src/shared/follow.ts
+++ b/src/shared/replication/follower.ts
@@ -2,16 +2,16 @@
 import { Left } from 'purify-ts';
 import { makeCatchUp } from './catch-up';
 import { AppliedEntry, ChangeOffer, InlineChange, isReached } from './change-message';
-import { Fault, open, Outcome } from './errors';
-import { applyMessages, FollowEdge } from './follow-edge';
-import { makeJournal } from './journal';
-import { makeFeed } from './lib';
+import { Fault, open, Outcome } from '../errors/errors';
+import { applyMessages, FollowEdge } from './follower-handlers';
+import { makeJournal } from './key-journal';
+import { makeFeed } from '../util/lib';
 import { LeaseAnswer, makeRenewals } from './lease-renewal';
-import { makeLeavingAdvice } from './leaving-advice';
+import { makeLeavingAdvice } from './draining-engines';
 import { makeMemberView } from './member-view';
-import { poll } from './poll';
-import { Ports } from './ports';
-import { Bounds } from './bounds';
+import { poll } from '../transport/quorum-poll';
+import { Ports } from '../ports/ports';
+import { Bounds } from '../settings/time-limits';
 import {
   askOnce,
   Exchange,
@@ -20,7 +20,7 @@
   holdAll,
   LONGEST_PAUSE,
   noConnection,
-} from './connections';
+} from '../transport/connections';
 import {
   allVoters,
   atOf,
@@ -33,7 +33,7 @@
   Place,
   Voter,
   Voters,
-} from './words';
+} from '../state/words';
 
 /** A node's view of the control state, kept up by news and leases. */
 export interface Follower {
--- a/src/shared/lease-renewal.ts
+++ b/src/shared/replication/lease-renewal.ts
@@ -3,14 +3,14 @@
  */
 import { AppliedEntry, appliedEntries } from './change-message';
 import { CatchUp } from './catch-up';
-import { Bounds } from './bounds';
-import { Exchange } from './connections';
-import { open } from './errors';
-import { Journal } from './journal';
+import { Bounds } from '../settings/time-limits';
+import { Exchange } from '../transport/connections';
+import { open } from '../errors/errors';
+import { Journal } from './key-journal';
 import { MembersTold } from './member-view';
-import { Ports } from './ports';
-import { makeWaker, Waker } from './waker';
-import { Member, Numbered, Voters } from './words';
+import { Ports } from '../ports/ports';
+import { makeWaker, Waker } from '../concurrency/waker';
+import { Member, Numbered, Voters } from '../state/words';
 
 /** A controller's answer to an ask for a lease. */
 export interface LeaseAnswer extends MembersTold {
--- a/src/shared/member-view.ts
+++ b/src/shared/replication/member-view.ts
@@ -1,4 +1,4 @@
-import { Member } from './words';
+import { Member } from '../state/words';
 
 /** What a controller's grant of a lease tells of the members: all of them, or who joined and left since. */
 export interface MembersTold {
--- a/src/shared/settings.ts
+++ b/src/shared/settings/settings.ts
@@ -1,8 +1,8 @@
 import convict from 'convict';
 import { Either, Left, Right } from 'purify-ts';
 import { readFileSync } from 'node:fs';
-import { address, addresses, ipOrNone, notNegative, positive, regions, share } from './formats';
-import { guard } from './lib';
+import { address, addresses, ipOrNone, notNegative, positive, regions, share } from './validators';
+import { guard } from '../util/lib';
 
 /** What a process is told at its start. */
 export interface Settings {
--- a/src/shared/deployment.ts
+++ b/src/shared/state/deployment.ts
@@ -1,4 +1,4 @@
-import { Part } from './contracts/engine';
+import { Part } from '../contracts/engine';
 
 /** How often a route's requests may run: any number of times, once a try, or once a try as a stream of events. */
 export type RouteKind = 'safe' | 'unsafe' | 'streaming';
--- a/src/shared/realask.ts
+++ b/src/shared/system/http-client.ts
@@ -1,7 +1,7 @@
 import http from 'node:http';
 import { Left, Right } from 'purify-ts';
-import { makeFault, Outcome } from './errors';
-import { Ask, Reply } from './ports';
+import { makeFault, Outcome } from '../errors/errors';
+import { Ask, Reply } from '../ports/ports';
 
 const SURE = new Set(['ECONNREFUSED', 'EHOSTUNREACH', 'ENETUNREACH', 'ECONNTIMEOUT']);
 const MOST_CONNECTIONS = 256;
--- a/src/shared/realio.ts
+++ b/src/shared/system/http-io.ts
@@ -4,7 +4,7 @@
 
 import http from 'node:http';
 import { Left, Right } from 'purify-ts';
-import { makeFault, Outcome } from './errors';
+import { makeFault, Outcome } from '../errors/errors';
 
 /** Parts an address into host and port. */
 export function splitAddress(at: string): { host: string; port: number } {
--- a/src/shared/realhttp-client.ts
+++ b/src/shared/system/raw-http-client.ts
@@ -1,9 +1,9 @@
 import http from 'node:http';
 import net from 'node:net';
 import { Left, Right } from 'purify-ts';
-import { makeFault, Outcome } from './errors';
-import { HttpConnection, RawAsk, RawReply } from './ports';
-import { ignore, splitAddress } from './realio';
+import { makeFault, Outcome } from '../errors/errors';
+import { HttpConnection, RawAsk, RawReply } from '../ports/ports';
+import { ignore, splitAddress } from './http-io';
 
 /** How long a connection may be without traffic before the kernel probes its peer. */
 const PROBE_AFTER_MS = 1000;
--- a/src/shared/realhttp-server.ts
+++ b/src/shared/system/raw-http-server.ts
@@ -2,10 +2,10 @@
 import net from 'node:net';
 import { setImmediate as nextTurn, setTimeout as sleep } from 'node:timers/promises';
 import { Left, Right } from 'purify-ts';
-import { makeFault, Outcome } from './errors';
-import { RawCall, RawListening, ServeLimits } from './ports';
-import { CallerConnections, watchCallers } from './realhttp-callers';
-import { ignore, readBody, splitAddress, writePiece } from './realio';
+import { makeFault, Outcome } from '../errors/errors';
+import { RawCall, RawListening, ServeLimits } from '../ports/ports';
+import { CallerConnections, watchCallers } from './raw-http-connections';
+import { ignore, readBody, splitAddress, writePiece } from './http-io';
 
 const MOST_HEADER_BYTES = 65536;
 const BACKLOG = 4096;
--- a/src/shared/realhttp.ts
+++ b/src/shared/system/raw-http.ts
@@ -1,8 +1,8 @@
-import { Outcome } from './errors';
-import { HttpConnection, HttpWire, RawCall, RawListening, ServeLimits } from './ports';
-import { splitAddress } from './realio';
-import { connect } from './realhttp-client';
-import { serve } from './realhttp-server';
+import { Outcome } from '../errors/errors';
+import { HttpConnection, HttpWire, RawCall, RawListening, ServeLimits } from '../ports/ports';
+import { splitAddress } from './http-io';
+import { connect } from './raw-http-client';
+import { serve } from './raw-http-server';
 
 /** The machine's raw HTTP, by Node's own. */
 export function realHttp(bind = ''): HttpWire {
--- a/src/shared/real.ts
+++ b/src/shared/system/system-ports.ts
@@ -5,9 +5,9 @@
 import { performance } from 'node:perf_hooks';
 import { Left, Right } from 'purify-ts';
 import bunyan from 'bunyan';
-import { withSuspension } from './clock';
-import { makeFault, Outcome } from './errors';
-import { Clock, Dice, Disk, Log } from './ports';
+import { withSuspension } from './suspension-clock';
+import { makeFault, Outcome } from '../errors/errors';
+import { Clock, Dice, Disk, Log } from '../ports/ports';
 
 function sinceBoot(): number {
   return uptime() * 1000;
--- a/src/shared/realwire.ts
+++ b/src/shared/system/tcp-network.ts
@@ -2,11 +2,11 @@
 import net from 'node:net';
 import { PackrStream, UnpackrStream } from 'msgpackr';
 import { Left, Right } from 'purify-ts';
-import { makeFault, Outcome } from './errors';
-import { Call, Listening, Message, Connection, Wire } from './ports';
-import { askBy } from './realask';
-import { readBody, splitAddress, writePiece } from './realio';
-import { makeFeed } from './lib';
+import { makeFault, Outcome } from '../errors/errors';
+import { Call, Listening, Message, Connection, Wire } from '../ports/ports';
+import { askBy } from './http-client';
+import { readBody, splitAddress, writePiece } from './http-io';
+import { makeFeed } from '../util/lib';
 
 function listen(
   server: net.Server,
--- a/src/shared/packed.ts
+++ b/src/shared/transport/compressed-requests.ts
@@ -4,8 +4,8 @@
 import { pack } from 'msgpackr';
 import { decompress, deflate } from './compression';
 import { Exchange } from './connections';
-import { dispatch, field, Handled, message } from './edge';
-import { open, Outcome } from './errors';
+import { dispatch, field, Handled, message } from './handlers';
+import { open, Outcome } from '../errors/errors';
 
 /** An ask of more bytes than this is compressed. */
 const PACKED_ABOVE = 4096;
--- a/src/shared/compression.ts
+++ b/src/shared/transport/compression.ts
@@ -3,8 +3,8 @@
  */
 import { deflateRawSync, inflateRawSync } from 'node:zlib';
 import { pack, unpack } from 'msgpackr';
-import { Outcome } from './errors';
-import { guard } from './lib';
+import { Outcome } from '../errors/errors';
+import { guard } from '../util/lib';
 
 /** Speed before size: controllers have little processor time. */
 const COMPRESSION_LEVEL = 1;
--- a/src/shared/connections.ts
+++ b/src/shared/transport/connections.ts
@@ -1,7 +1,7 @@
 import { Left, Right } from 'purify-ts';
-import { bad, Fault, makeFault, open, Outcome } from './errors';
-import { dispatch, Handled, message } from './edge';
-import { Message, Ports, Connection } from './ports';
+import { bad, Fault, makeFault, open, Outcome } from '../errors/errors';
+import { dispatch, Handled, message } from './handlers';
+import { Message, Ports, Connection } from '../ports/ports';
 
 /** The version of our wire messages; a peer more than one off is refused. */
 export const WIRE_VERSION = 1;
--- a/src/shared/edge.ts
+++ b/src/shared/transport/handlers.ts
@@ -1,7 +1,7 @@
 import { Right } from 'purify-ts';
-import { bad, open, Outcome, sayFault } from './errors';
-import { Call, Log } from './ports';
-import { parseJson } from './lib';
+import { bad, open, Outcome, sayFault } from '../errors/errors';
+import { Call, Log } from '../ports/ports';
+import { parseJson } from '../util/lib';
 
 type Maker<T> = new () => T;
 type FieldSort = 'string' | 'number' | 'boolean' | 'object' | 'list' | 'any';
--- a/src/shared/hello.ts
+++ b/src/shared/transport/hello.ts
@@ -1,5 +1,5 @@
 import { Hello, WIRE_VERSION } from './connections';
-import { Settings } from './settings';
+import { Settings } from '../settings/settings';
 
 /** What a process of a role says first on a connection; a controller names its disk. */
 export function helloOf(settings: Settings, role: string, disk?: string): Hello {
--- a/src/shared/poll.ts
+++ b/src/shared/transport/quorum-poll.ts
@@ -1,6 +1,6 @@
 import { Left, Right } from 'purify-ts';
-import { makeFault, open, Outcome } from './errors';
-import { allVoters, isQuorum, Voter, Voters } from './words';
+import { makeFault, open, Outcome } from '../errors/errors';
+import { allVoters, isQuorum, Voter, Voters } from '../state/words';
 
 function sameDisk(r: { disk?: string } | undefined, v: Voter): boolean {
   return r?.disk === v.disk;
--- a/src/shared/lib.ts
+++ b/src/shared/util/lib.ts
@@ -1,8 +1,8 @@
 import { createHash } from 'node:crypto';
 import { Either, Left, Right } from 'purify-ts';
 import { Stream as Feed } from 'most';
-import { Fault, makeFault, Outcome } from './errors';
-import { Ask, Wire } from './ports';
+import { Fault, makeFault, Outcome } from '../errors/errors';
+import { Ask, Wire } from '../ports/ports';
 
 /** Parses JSON. */
 export function parseJson(text: string, step: string, peer: string): Outcome<unknown> {
--- a/test/approved.cjs
+++ b/test/approved.cjs
@@ -1,15 +1,19 @@
 const path = require('node:path');
 
-function resolveSnapshotPath(testPath, ext) {
-  return path.join(__dirname, 'approved', path.basename(testPath) + ext);
+const COMPILED = path.join(__dirname, '..', 'dist', 'test');
+const APPROVED = path.join(__dirname, 'approved');
+
+/** Snapshots stand under test/approved, in the folder that the test has under test. */
+function resolveSnapshotPath(testPath, extension) {
+  return path.join(APPROVED, path.relative(COMPILED, testPath) + extension);
 }
 
-function resolveTestPath(snapPath, ext) {
-  return path.join(__dirname, '..', 'dist', 'test', path.basename(snapPath, ext));
+function resolveTestPath(snapshotPath, extension) {
+  return path.join(COMPILED, path.relative(APPROVED, snapshotPath).slice(0, -extension.length));
 }
 
 module.exports = {
   resolveSnapshotPath,
   resolveTestPath,
-  testPathForConsistencyCheck: path.join(__dirname, '..', 'dist', 'test', 'some.test.js'),
+  testPathForConsistencyCheck: path.join(COMPILED, 'tools', 'some.test.js'),
 };
--- a/test/compatibility-stored.test.ts
+++ b/test/compatibility/stored.test.ts
@@ -6,24 +6,24 @@
 import { mkdtempSync, readdirSync, readFileSync, rmSync, statSync } from 'node:fs';
 import { tmpdir } from 'node:os';
 import { join } from 'node:path';
-import { Controller } from '../src/control/controller';
-import { Outcome } from '../src/shared/errors';
-import { KEYS, Voters } from '../src/shared/words';
-import { damagedForms } from '../tools/compatibility/disk-damage';
-import { cellsOf, DiskFiles, stateOf } from '../tools/compatibility/disk-state';
-import { DamagedState, ExpectedDisk, expectedOf } from '../tools/compatibility/expected-disks';
+import { Controller } from '../../src/control/controller';
+import { Outcome } from '../../src/shared/errors/errors';
+import { KEYS, Voters } from '../../src/shared/state/words';
+import { damagedForms } from '../../tools/compatibility/disk-damage';
+import { cellsOf, DiskFiles, stateOf } from '../../tools/compatibility/disk-state';
+import { DamagedState, ExpectedDisk, expectedOf } from '../../tools/compatibility/expected-disks';
 import {
   fixturePath,
   HISTORIES,
   loadDisk,
   loadDump,
   loadExpected,
-} from '../tools/compatibility/fixtures';
-import { servedBy, startOn } from '../tools/compatibility/served';
-import { readDump } from '../tools/compatibility/stored-dump';
-import { judgeHistory } from '../tools/compatibility/stored-history';
-import { SimFleet } from '../tools/sim/simfleet';
-import { writeOn } from '../tools/compatibility/write-on';
+} from '../../tools/compatibility/fixtures';
+import { servedBy, startOn } from '../../tools/compatibility/served';
+import { readDump } from '../../tools/compatibility/stored-dump';
+import { judgeHistory } from '../../tools/compatibility/stored-history';
+import { SimFleet } from '../../tools/sim/simfleet';
+import { writeOn } from '../../tools/compatibility/write-on';
 
 const expected = loadExpected();
 const DISKS = Object.keys(expected.disks);
@@ -172,7 +172,7 @@
 function isRecordedTheSame(): void {
   const folder = mkdtempSync(join(tmpdir(), 'stored-'));
   try {
-    const recorder = join(__dirname, '../tools/compatibility/record-stored.js');
+    const recorder = join(__dirname, '../../tools/compatibility/record-stored.js');
     const run = spawnSync(process.execPath, [recorder, folder], { encoding: 'utf8' });
     expect({ status: run.status, stderr: run.stderr }).toEqual({ status: 0, stderr: '' });
     expect(filesBelow(folder)).toEqual(filesBelow(fixturePath()));
--- a/test/cut-off.test.ts
+++ b/test/control/cut-off.test.ts
@@ -1,8 +1,8 @@
-import { Controller } from '../src/control/controller';
-import { Settings } from '../src/shared/settings';
-import { Call } from '../src/shared/ports';
-import { KEYS } from '../src/shared/words';
-import { Proc } from '../tools/sim/simworld';
+import { Controller } from '../../src/control/controller';
+import { Settings } from '../../src/shared/settings/settings';
+import { Call } from '../../src/shared/ports/ports';
+import { KEYS } from '../../src/shared/state/words';
+import { Proc } from '../../tools/sim/simworld';
 import { CoreRig, documentOf, Heard, makeCore, PATHS } from './deploymentrig';
 
 const PLATFORM = '10.9.0.2';
--- a/test/deployment-histories.test.ts
+++ b/test/control/deployment-histories.test.ts
@@ -1,8 +1,8 @@
-import { makeOrder } from '../src/control/deployment';
-import { DeploymentValue, StoredOrder } from '../src/shared/deployment';
-import { Clock, Dice } from '../src/shared/ports';
-import { seededDice } from '../tools/sim/dice';
-import { Proc } from '../tools/sim/simworld';
+import { makeOrder } from '../../src/control/configuration/deployment-change';
+import { DeploymentValue, StoredOrder } from '../../src/shared/state/deployment';
+import { Clock, Dice } from '../../src/shared/ports/ports';
+import { seededDice } from '../../tools/sim/dice';
+import { Proc } from '../../tools/sim/simworld';
 import { begin, CoreRig, documentOf, isolate, PATHS } from './deploymentrig';
 
 const SEEDS = 12;
--- a/test/deployment-memory.test.ts
+++ b/test/control/deployment-memory.test.ts
@@ -1,10 +1,14 @@
 import { Packr } from 'msgpackr';
-import { DeploymentOperation, makeDeployment, makeOrder } from '../src/control/deployment';
-import { REMEMBERED_ORDERS } from '../src/control/taken-orders';
-import { DeploymentValue } from '../src/shared/deployment';
-import { Fault } from '../src/shared/errors';
-import { Numbered } from '../src/shared/words';
-import { platform } from '../platform/dialect';
+import {
+  DeploymentOperation,
+  makeDeployment,
+  makeOrder,
+} from '../../src/control/configuration/deployment-change';
+import { REMEMBERED_ORDERS } from '../../src/control/configuration/accepted-changes';
+import { DeploymentValue } from '../../src/shared/state/deployment';
+import { Fault } from '../../src/shared/errors/errors';
+import { Numbered } from '../../src/shared/state/words';
+import { platform } from '../../platform/dialect';
 import { documentOf } from './deploymentrig';
 
 /** How many orders releases before this one kept. */
--- a/test/deployment-reading.test.ts
+++ b/test/control/deployment-reading.test.ts
@@ -1,6 +1,6 @@
-import { platform } from '../platform/dialect';
-import { makeRouteTable, RouteTable } from '../src/data/gateway/routes';
-import { Deployment } from '../src/shared/deployment';
+import { platform } from '../../platform/dialect';
+import { makeRouteTable, RouteTable } from '../../src/data/gateway/routes';
+import { Deployment } from '../../src/shared/state/deployment';
 
 type Item = Record<string, unknown>;
 
--- a/test/deployment-refusals.test.ts
+++ b/test/control/deployment-refusals.test.ts
@@ -1,4 +1,4 @@
-import { seededDice } from '../tools/sim/dice';
+import { seededDice } from '../../tools/sim/dice';
 import {
   begin,
   described,
--- a/test/deployment.test.ts
+++ b/test/control/deployment.test.ts
@@ -1,6 +1,6 @@
-import { applyNamed, makeDeployment } from '../src/control/deployment';
-import { DeploymentValue } from '../src/shared/deployment';
-import { platform } from '../platform/dialect';
+import { applyNamed, makeDeployment } from '../../src/control/configuration/deployment-change';
+import { DeploymentValue } from '../../src/shared/state/deployment';
+import { platform } from '../../platform/dialect';
 import { CoreRig, documentOf, Heard, makeCore, PATHS } from './deploymentrig';
 
 function codeOf(base: number, doc: unknown, stands?: DeploymentValue): string {
--- a/test/deploymentrig.ts
+++ b/test/control/deploymentrig.ts
@@ -1,12 +1,12 @@
-import { Controller, startController } from '../src/control/controller';
-import { serveDeployment } from '../src/control/deployment-api';
-import { startDuties } from '../src/control/duties';
-import { open } from '../src/shared/errors';
-import { askJson } from '../src/shared/lib';
-import { defaultSettings, Settings } from '../src/shared/settings';
-import { platform } from '../platform/dialect';
-import { makeNet, SimNet } from '../tools/sim/simwire';
-import { makeWorld, Proc, World } from '../tools/sim/simworld';
+import { Controller, startController } from '../../src/control/controller';
+import { serveDeployment } from '../../src/control/api/deployment-api';
+import { startDuties } from '../../src/control/singletons/background-tasks';
+import { open } from '../../src/shared/errors/errors';
+import { askJson } from '../../src/shared/util/lib';
+import { defaultSettings, Settings } from '../../src/shared/settings/settings';
+import { platform } from '../../platform/dialect';
+import { makeNet, SimNet } from '../../tools/sim/simwire';
+import { makeWorld, Proc, World } from '../../tools/sim/simworld';
 
 /** What an operator hears. */
 export interface Heard {
--- a/test/disk-killed.test.ts
+++ b/test/control/disk-killed.test.ts
@@ -3,11 +3,11 @@
  * read was never synced, and is gone then.
  */
 
-import { openSlots, Slots } from '../src/control/slots';
-import { KeptVotes, readVotes, Votes } from '../src/control/votes';
-import { open } from '../src/shared/errors';
-import { Ports } from '../src/shared/ports';
-import { Folder, makeFolder, Remainder } from '../tools/model/disk';
+import { openSlots, Slots } from '../../src/control/storage/control-store';
+import { KeptVotes, readVotes, Votes } from '../../src/control/storage/idempotency-votes';
+import { open } from '../../src/shared/errors/errors';
+import { Ports } from '../../src/shared/ports/ports';
+import { Folder, makeFolder, Remainder } from '../../tools/model/disk';
 import { acceptedLine, numberOf, portsOn } from './diskrig';
 
 const REMAINDERS: Remainder[] = ['lost', 'empty', 'torn', 'kept'];
--- a/test/disk-spoilt.test.ts
+++ b/test/control/disk-spoilt.test.ts
@@ -1,8 +1,8 @@
 import { crc32 } from 'node:zlib';
 import { pack } from 'msgpackr';
-import { openSlots } from '../src/control/slots';
-import { KeptVotes, readVotes, Votes } from '../src/control/votes';
-import { open } from '../src/shared/errors';
+import { openSlots } from '../../src/control/storage/control-store';
+import { KeptVotes, readVotes, Votes } from '../../src/control/storage/idempotency-votes';
+import { open } from '../../src/shared/errors/errors';
 import { acceptedLine, Files, numberOf, opened, portsOn, spoils } from './diskrig';
 
 async function everyCut(): Promise<void> {
--- a/test/disk-torn.test.ts
+++ b/test/control/disk-torn.test.ts
@@ -3,9 +3,9 @@
  */
 
 import * as fc from 'fast-check';
-import { openSlots, Slots } from '../src/control/slots';
-import { open, Outcome } from '../src/shared/errors';
-import { Ports } from '../src/shared/ports';
+import { openSlots, Slots } from '../../src/control/storage/control-store';
+import { open, Outcome } from '../../src/shared/errors/errors';
+import { Ports } from '../../src/shared/ports/ports';
 import { Files, numberOf, portsOn } from './diskrig';
 
 /** What becomes of one part of a write that was not synced. */
--- a/test/disk.test.ts
+++ b/test/control/disk.test.ts
@@ -1,10 +1,10 @@
 import { Right } from 'purify-ts';
-import { Acceptor } from '../src/control/acceptor';
-import { openSlots } from '../src/control/slots';
-import { KeptVotes, readVotes, Votes } from '../src/control/votes';
-import { dispatch } from '../src/shared/edge';
-import { bad, open, Outcome } from '../src/shared/errors';
-import { Ports } from '../src/shared/ports';
+import { Acceptor } from '../../src/control/consensus/acceptor';
+import { openSlots } from '../../src/control/storage/control-store';
+import { KeptVotes, readVotes, Votes } from '../../src/control/storage/idempotency-votes';
+import { dispatch } from '../../src/shared/transport/handlers';
+import { bad, open, Outcome } from '../../src/shared/errors/errors';
+import { Ports } from '../../src/shared/ports/ports';
 import { Files, opened, portsOn, spoils, three, value } from './diskrig';
 
 async function inPlace(): Promise<void> {
--- a/test/diskrig.ts
+++ b/test/control/diskrig.ts
@@ -3,16 +3,16 @@
  */
 
 import { Right } from 'purify-ts';
-import { Acceptor, Reach } from '../src/control/acceptor';
-import { makeOwner } from '../src/control/register';
-import { openSlots, Slots } from '../src/control/slots';
-import { dispatch } from '../src/shared/edge';
-import { bad, open, Outcome } from '../src/shared/errors';
-import { Ports } from '../src/shared/ports';
-import { Voter, Voters } from '../src/shared/words';
-import { seededDice } from '../tools/sim/dice';
-import { makeNet } from '../tools/sim/simwire';
-import { makeWorld } from '../tools/sim/simworld';
+import { Acceptor, Reach } from '../../src/control/consensus/acceptor';
+import { makeOwner } from '../../src/control/consensus/key-owner';
+import { openSlots, Slots } from '../../src/control/storage/control-store';
+import { dispatch } from '../../src/shared/transport/handlers';
+import { bad, open, Outcome } from '../../src/shared/errors/errors';
+import { Ports } from '../../src/shared/ports/ports';
+import { Voter, Voters } from '../../src/shared/state/words';
+import { seededDice } from '../../tools/sim/dice';
+import { makeNet } from '../../tools/sim/simwire';
+import { makeWorld } from '../../tools/sim/simworld';
 
 /** The files of a disk, by name. */
 export type Files = Map<string, Uint8Array>;
--- a/test/follower-lag.test.ts
+++ b/test/control/follower-lag.test.ts
@@ -1,6 +1,6 @@
-import { lagRows, makeFollowerLag } from '../src/control/follower-lag';
-import { KEYS, Place } from '../src/shared/words';
-import { makeNewsRig } from '../tools/sim/news/rig';
+import { lagRows, makeFollowerLag } from '../../src/control/leases/follower-lag';
+import { KEYS, Place } from '../../src/shared/state/words';
+import { makeNewsRig } from '../../tools/sim/news/rig';
 
 function placeAt(number: number): Place {
   return { epoch: 1, by: 'core', number };
--- a/test/founding.test.ts
+++ b/test/control/founding.test.ts
@@ -1,5 +1,5 @@
-import { allVoters } from '../src/shared/words';
-import { askCore, makeSimFleet, SimFleet, simIntents } from '../tools/sim/simfleet';
+import { allVoters } from '../../src/shared/state/words';
+import { askCore, makeSimFleet, SimFleet, simIntents } from '../../tools/sim/simfleet';
 
 type Reply = { status: number; body: Record<string, unknown> };
 
--- a/test/full-disk.test.ts
+++ b/test/control/full-disk.test.ts
@@ -1,12 +1,12 @@
 import { isDeepStrictEqual } from 'node:util';
-import { Acceptor } from '../src/control/acceptor';
-import { openSlots, Slots } from '../src/control/slots';
-import { KeptVotes, readVotes, Votes } from '../src/control/votes';
-import { dispatch } from '../src/shared/edge';
-import { bad, open, Outcome } from '../src/shared/errors';
-import { Numbered, Voters } from '../src/shared/words';
-import { makeNet, SimNet } from '../tools/sim/simwire';
-import { makeWorld, Proc, World } from '../tools/sim/simworld';
+import { Acceptor } from '../../src/control/consensus/acceptor';
+import { openSlots, Slots } from '../../src/control/storage/control-store';
+import { KeptVotes, readVotes, Votes } from '../../src/control/storage/idempotency-votes';
+import { dispatch } from '../../src/shared/transport/handlers';
+import { bad, open, Outcome } from '../../src/shared/errors/errors';
+import { Numbered, Voters } from '../../src/shared/state/words';
+import { makeNet, SimNet } from '../../tools/sim/simwire';
+import { makeWorld, Proc, World } from '../../tools/sim/simworld';
 
 /** The log is short here, so that slots take turns often. */
 const MOST_LOG = 1200;
--- a/test/hand-over.test.ts
+++ b/test/control/hand-over.test.ts
@@ -1,12 +1,12 @@
 import { Right } from 'purify-ts';
-import { handOver } from '../src/control/hand-over';
-import { makeOrder } from '../src/control/deployment';
-import { boundsOf } from '../src/shared/bounds';
-import { Exchange } from '../src/shared/connections';
-import { bad, Outcome } from '../src/shared/errors';
-import { Clock } from '../src/shared/ports';
-import { defaultSettings } from '../src/shared/settings';
-import { drawnDocument } from '../tools/sim/news/rig';
+import { handOver } from '../../src/control/configuration/change-forwarding';
+import { makeOrder } from '../../src/control/configuration/deployment-change';
+import { boundsOf } from '../../src/shared/settings/time-limits';
+import { Exchange } from '../../src/shared/transport/connections';
+import { bad, Outcome } from '../../src/shared/errors/errors';
+import { Clock } from '../../src/shared/ports/ports';
+import { defaultSettings } from '../../src/shared/settings/settings';
+import { drawnDocument } from '../../tools/sim/news/rig';
 
 const OWNER = '10.1.0.2:7000';
 const BOUNDS = boundsOf(defaultSettings());
--- a/test/lease-costs.test.ts
+++ b/test/control/lease-costs.test.ts
@@ -1,16 +1,16 @@
 import { Right } from 'purify-ts';
-import { LeaseAsk, Leases } from '../src/control/leases';
-import { ControlEdge } from '../src/control/peers';
-import { Slots } from '../src/control/slots';
-import { ChangeMessage } from '../src/shared/change-message';
-import { Exchange } from '../src/shared/connections';
-import { open } from '../src/shared/errors';
-import { FollowEdge } from '../src/shared/follow-edge';
-import { makeJournal } from '../src/shared/journal';
-import { Ports } from '../src/shared/ports';
-import { boundsOf } from '../src/shared/bounds';
-import { defaultSettings } from '../src/shared/settings';
-import { Member, Numbered, Voters } from '../src/shared/words';
+import { LeaseAsk, Leases } from '../../src/control/leases/lease-registry';
+import { ControlEdge } from '../../src/control/peer-handlers';
+import { Slots } from '../../src/control/storage/control-store';
+import { ChangeMessage } from '../../src/shared/replication/change-message';
+import { Exchange } from '../../src/shared/transport/connections';
+import { open } from '../../src/shared/errors/errors';
+import { FollowEdge } from '../../src/shared/replication/follower-handlers';
+import { makeJournal } from '../../src/shared/replication/key-journal';
+import { Ports } from '../../src/shared/ports/ports';
+import { boundsOf } from '../../src/shared/settings/time-limits';
+import { defaultSettings } from '../../src/shared/settings/settings';
+import { Member, Numbered, Voters } from '../../src/shared/state/words';
 
 interface Answer {
   granted: boolean;
--- a/test/leases.test.ts
+++ b/test/control/leases.test.ts
@@ -1,12 +1,12 @@
-import { Leases } from '../src/control/leases';
-import { openSlots } from '../src/control/slots';
-import { open } from '../src/shared/errors';
-import { boundsOf } from '../src/shared/bounds';
-import { Exchange } from '../src/shared/connections';
-import { Numbered } from '../src/shared/words';
-import { makeSimFleet } from '../tools/sim/simfleet';
-import { makeNet } from '../tools/sim/simwire';
-import { makeWorld } from '../tools/sim/simworld';
+import { Leases } from '../../src/control/leases/lease-registry';
+import { openSlots } from '../../src/control/storage/control-store';
+import { open } from '../../src/shared/errors/errors';
+import { boundsOf } from '../../src/shared/settings/time-limits';
+import { Exchange } from '../../src/shared/transport/connections';
+import { Numbered } from '../../src/shared/state/words';
+import { makeSimFleet } from '../../tools/sim/simfleet';
+import { makeNet } from '../../tools/sim/simwire';
+import { makeWorld } from '../../tools/sim/simworld';
 
 interface Desk {
   leases: Leases;
--- a/test/leave-repair.test.ts
+++ b/test/control/leave-repair.test.ts
@@ -6,8 +6,8 @@
   terminate,
   terminated,
   until,
-} from '../tools/sim/simcore';
-import { SimFleet } from '../tools/sim/simfleet';
+} from '../../tools/sim/simcore';
+import { SimFleet } from '../../tools/sim/simfleet';
 import { all, applied, CORE, founded } from './rosterrig';
 
 const FIVE = [...CORE, 'core-4', 'core-5'];
--- a/test/leave.test.ts
+++ b/test/control/leave.test.ts
@@ -1,5 +1,5 @@
-import { Outcome } from '../src/shared/errors';
-import { askJson } from '../src/shared/lib';
+import { Outcome } from '../../src/shared/errors/errors';
+import { askJson } from '../../src/shared/util/lib';
 import {
   back,
   lose,
@@ -9,8 +9,8 @@
   terminated,
   until,
   votersOf,
-} from '../tools/sim/simcore';
-import { SimFleet } from '../tools/sim/simfleet';
+} from '../../tools/sim/simcore';
+import { SimFleet } from '../../tools/sim/simfleet';
 import { all, applied, CORE, founded, started } from './rosterrig';
 
 /** A rolling restart waits for a leaver no longer than this. */
--- a/test/leaving-engines.test.ts
+++ b/test/control/leaving-engines.test.ts
@@ -1,12 +1,12 @@
 import { Right } from 'purify-ts';
-import { Controller } from '../src/control/controller';
-import { watchPlatform } from '../src/control/duties';
-import { boundsOf } from '../src/shared/bounds';
-import { Ports } from '../src/shared/ports';
-import { defaultSettings } from '../src/shared/settings';
-import { Engine, KEYS } from '../src/shared/words';
-import { makeNewsRig, NEWS_BOUNDS, NewsRig } from '../tools/sim/news/rig';
-import { makeWorld } from '../tools/sim/simworld';
+import { Controller } from '../../src/control/controller';
+import { watchPlatform } from '../../src/control/singletons/background-tasks';
+import { boundsOf } from '../../src/shared/settings/time-limits';
+import { Ports } from '../../src/shared/ports/ports';
+import { defaultSettings } from '../../src/shared/settings/settings';
+import { Engine, KEYS } from '../../src/shared/state/words';
+import { makeNewsRig, NEWS_BOUNDS, NewsRig } from '../../tools/sim/news/rig';
+import { makeWorld } from '../../tools/sim/simworld';
 
 const ENGINE: Engine = {
   id: 'a',
--- a/test/log-differences.test.ts
+++ b/test/control/log-differences.test.ts
@@ -1,15 +1,15 @@
 import { Right } from 'purify-ts';
-import { Cell, openSlots, Slots } from '../src/control/slots';
-import { frame } from '../src/control/frames';
-import { Acceptor } from '../src/control/acceptor';
-import { makeOwner } from '../src/control/register';
-import { makeDelta } from '../src/shared/delta';
-import { dispatch } from '../src/shared/edge';
-import { open, Outcome } from '../src/shared/errors';
-import { Disk, Ports } from '../src/shared/ports';
-import { Numbered, Voter, Voters } from '../src/shared/words';
-import { makeNet } from '../tools/sim/simwire';
-import { makeWorld } from '../tools/sim/simworld';
+import { Cell, openSlots, Slots } from '../../src/control/storage/control-store';
+import { frame } from '../../src/control/storage/frames';
+import { Acceptor } from '../../src/control/consensus/acceptor';
+import { makeOwner } from '../../src/control/consensus/key-owner';
+import { makeDelta } from '../../src/shared/replication/delta';
+import { dispatch } from '../../src/shared/transport/handlers';
+import { open, Outcome } from '../../src/shared/errors/errors';
+import { Disk, Ports } from '../../src/shared/ports/ports';
+import { Numbered, Voter, Voters } from '../../src/shared/state/words';
+import { makeNet } from '../../tools/sim/simwire';
+import { makeWorld } from '../../tools/sim/simworld';
 
 const MOST_LOG = 1 << 20;
 
--- a/test/news-sender.test.ts
+++ b/test/control/news-sender.test.ts
@@ -1,11 +1,11 @@
 import { Left, Right } from 'purify-ts';
-import { makeNewsSender, NewsSender } from '../src/control/news-sender';
-import { makeVersionHistory } from '../src/control/version-history';
-import { AppliedEntry, ChangeMessage, targetOf } from '../src/shared/change-message';
-import { Exchange } from '../src/shared/connections';
-import { makeFault, Outcome } from '../src/shared/errors';
-import { Log } from '../src/shared/ports';
-import { Numbered, Place } from '../src/shared/words';
+import { makeNewsSender, NewsSender } from '../../src/control/leases/change-sender';
+import { makeVersionHistory } from '../../src/control/leases/version-history';
+import { AppliedEntry, ChangeMessage, targetOf } from '../../src/shared/replication/change-message';
+import { Exchange } from '../../src/shared/transport/connections';
+import { makeFault, Outcome } from '../../src/shared/errors/errors';
+import { Log } from '../../src/shared/ports/ports';
+import { Numbered, Place } from '../../src/shared/state/words';
 
 /** One follower whose answers are given by hand. */
 interface Follower {
--- a/test/orders-resent.test.ts
+++ b/test/control/orders-resent.test.ts
@@ -1,6 +1,6 @@
-import { KEYS } from '../src/shared/words';
-import { defaultSettings } from '../src/shared/settings';
-import { seededDice } from '../tools/sim/dice';
+import { KEYS } from '../../src/shared/state/words';
+import { defaultSettings } from '../../src/shared/settings/settings';
+import { seededDice } from '../../tools/sim/dice';
 import { begin, CoreRig, documentOf, Heard, PATHS, statusOf } from './deploymentrig';
 
 /** The highest epoch that any disk has promised for the deployment. */
--- a/test/orders.test.ts
+++ b/test/control/orders.test.ts
@@ -1,5 +1,5 @@
-import { platform } from '../platform/dialect';
-import { OrderAnswer } from '../src/shared/dialect';
+import { platform } from '../../platform/dialect';
+import { OrderAnswer } from '../../src/shared/platform-adapter/platform-adapter';
 
 const { order, report } = platform.engines;
 
--- a/test/reads.test.ts
+++ b/test/control/reads.test.ts
@@ -1,14 +1,14 @@
 import { Right } from 'purify-ts';
-import { ReadEdge, ReadParts, readNewest } from '../src/control/read';
-import { Acceptor, Reach } from '../src/control/acceptor';
-import { makeOwner, Owner } from '../src/control/register';
-import { openSlots, Slots } from '../src/control/slots';
-import { dispatch } from '../src/shared/edge';
-import { bad, open, Outcome } from '../src/shared/errors';
-import { Ports } from '../src/shared/ports';
-import { KEYS, Numbered, Voter, Voters } from '../src/shared/words';
-import { makeNet } from '../tools/sim/simwire';
-import { makeWorld, Proc, World } from '../tools/sim/simworld';
+import { ReadEdge, ReadParts, readNewest } from '../../src/control/consensus/linearizable-read';
+import { Acceptor, Reach } from '../../src/control/consensus/acceptor';
+import { makeOwner, Owner } from '../../src/control/consensus/key-owner';
+import { openSlots, Slots } from '../../src/control/storage/control-store';
+import { dispatch } from '../../src/shared/transport/handlers';
+import { bad, open, Outcome } from '../../src/shared/errors/errors';
+import { Ports } from '../../src/shared/ports/ports';
+import { KEYS, Numbered, Voter, Voters } from '../../src/shared/state/words';
+import { makeNet } from '../../tools/sim/simwire';
+import { makeWorld, Proc, World } from '../../tools/sim/simworld';
 
 const KEY = 'k';
 
--- a/test/recommitted.test.ts
+++ b/test/control/recommitted.test.ts
@@ -2,11 +2,16 @@
  * A value that a later owner commits anew, unchanged: it is no news, and it bars no follower from its lease.
  */
 
-import { makeVersionHistory } from '../src/control/version-history';
-import { InlineChange, isCurrent, isReached, readChange } from '../src/shared/change-message';
-import { KEYS, Numbered } from '../src/shared/words';
-import { back, lose, makeOperator, running, until } from '../tools/sim/simcore';
-import { SimFleet } from '../tools/sim/simfleet';
+import { makeVersionHistory } from '../../src/control/leases/version-history';
+import {
+  InlineChange,
+  isCurrent,
+  isReached,
+  readChange,
+} from '../../src/shared/replication/change-message';
+import { KEYS, Numbered } from '../../src/shared/state/words';
+import { back, lose, makeOperator, running, until } from '../../tools/sim/simcore';
+import { SimFleet } from '../../tools/sim/simfleet';
 import { all, applied, CORE, founded } from './rosterrig';
 
 const VALUE = { routes: Array.from({ length: 200 }, nameOf) };
--- a/test/register.test.ts
+++ b/test/control/register.test.ts
@@ -1,12 +1,12 @@
 import { Right } from 'purify-ts';
-import { Acceptor, Reach } from '../src/control/acceptor';
-import { makeOwner, Owner } from '../src/control/register';
-import { openSlots } from '../src/control/slots';
-import { dispatch } from '../src/shared/edge';
-import { bad, open, Outcome } from '../src/shared/errors';
-import { Numbered, Voter, Voters } from '../src/shared/words';
-import { makeNet } from '../tools/sim/simwire';
-import { makeWorld, World } from '../tools/sim/simworld';
+import { Acceptor, Reach } from '../../src/control/consensus/acceptor';
+import { makeOwner, Owner } from '../../src/control/consensus/key-owner';
+import { openSlots } from '../../src/control/storage/control-store';
+import { dispatch } from '../../src/shared/transport/handlers';
+import { bad, open, Outcome } from '../../src/shared/errors/errors';
+import { Numbered, Voter, Voters } from '../../src/shared/state/words';
+import { makeNet } from '../../tools/sim/simwire';
+import { makeWorld, World } from '../../tools/sim/simworld';
 
 interface Three {
   w: World;
--- a/test/repair-retries.test.ts
+++ b/test/control/repair-retries.test.ts
@@ -3,8 +3,8 @@
  * commit every key anew, which would be news to every follower and to the newcomer.
  */
 
-import { KEYS } from '../src/shared/words';
-import { back, lose, makeOperator, procOf, running, until } from '../tools/sim/simcore';
+import { KEYS } from '../../src/shared/state/words';
+import { back, lose, makeOperator, procOf, running, until } from '../../tools/sim/simcore';
 import { all, applied, CORE, founded } from './rosterrig';
 
 const SLOW_TIMES = 400;
--- a/test/repair.test.ts
+++ b/test/control/repair.test.ts
@@ -1,11 +1,11 @@
 import { Right } from 'purify-ts';
-import { Controller } from '../src/control/controller';
-import { Outcome } from '../src/shared/errors';
-import { bringUpToDate } from '../src/control/replicate';
-import { Cell, Slots } from '../src/control/slots';
-import { isVoter, KEYS, Numbered, Voter } from '../src/shared/words';
-import { asked, back, lose, makeOperator, procOf, running, until } from '../tools/sim/simcore';
-import { SimFleet } from '../tools/sim/simfleet';
+import { Controller } from '../../src/control/controller';
+import { Outcome } from '../../src/shared/errors/errors';
+import { bringUpToDate } from '../../src/control/consensus/replica-sync';
+import { Cell, Slots } from '../../src/control/storage/control-store';
+import { isVoter, KEYS, Numbered, Voter } from '../../src/shared/state/words';
+import { asked, back, lose, makeOperator, procOf, running, until } from '../../tools/sim/simcore';
+import { SimFleet } from '../../tools/sim/simfleet';
 import { all, applied, CORE, founded } from './rosterrig';
 
 const FIVE = [...CORE, 'core-4', 'core-5'];
--- a/test/replacement-time.test.ts
+++ b/test/control/replacement-time.test.ts
@@ -3,8 +3,8 @@
  * the voters change: the set must bear the next losses `catchUpMs` after the new one's start.
  */
 
-import { lose, makeOperator, until, votersOf } from '../tools/sim/simcore';
-import { makeSimFleet, SimFleet } from '../tools/sim/simfleet';
+import { lose, makeOperator, until, votersOf } from '../../tools/sim/simcore';
+import { makeSimFleet, SimFleet } from '../../tools/sim/simfleet';
 import { all, applied } from './rosterrig';
 
 const ROUTERS = 10;
--- a/test/return.test.ts
+++ b/test/control/return.test.ts
@@ -1,8 +1,8 @@
-import { converse, HelloEdge, WIRE_VERSION } from '../src/shared/connections';
-import { follow, Follower } from '../src/shared/follow';
-import { boundsOf } from '../src/shared/bounds';
-import { defaultSettings } from '../src/shared/settings';
-import { Proc } from '../tools/sim/simworld';
+import { converse, HelloEdge, WIRE_VERSION } from '../../src/shared/transport/connections';
+import { follow, Follower } from '../../src/shared/replication/follower';
+import { boundsOf } from '../../src/shared/settings/time-limits';
+import { defaultSettings } from '../../src/shared/settings/settings';
+import { Proc } from '../../tools/sim/simworld';
 import { CoreRig, makeCore, documentOf, PATHS } from './deploymentrig';
 
 const BOUNDS = boundsOf({ ...defaultSettings(), strict: false });
--- a/test/rolloutdesk.ts
+++ b/test/control/rolloutdesk.ts
@@ -1,13 +1,13 @@
-import { platform } from '../platform/dialect';
-import { Controller, startController } from '../src/control/controller';
-import { rollOut } from '../src/control/rollout';
-import { giveJson, takeJson } from '../src/shared/edge';
-import { open } from '../src/shared/errors';
-import { Call, Ports } from '../src/shared/ports';
-import { defaultSettings, Settings } from '../src/shared/settings';
-import { Engine } from '../src/shared/words';
-import { makeNet, SimNet } from '../tools/sim/simwire';
-import { makeWorld, Proc, World } from '../tools/sim/simworld';
+import { platform } from '../../platform/dialect';
+import { Controller, startController } from '../../src/control/controller';
+import { rollOut } from '../../src/control/singletons/weights-rollout';
+import { giveJson, takeJson } from '../../src/shared/transport/handlers';
+import { open } from '../../src/shared/errors/errors';
+import { Call, Ports } from '../../src/shared/ports/ports';
+import { defaultSettings, Settings } from '../../src/shared/settings/settings';
+import { Engine } from '../../src/shared/state/words';
+import { makeNet, SimNet } from '../../tools/sim/simwire';
+import { makeWorld, Proc, World } from '../../tools/sim/simworld';
 
 export const LEASE = 3000;
 export const THAW = 300;
--- a/test/roster-late.test.ts
+++ b/test/control/roster-late.test.ts
@@ -1,4 +1,12 @@
-import { back, lose, makeOperator, procOf, running, until, votersOf } from '../tools/sim/simcore';
+import {
+  back,
+  lose,
+  makeOperator,
+  procOf,
+  running,
+  until,
+  votersOf,
+} from '../../tools/sim/simcore';
 import { all, applied, CORE, founded, started, wireOf } from './rosterrig';
 
 /** The acknowledgement came of two disks; the third was cut off then, and both others lose theirs, one after the other. */
--- a/test/roster.test.ts
+++ b/test/control/roster.test.ts
@@ -1,5 +1,5 @@
-import { nextSet, Standing } from '../src/control/roster';
-import { Voter } from '../src/shared/words';
+import { nextSet, Standing } from '../../src/control/membership/voter-set-controller';
+import { Voter } from '../../src/shared/state/words';
 import {
   back,
   isFounded,
@@ -9,7 +9,7 @@
   running,
   until,
   votersOf,
-} from '../tools/sim/simcore';
+} from '../../tools/sim/simcore';
 import { all, applied, CORE, founded, started, wireOf } from './rosterrig';
 
 function v(n: number, disk = `d${n}`): Voter {
--- a/test/rosterrig.ts
+++ b/test/control/rosterrig.ts
@@ -1,5 +1,5 @@
-import { makeSimFleet, SimFleet } from '../tools/sim/simfleet';
-import { counts, isFounded, makeOperator, until, votersOf } from '../tools/sim/simcore';
+import { makeSimFleet, SimFleet } from '../../tools/sim/simfleet';
+import { counts, isFounded, makeOperator, until, votersOf } from '../../tools/sim/simcore';
 
 /** The core machines that found. */
 export const CORE = ['core-1', 'core-2', 'core-3'];
--- a/test/takeover.test.ts
+++ b/test/control/takeover.test.ts
@@ -1,6 +1,6 @@
-import { Controller } from '../src/control/controller';
-import { makeSimFleet, SimFleet } from '../tools/sim/simfleet';
-import { counts, lose, makeOperator, procOf, running, until } from '../tools/sim/simcore';
+import { Controller } from '../../src/control/controller';
+import { makeSimFleet, SimFleet } from '../../tools/sim/simfleet';
+import { counts, lose, makeOperator, procOf, running, until } from '../../tools/sim/simcore';
 
 const CORE = ['core-1', 'core-2', 'core-3'];
 const ACK = 4000;
--- a/test/voter-status.test.ts
+++ b/test/control/voter-status.test.ts
@@ -1,6 +1,6 @@
-import { NoLossReason, VotersStatus } from '../src/control/voter-status';
-import { asked, back, lose, makeOperator, procOf, running, until } from '../tools/sim/simcore';
-import { SimFleet } from '../tools/sim/simfleet';
+import { NoLossReason, VotersStatus } from '../../src/control/membership/voter-status';
+import { asked, back, lose, makeOperator, procOf, running, until } from '../../tools/sim/simcore';
+import { SimFleet } from '../../tools/sim/simfleet';
 import { all, applied, CORE, founded } from './rosterrig';
 
 async function standing(f: SimFleet): Promise<VotersStatus> {
--- a/test/weights-naming.test.ts
+++ b/test/control/weights-naming.test.ts
@@ -1,8 +1,8 @@
-import { makeValue } from '../src/control/operations';
-import { Fault } from '../src/shared/errors';
-import { NamedWeights } from '../src/shared/weights';
-import { Numbered } from '../src/shared/words';
-import { seededDice } from '../tools/sim/dice';
+import { makeValue } from '../../src/control/configuration/operations';
+import { Fault } from '../../src/shared/errors/errors';
+import { NamedWeights } from '../../src/shared/state/weights';
+import { Numbered } from '../../src/shared/state/words';
+import { seededDice } from '../../tools/sim/dice';
 import { begin, CoreRig, insisted, isolate, PATHS, post, SILENCE } from './deploymentrig';
 
 const MODEL = 'm';
--- a/test/weights.test.ts
+++ b/test/control/weights.test.ts
@@ -1,8 +1,13 @@
-import { makeWeightsBook, saltUnder, WeightsBook, WeightsEdge } from '../src/data/gateway/weights';
-import { dispatch } from '../src/shared/edge';
-import { Clock } from '../src/shared/ports';
-import { compareWeights, lacks } from '../src/shared/weights';
-import { Engine } from '../src/shared/words';
+import {
+  makeWeightsBook,
+  saltUnder,
+  WeightsBook,
+  WeightsEdge,
+} from '../../src/data/gateway/weights';
+import { dispatch } from '../../src/shared/transport/handlers';
+import { Clock } from '../../src/shared/ports/ports';
+import { compareWeights, lacks } from '../../src/shared/state/weights';
+import { Engine } from '../../src/shared/state/words';
 
 const STOP = 6000;
 const LATE = 2000;
--- a/test/drainrig.ts
+++ b/test/data/drainrig.ts
@@ -2,7 +2,7 @@
 
 import { deployment, Rig, route, startRig, startStandIn } from './gatewayrig';
 import { heldStreams, HeldStreams } from './held-streams';
-import { ManualClock, manualClock } from './manual-clock';
+import { ManualClock, manualClock } from '../shared/manual-clock';
 
 /** The times of the rig's gateway, in ms. */
 export const GRACE_MS = 8000;
--- a/test/gateway-connections.test.ts
+++ b/test/data/gateway-connections.test.ts
@@ -1,10 +1,10 @@
-import { keepConnections } from '../src/data/gateway/pools';
-import { makeRetryBudget } from '../src/data/gateway/budget';
-import { bad, open, Outcome } from '../src/shared/errors';
-import { Clock, HttpConnection, HttpWire } from '../src/shared/ports';
+import { keepConnections } from '../../src/data/gateway/pools';
+import { makeRetryBudget } from '../../src/data/gateway/budget';
+import { bad, open, Outcome } from '../../src/shared/errors/errors';
+import { Clock, HttpConnection, HttpWire } from '../../src/shared/ports/ports';
 import { Right } from 'purify-ts';
-import { defaultSettings } from '../src/shared/settings';
-import { Engine } from '../src/shared/words';
+import { defaultSettings } from '../../src/shared/settings/settings';
+import { Engine } from '../../src/shared/state/words';
 
 interface Hand extends HttpConnection {
   idle(): void;
--- a/test/gateway-drain-changes.test.ts
+++ b/test/data/gateway-drain-changes.test.ts
@@ -1,4 +1,4 @@
-import { KEYS } from '../src/shared/words';
+import { KEYS } from '../../src/shared/state/words';
 import { bareCaller } from './bare-caller';
 import { HeldRig, startHeldRig } from './drainrig';
 import { ask, deployment, Got, route, sealed, startStandIn, turnsAway } from './gatewayrig';
--- a/test/gateway-drain.test.ts
+++ b/test/data/gateway-drain.test.ts
@@ -1,9 +1,9 @@
 import http from 'node:http';
-import { Dice } from '../src/shared/ports';
-import { seededDice } from '../tools/sim/dice';
+import { Dice } from '../../src/shared/ports/ports';
+import { seededDice } from '../../tools/sim/dice';
 import { CONTACT_MS, GRACE_MS, startHeldRig } from './drainrig';
 import { ask, Got, Rig } from './gatewayrig';
-import { ManualClock } from './manual-clock';
+import { ManualClock } from '../shared/manual-clock';
 
 /** The last part of the grace, in which what was taken early may be cut off. */
 const LAST_PART = 5 / 6;
--- a/test/gateway-engines.test.ts
+++ b/test/data/gateway-engines.test.ts
@@ -1,5 +1,5 @@
-import { realHttp } from '../src/shared/realhttp';
-import { realWire } from '../src/shared/realwire';
+import { realHttp } from '../../src/shared/system/raw-http';
+import { realWire } from '../../src/shared/system/tcp-network';
 import {
   ask,
   deployment,
--- a/test/gatewayrig.ts
+++ b/test/data/gatewayrig.ts
@@ -1,16 +1,16 @@
 import nodeHttp from 'node:http';
 import net from 'node:net';
 import { Left, Right } from 'purify-ts';
-import { platform } from '../platform/dialect';
-import { Gateway, startGateway } from '../src/data/gateway/gateway';
-import { Deployment, HttpRoute } from '../src/shared/deployment';
-import { Follower } from '../src/shared/follow';
-import { makeFeed } from '../src/shared/lib';
-import { Ports } from '../src/shared/ports';
-import { realClock } from '../src/shared/real';
-import { realHttp } from '../src/shared/realhttp';
-import { defaultSettings, Settings } from '../src/shared/settings';
-import { Engine, KEYS, Numbered } from '../src/shared/words';
+import { platform } from '../../platform/dialect';
+import { Gateway, startGateway } from '../../src/data/gateway/gateway';
+import { Deployment, HttpRoute } from '../../src/shared/state/deployment';
+import { Follower } from '../../src/shared/replication/follower';
+import { makeFeed } from '../../src/shared/util/lib';
+import { Ports } from '../../src/shared/ports/ports';
+import { realClock } from '../../src/shared/system/system-ports';
+import { realHttp } from '../../src/shared/system/raw-http';
+import { defaultSettings, Settings } from '../../src/shared/settings/settings';
+import { Engine, KEYS, Numbered } from '../../src/shared/state/words';
 
 /** What a stand-in engine was asked, and its answer to be given. */
 export interface EngineCall {
--- a/test/placement-ways.test.ts
+++ b/test/data/placement-ways.test.ts
@@ -1,6 +1,6 @@
-import { USUAL } from '../tools/sim/placingworld';
-import { PlacingResult } from '../tools/sim/placingscore';
-import { playPlacing } from '../tools/sim/placing';
+import { USUAL } from '../../tools/sim/placingworld';
+import { PlacingResult } from '../../tools/sim/placingscore';
+import { playPlacing } from '../../tools/sim/placing';
 
 function play(way: 'full' | 'affinity' | 'least-busy'): PlacingResult {
   return playPlacing({ ...USUAL, seconds: 20 }, way, 5);
--- a/test/placement.test.ts
+++ b/test/data/placement.test.ts
@@ -1,18 +1,18 @@
-import { OverlapAnswer } from '../src/shared/loads';
-import { makeHomes } from '../src/data/gateway/homes';
-import { makeLinks, Side } from '../src/data/gateway/links';
-import { Flight, makeLoads } from '../src/data/gateway/loads';
-import { makePaces } from '../src/data/gateway/pace';
-import { makePlacement } from '../src/data/gateway/placement';
+import { OverlapAnswer } from '../../src/shared/contracts/indexer';
+import { makeHomes } from '../../src/data/gateway/homes';
+import { makeLinks, Side } from '../../src/data/gateway/links';
+import { Flight, makeLoads } from '../../src/data/gateway/loads';
+import { makePaces } from '../../src/data/gateway/pace';
+import { makePlacement } from '../../src/data/gateway/placement';
 import {
   EngineSpot,
   NoPlace,
   PlaceAsk,
   Placed,
   Placement,
-} from '../src/data/gateway/placement-types';
-import { makeStandings } from '../src/data/gateway/standing';
-import { seededDice } from '../tools/sim/dice';
+} from '../../src/data/gateway/placement-types';
+import { makeStandings } from '../../src/data/gateway/standing';
+import { seededDice } from '../../tools/sim/dice';
 
 let time = 0;
 
--- a/test/index-feed.test.ts
+++ b/test/index/index-feed.test.ts
@@ -1,7 +1,7 @@
-import { WirePart } from '../src/shared/loads';
-import { makeScene, PROMPT, SALT } from '../tools/sim/feedscene';
-import { Proc } from '../tools/sim/simworld';
-import { KvSource } from '../tools/standins/kvsource';
+import { WirePart } from '../../src/shared/contracts/indexer';
+import { makeScene, PROMPT, SALT } from '../../tools/sim/feedscene';
+import { Proc } from '../../tools/sim/simworld';
+import { KvSource } from '../../tools/standins/kvsource';
 
 /** Ms in which what a source tells has come in. */
 const GATHERED = 500;
--- a/test/index-loads.test.ts
+++ b/test/index/index-loads.test.ts
@@ -1,9 +1,9 @@
-import { makeComing, Unheard } from '../src/index/coming';
-import { makeLoads } from '../src/index/loads';
-import { OverlapEdge, overlapOf } from '../src/index/overlap';
-import { Exchange } from '../src/shared/connections';
-import { makeTrees, Trees } from '../src/index/tree';
-import { EngineLoad, WirePart } from '../src/shared/loads';
+import { makeComing, Unheard } from '../../src/index/coming';
+import { makeLoads } from '../../src/index/loads';
+import { OverlapEdge, overlapOf } from '../../src/index/overlap';
+import { Exchange } from '../../src/shared/transport/connections';
+import { makeTrees, Trees } from '../../src/index/tree';
+import { EngineLoad, WirePart } from '../../src/shared/contracts/indexer';
 
 const PROMPT: WirePart[] = [
   ['a', 800],
--- a/test/tree.test.ts
+++ b/test/index/tree.test.ts
@@ -1,6 +1,6 @@
-import { Part, PartEvent } from '../src/shared/contracts/engine';
-import { makeTrees, Trees } from '../src/index/tree';
-import { seededDice } from '../tools/sim/dice';
+import { Part, PartEvent } from '../../src/shared/contracts/engine';
+import { makeTrees, Trees } from '../../src/index/tree';
+import { seededDice } from '../../tools/sim/dice';
 
 const SALTS = ['w:a', 'w:b', 'g:x:0'];
 const WEIGHTS = ['w1', 'w2'];
--- a/test/platform-bench.ts
+++ b/test/platform/platform-bench.ts
@@ -2,16 +2,16 @@
  * A stand-in engine, its store and a caller in the simulated world, for tests of the platform's engine stand-in.
  */
 
-import { open } from '../src/shared/errors';
-import { Ports } from '../src/shared/ports';
-import { makeNet } from '../tools/sim/simwire';
-import { makeWorld, World } from '../tools/sim/simworld';
-import { Book, makeBook } from '../tools/standins/platform/book';
-import { EngineLife, startEngine } from '../tools/standins/platform/engine';
-import { Ground, makeGround } from '../tools/standins/platform/ground';
-import { EngineSpec } from '../tools/standins/platform/jobs';
-import { doorsOn } from '../tools/standins/platform/serve';
-import { BOUNDS } from '../tools/standins/platform/site';
+import { open } from '../../src/shared/errors/errors';
+import { Ports } from '../../src/shared/ports/ports';
+import { makeNet } from '../../tools/sim/simwire';
+import { makeWorld, World } from '../../tools/sim/simworld';
+import { Book, makeBook } from '../../tools/standins/platform/book';
+import { EngineLife, startEngine } from '../../tools/standins/platform/engine';
+import { Ground, makeGround } from '../../tools/standins/platform/ground';
+import { EngineSpec } from '../../tools/standins/platform/jobs';
+import { doorsOn } from '../../tools/standins/platform/serve';
+import { BOUNDS } from '../../tools/standins/platform/site';
 
 /** An engine, a store and a caller in the simulated world. */
 interface Bench {
--- a/test/platform-book.ts
+++ b/test/platform/platform-book.ts
@@ -1,4 +1,4 @@
-import { makeWorld } from '../tools/sim/simworld';
+import { makeWorld } from '../../tools/sim/simworld';
 import {
   Arrival,
   Book,
@@ -7,9 +7,9 @@
   makeBook,
   Run,
   Try,
-} from '../tools/standins/platform/book';
-import { judgeDay } from '../tools/standins/platform/ledger';
-import { BOUNDS, makeSite } from '../tools/standins/platform/site';
+} from '../../tools/standins/platform/book';
+import { judgeDay } from '../../tools/standins/platform/ledger';
+import { BOUNDS, makeSite } from '../../tools/standins/platform/site';
 
 /** Two edge machines. */
 export const EDGE = '127.10.2.1';
--- a/test/platform-engine.test.ts
+++ b/test/platform/platform-engine.test.ts
@@ -1,7 +1,7 @@
-import { open } from '../src/shared/errors';
-import { askJson } from '../src/shared/lib';
-import { startList } from '../tools/standins/platform/instances';
-import { startStore } from '../tools/standins/platform/store';
+import { open } from '../../src/shared/errors/errors';
+import { askJson } from '../../src/shared/util/lib';
+import { startList } from '../../tools/standins/platform/instances';
+import { startStore } from '../../tools/standins/platform/store';
 import { AT, bench, call, FEED, Got, inTurn, play, prompt, STORE } from './platform-bench';
 
 async function streams(): Promise<void> {
--- a/test/platform-held-up.test.ts
+++ b/test/platform/platform-held-up.test.ts
@@ -1,6 +1,6 @@
-import { slowReaders, withLongAnswers } from '../tools/fleet/busy-machine';
-import { SoakStep } from '../tools/fleet/soak';
-import { Site } from '../tools/standins/platform/site';
+import { slowReaders, withLongAnswers } from '../../tools/fleet/busy-machine';
+import { SoakStep } from '../../tools/fleet/soak';
+import { Site } from '../../tools/standins/platform/site';
 import { shortDay } from './platform-rig';
 
 /** Routers are held up as their signals come, beside changes a tenth of a second apart. */
--- a/test/platform-ledger-config.test.ts
+++ b/test/platform/platform-ledger-config.test.ts
@@ -1,4 +1,4 @@
-import { ConfigDoc } from '../tools/standins/platform/book';
+import { ConfigDoc } from '../../tools/standins/platform/book';
 import { EDGE, Good, good, later, OTHER, rules, spoilt } from './platform-book';
 
 function config(): void {
--- a/test/platform-ledger.test.ts
+++ b/test/platform/platform-ledger.test.ts
@@ -1,6 +1,6 @@
-import { Run } from '../tools/standins/platform/book';
-import { judgeDay } from '../tools/standins/platform/ledger';
-import { BOUNDS } from '../tools/standins/platform/site';
+import { Run } from '../../tools/standins/platform/book';
+import { judgeDay } from '../../tools/standins/platform/ledger';
+import { BOUNDS } from '../../tools/standins/platform/site';
 import { EDGE, Good, good, rules, spoilt, textOf } from './platform-book';
 
 function keepsQuiet(): void {
--- a/test/platform-long-changes.test.ts
+++ b/test/platform/platform-long-changes.test.ts
@@ -1,4 +1,4 @@
-import { SoakStep } from '../tools/fleet/soak';
+import { SoakStep } from '../../tools/fleet/soak';
 import { shortDay } from './platform-rig';
 
 /** Thousands of routes come and go while a router is restarted, a controller is killed and a key is taken away. */
--- a/test/platform-restarts.test.ts
+++ b/test/platform/platform-restarts.test.ts
@@ -1,5 +1,5 @@
-import { withLongAnswers } from '../tools/fleet/busy-machine';
-import { SoakStep } from '../tools/fleet/soak';
+import { withLongAnswers } from '../../tools/fleet/busy-machine';
+import { SoakStep } from '../../tools/fleet/soak';
 import { shortDay } from './platform-rig';
 
 /** Most routers of a zone are restarted at once, twice, beside other restarts and changes. */
--- a/test/platform-rig.ts
+++ b/test/platform/platform-rig.ts
@@ -1,10 +1,10 @@
 import { mkdtempSync, rmSync } from 'node:fs';
 import { tmpdir } from 'node:os';
 import { join } from 'node:path';
-import { PlayedDay, playDay } from '../tools/fleet/platform';
-import { makePatientSite, WIDE_BOUNDS } from '../tools/fleet/busy-machine';
-import { SoakStep } from '../tools/fleet/soak';
-import { Site } from '../tools/standins/platform/site';
+import { PlayedDay, playDay } from '../../tools/fleet/platform';
+import { makePatientSite, WIDE_BOUNDS } from '../../tools/fleet/busy-machine';
+import { SoakStep } from '../../tools/fleet/soak';
+import { Site } from '../../tools/standins/platform/site';
 
 /** A small site; the addresses are this process's own. */
 function small(name: string, folder: string, edges: number): Site {
--- a/test/settings-file.test.ts
+++ b/test/platform/settings-file.test.ts
@@ -3,8 +3,8 @@
 import net from 'node:net';
 import { tmpdir } from 'node:os';
 import { join } from 'node:path';
-import { platform } from '../platform/dialect';
-import { Settings } from '../src/shared/settings';
+import { platform } from '../../platform/dialect';
+import { Settings } from '../../src/shared/settings/settings';
 
 const children: ChildProcess[] = [];
 const servers: net.Server[] = [];
@@ -126,7 +126,7 @@
   const second = await listen('127.0.0.3', first.port);
   const file = join(mkdtempSync(join(tmpdir(), 'ph-')), 'node.toml');
   writeFileSync(file, fileOf('127.0.0.2', first.port));
-  const p = spawn(process.execPath, [join(__dirname, '../src/programs/indexer.js')], {
+  const p = spawn(process.execPath, [join(__dirname, '../../src/programs/indexer.js')], {
     env: { ...process.env, PLUMHOLLOW_SETTINGS: file },
     stdio: 'ignore',
   });
--- a/test/catch-up.test.ts
+++ b/test/shared/catch-up.test.ts
@@ -1,9 +1,9 @@
 import { pack } from 'msgpackr';
-import { defaultSettings } from '../src/shared/settings';
-import { Message } from '../src/shared/ports';
-import { KEYS } from '../src/shared/words';
-import { Proc } from '../tools/sim/simworld';
-import { CoreRig, documentOf, makeCore, PATHS } from './deploymentrig';
+import { defaultSettings } from '../../src/shared/settings/settings';
+import { Message } from '../../src/shared/ports/ports';
+import { KEYS } from '../../src/shared/state/words';
+import { Proc } from '../../tools/sim/simworld';
+import { CoreRig, documentOf, makeCore, PATHS } from '../control/deploymentrig';
 
 const ROUTES = 1400;
 const TENANTS = 80;
--- a/test/connections.test.ts
+++ b/test/shared/connections.test.ts
@@ -1,4 +1,4 @@
-import { open } from '../src/shared/errors';
+import { open } from '../../src/shared/errors/errors';
 import {
   Exchange,
   Hello,
@@ -6,10 +6,10 @@
   converse,
   hold,
   WIRE_VERSION,
-} from '../src/shared/connections';
-import { Connection } from '../src/shared/ports';
-import { makeNet } from '../tools/sim/simwire';
-import { makeWorld } from '../tools/sim/simworld';
+} from '../../src/shared/transport/connections';
+import { Connection } from '../../src/shared/ports/ports';
+import { makeNet } from '../../tools/sim/simwire';
+import { makeWorld } from '../../tools/sim/simworld';
 
 function hello(version: number, more: object = {}): Hello {
   return { version, name: `v${version}`, role: 'router', at: '', zone: '', ...more };
--- a/test/delta.test.ts
+++ b/test/shared/delta.test.ts
@@ -1,6 +1,6 @@
-import { makeDelta, patched, diff, readDelta } from '../src/shared/delta';
-import { Numbered } from '../src/shared/words';
-import { seededDice } from '../tools/sim/dice';
+import { makeDelta, patched, diff, readDelta } from '../../src/shared/replication/delta';
+import { Numbered } from '../../src/shared/state/words';
+import { seededDice } from '../../tools/sim/dice';
 
 function random(dice: () => number, depth: number): unknown {
   const r = dice();
--- a/test/history-search.test.ts
+++ b/test/shared/history-search.test.ts
@@ -1,13 +1,13 @@
-import { linearize } from '../src/shared/history/linearize';
+import { linearize } from '../../src/shared/history/linearize';
 import {
   applyOperation,
   EMPTY_REGISTER,
   Operation,
   OperationKind,
   RegisterState,
-} from '../src/shared/history/model';
-import { shrinkViolation } from '../src/shared/history/shrink';
-import { seededDice } from '../tools/sim/dice';
+} from '../../src/shared/history/model';
+import { shrinkViolation } from '../../src/shared/history/shrink';
+import { seededDice } from '../../tools/sim/dice';
 
 const HISTORIES = 4000;
 const KINDS: OperationKind[] = ['set', 'set', 'read', 'reject', 'raise'];
--- a/test/history.test.ts
+++ b/test/shared/history.test.ts
@@ -1,7 +1,12 @@
-import { HistoryCall, LineFault, formatHistory, parseHistory } from '../src/shared/history/calls';
-import { checkHistory, sayVerdict, Verdict } from '../src/shared/history/verdict';
-import { generateHistory } from '../tools/history/generate';
-import { seededDice } from '../tools/sim/dice';
+import {
+  HistoryCall,
+  LineFault,
+  formatHistory,
+  parseHistory,
+} from '../../src/shared/history/calls';
+import { checkHistory, sayVerdict, Verdict } from '../../src/shared/history/verdict';
+import { generateHistory } from '../../tools/history/generate';
+import { seededDice } from '../../tools/sim/dice';
 
 type Line = Partial<HistoryCall>;
 
--- a/test/metrics.test.ts
+++ b/test/shared/metrics.test.ts
@@ -1,4 +1,4 @@
-import { makeMetrics } from '../src/shared/metrics';
+import { makeMetrics } from '../../src/shared/observability/metrics';
 
 const HISTOGRAM = 'prom-client/lib/histogram';
 let loaded = 0;
--- a/test/news-large.test.ts
+++ b/test/shared/news-large.test.ts
@@ -1,5 +1,5 @@
-import { NewsResult, NewsWays, playNews } from '../tools/sim/news/play';
-import { NEWS_BOUNDS } from '../tools/sim/news/rig';
+import { NewsResult, NewsWays, playNews } from '../../tools/sim/news/play';
+import { NEWS_BOUNDS } from '../../tools/sim/news/rig';
 
 /** The grown deployments have up to 73 routers. */
 const FOLLOWERS = 73;
--- a/test/news-storm.test.ts
+++ b/test/shared/news-storm.test.ts
@@ -1,4 +1,4 @@
-import { largeDocument, makeNewsRig, NewsRig, routeOf } from '../tools/sim/news/rig';
+import { largeDocument, makeNewsRig, NewsRig, routeOf } from '../../tools/sim/news/rig';
 
 const FOLLOWERS = 63;
 const ROUTES = 1400;
--- a/test/pieces.test.ts
+++ b/test/shared/pieces.test.ts
@@ -1,12 +1,16 @@
 import { Left, Right } from 'purify-ts';
-import { makeVersionHistory } from '../src/control/version-history';
-import { ChangeOffer, readChange } from '../src/shared/change-message';
-import { makeCatchUp } from '../src/shared/catch-up';
-import { Exchange } from '../src/shared/connections';
-import { makeFault, Outcome } from '../src/shared/errors';
-import { makePieceFetcher, PIECE_BYTES, PieceAsk } from '../src/shared/pieces';
-import { Numbered, Place } from '../src/shared/words';
-import { drawnDocument } from '../tools/sim/news/rig';
+import { makeVersionHistory } from '../../src/control/leases/version-history';
+import { ChangeOffer, readChange } from '../../src/shared/replication/change-message';
+import { makeCatchUp } from '../../src/shared/replication/catch-up';
+import { Exchange } from '../../src/shared/transport/connections';
+import { makeFault, Outcome } from '../../src/shared/errors/errors';
+import {
+  makePieceFetcher,
+  PIECE_BYTES,
+  PieceAsk,
+} from '../../src/shared/replication/chunk-fetcher';
+import { Numbered, Place } from '../../src/shared/state/words';
+import { drawnDocument } from '../../tools/sim/news/rig';
 
 const KEY = 'deployment';
 
--- a/test/realhttp-close.test.ts
+++ b/test/shared/realhttp-close.test.ts
@@ -1,9 +1,9 @@
 import { once } from 'node:events';
 import http from 'node:http';
 import net from 'node:net';
-import { RawCall, RawListening } from '../src/shared/ports';
-import { realHttp } from '../src/shared/realhttp';
-import { bareCaller } from './bare-caller';
+import { RawCall, RawListening } from '../../src/shared/ports/ports';
+import { realHttp } from '../../src/shared/system/raw-http';
+import { bareCaller } from '../data/bare-caller';
 
 const LIMITS = { headerTimeoutMs: 3000, idleTimeoutMs: 15000, closing: false };
 /** Far more than a connection's buffers hold. */
--- a/test/realwire.test.ts
+++ b/test/shared/realwire.test.ts
@@ -1,11 +1,11 @@
 import http from 'node:http';
 import net from 'node:net';
-import { EngineLine, generate, Generating } from '../src/shared/contracts/engine';
-import { giveJson, takeJson } from '../src/shared/edge';
-import { open } from '../src/shared/errors';
-import { Call } from '../src/shared/ports';
-import { realClock, realDice, realDisk, realLog } from '../src/shared/real';
-import { realWire } from '../src/shared/realwire';
+import { EngineLine, generate, Generating } from '../../src/shared/contracts/engine';
+import { giveJson, takeJson } from '../../src/shared/transport/handlers';
+import { open } from '../../src/shared/errors/errors';
+import { Call } from '../../src/shared/ports/ports';
+import { realClock, realDice, realDisk, realLog } from '../../src/shared/system/system-ports';
+import { realWire } from '../../src/shared/system/tcp-network';
 
 const PIECE = 'x'.repeat(65535) + '\n';
 const PIECES = 1500;
--- a/test/shutdown.test.ts
+++ b/test/shared/shutdown.test.ts
@@ -1,6 +1,6 @@
-import { makeShutdown } from '../src/programs/shutdown';
-import { boundsOf } from '../src/shared/bounds';
-import { defaultSettings } from '../src/shared/settings';
+import { makeShutdown } from '../../src/programs/shutdown';
+import { boundsOf } from '../../src/shared/settings/time-limits';
+import { defaultSettings } from '../../src/shared/settings/settings';
 
 /** A running program whose drain ends when a test says so, and what became of it. */
 function program(): { shutdown: ReturnType<typeof makeShutdown>; finish(): void; did: string[] } {
--- a/test/stalls.test.ts
+++ b/test/shared/stalls.test.ts
@@ -1,4 +1,4 @@
-import { watchStalls } from '../src/shared/stalls';
+import { watchStalls } from '../../src/shared/observability/event-loop-stalls';
 import { manualClock } from './manual-clock';
 
 const EVERY_MS = 150;
--- a/test/capacity.test.ts
+++ b/test/tools/capacity.test.ts
@@ -1,10 +1,10 @@
 import { mkdtempSync, rmSync } from 'node:fs';
 import { tmpdir } from 'node:os';
 import { join } from 'node:path';
-import { bends, fitLine, Point, reckon, spreadOf } from '../tools/capacity/fit';
-import { EMPTY, settled, startHollow } from '../tools/capacity/hollow';
-import { askAt, queryOf } from '../tools/capacity/load';
-import { applyIntents, changeRules, makeIntents } from '../tools/capacity/operators';
+import { bends, fitLine, Point, reckon, spreadOf } from '../../tools/capacity/fit';
+import { EMPTY, settled, startHollow } from '../../tools/capacity/hollow';
+import { askAt, queryOf } from '../../tools/capacity/load';
+import { applyIntents, changeRules, makeIntents } from '../../tools/capacity/operators';
 
 function pointsOf(xs: number[], at: (x: number) => number): Point[] {
   const out: Point[] = [];
--- a/test/known-red.test.ts
+++ b/test/tools/known-red.test.ts
@@ -1,4 +1,4 @@
-import { JestFile, JestReport, judgeRun, KnownRed, parseKnownRed } from '../tools/ci/knownred';
+import { JestFile, JestReport, judgeRun, KnownRed, parseKnownRed } from '../../tools/ci/knownred';
 
 const LISTED: KnownRed = {
   file: 'test/a.test.ts',
--- a/test/model.test.ts
+++ b/test/tools/model.test.ts
@@ -7,10 +7,10 @@
   exploreRandomly,
   othersThan,
   replay,
-} from '../tools/model/explore';
-import { INVARIANTS, InvariantName } from '../tools/model/invariants';
-import { MUTATIONS, UNCHANGED } from '../tools/model/mutations';
-import { WORLDS } from '../tools/model/worlds';
+} from '../../tools/model/explore';
+import { INVARIANTS, InvariantName } from '../../tools/model/invariants';
+import { MUTATIONS, UNCHANGED } from '../../tools/model/mutations';
+import { WORLDS } from '../../tools/model/worlds';
 
 const SEED = 1;
 const SCHEDULES = 20;
@@ -113,7 +113,7 @@
 ];
 
 async function noLongerBreaks(file: string, world: string): Promise<void> {
-  const folder = join(__dirname, '../../tools/model/schedules');
+  const folder = join(__dirname, '../../../tools/model/schedules');
   const steps = readFileSync(join(folder, `${file}.txt`), 'utf8')
     .trimEnd()
     .split('\n');
--- a/test/seeds-disks.test.ts
+++ b/test/tools/seeds-disks.test.ts
@@ -1,4 +1,4 @@
-import { runSeed } from '../tools/sim/simrun';
+import { runSeed } from '../../tools/sim/simrun';
 import { clean, fault } from './seeds';
 
 async function emptiedController(): Promise<void> {
--- a/test/seeds-engines.test.ts
+++ b/test/tools/seeds-engines.test.ts
@@ -1,5 +1,5 @@
-import { Fault } from '../tools/sim/simfaults';
-import { runSeed } from '../tools/sim/simrun';
+import { Fault } from '../../tools/sim/simfaults';
+import { runSeed } from '../../tools/sim/simrun';
 import { clean, fault, frozenLeavers } from './seeds';
 
 async function secondTries(): Promise<void> {
--- a/test/seeds-leaving.test.ts
+++ b/test/tools/seeds-leaving.test.ts
@@ -1,5 +1,5 @@
-import { runSeed } from '../tools/sim/simrun';
-import { MECHANISMS } from '../tools/sim/without';
+import { runSeed } from '../../tools/sim/simrun';
+import { MECHANISMS } from '../../tools/sim/without';
 import { clean, frozenLeavers } from './seeds';
 
 async function heldBefore(): Promise<void> {
--- a/test/seeds-weights.test.ts
+++ b/test/tools/seeds-weights.test.ts
@@ -1,4 +1,4 @@
-import { Fault } from '../tools/sim/simfaults';
+import { Fault } from '../../tools/sim/simfaults';
 import { clean, fault } from './seeds';
 
 async function namedTwice(): Promise<void> {
--- a/test/seeds.ts
+++ b/test/tools/seeds.ts
@@ -1,5 +1,5 @@
-import { Fault } from '../tools/sim/simfaults';
-import { runSeed } from '../tools/sim/simrun';
+import { Fault } from '../../tools/sim/simfaults';
+import { runSeed } from '../../tools/sim/simrun';
 
 /** One fault of a written schedule. */
 export function fault(at: number, kind: string, who: string, other: string, ms: number): Fault {
--- a/test/smoke.test.ts
+++ b/test/tools/smoke.test.ts
@@ -1,8 +1,8 @@
 import { mkdtempSync, rmSync, writeFileSync } from 'node:fs';
 import { tmpdir } from 'node:os';
 import { join } from 'node:path';
-import { runCallers } from '../tools/standins/callers';
-import { Deployment, makeDeployment } from '../tools/standins/deploy';
+import { runCallers } from '../../tools/standins/callers';
+import { Deployment, makeDeployment } from '../../tools/standins/deploy';
 import {
   allReady,
   configure,
@@ -11,9 +11,9 @@
   startAll,
   stopAll,
   until,
-} from '../tools/fleet/processes';
-import { readLedgers } from '../tools/fleet/fleet';
-import { edgeNames, judge } from '../tools/standins/ledger';
+} from '../../tools/fleet/processes';
+import { readLedgers } from '../../tools/fleet/fleet';
+import { edgeNames, judge } from '../../tools/standins/ledger';
 
 const fleets: Fleet[] = [];
 
--- a/test/soak.test.ts
+++ b/test/tools/soak.test.ts
@@ -1,7 +1,7 @@
-import { TROUBLES } from '../tools/fleet/troubles';
-import { drawSoak, SoakStep, SoakWays } from '../tools/fleet/soak';
-import { seededDice } from '../tools/sim/dice';
-import { shortDay } from './platform-rig';
+import { TROUBLES } from '../../tools/fleet/troubles';
+import { drawSoak, SoakStep, SoakWays } from '../../tools/fleet/soak';
+import { seededDice } from '../../tools/sim/dice';
+import { shortDay } from '../platform/platform-rig';
 
 const WAYS: SoakWays = { seconds: 14, perSecond: 0.6, repairMs: 8000 };
 const DRAWN_SEEDS = 200;
--- a/test/transcripts.test.ts
+++ b/test/tools/transcripts.test.ts
@@ -1,6 +1,6 @@
-import { open } from '../src/shared/errors';
-import { Ports } from '../src/shared/ports';
-import { askCore, makeSimFleet, SimFleet, simIntents } from '../tools/sim/simfleet';
+import { open } from '../../src/shared/errors/errors';
+import { Ports } from '../../src/shared/ports/ports';
+import { askCore, makeSimFleet, SimFleet, simIntents } from '../../tools/sim/simfleet';
 
 interface Scene {
   f: SimFleet;
--- a/test/worst-days-found.test.ts
+++ b/test/tools/worst-days-found.test.ts
@@ -1,5 +1,5 @@
-import { playWorstDay } from '../tools/sim/worst/day';
-import { documentOf, makeCore, PATHS } from './deploymentrig';
+import { playWorstDay } from '../../tools/sim/worst/day';
+import { documentOf, makeCore, PATHS } from '../control/deploymentrig';
 
 /** Seeds of worst days that have failed. */
 const FOUND_SEEDS = [2024];
--- a/test/worst-days.test.ts
+++ b/test/tools/worst-days.test.ts
@@ -1,10 +1,10 @@
 import { Right } from 'purify-ts';
-import { Controller } from '../src/control/controller';
-import { applyLine, Line } from '../src/control/slots';
-import { checkHistory } from '../src/shared/history/verdict';
-import { parseHistory, HistoryCall } from '../src/shared/history/calls';
-import { playWorstDay, scheduleOf, WorstDay, WorstWays } from '../tools/sim/worst/day';
-import { WORST_FAULTS, WorstFault, WorstFaultKind } from '../tools/sim/worst/faults';
+import { Controller } from '../../src/control/controller';
+import { applyLine, Line } from '../../src/control/storage/control-store';
+import { checkHistory } from '../../src/shared/history/verdict';
+import { parseHistory, HistoryCall } from '../../src/shared/history/calls';
+import { playWorstDay, scheduleOf, WorstDay, WorstWays } from '../../tools/sim/worst/day';
+import { WORST_FAULTS, WorstFault, WorstFaultKind } from '../../tools/sim/worst/faults';
 
 const FEWEST_ACKNOWLEDGED = 100;
 const UNWRITTEN_LINES = 10;
--- a/tools/capacity/hollow.ts
+++ b/tools/capacity/hollow.ts
@@ -1,11 +1,11 @@
 import { ChildProcess, fork } from 'node:child_process';
 import { mkdirSync, rmSync } from 'node:fs';
 import { join, resolve } from 'node:path';
-import { Ports } from '../../src/shared/ports';
-import { realClock, realDice, realDisk, realLog } from '../../src/shared/real';
-import { realWire } from '../../src/shared/realwire';
-import { readSettings, Settings } from '../../src/shared/settings';
-import { Engine } from '../../src/shared/words';
+import { Ports } from '../../src/shared/ports/ports';
+import { realClock, realDice, realDisk, realLog } from '../../src/shared/system/system-ports';
+import { realWire } from '../../src/shared/system/tcp-network';
+import { readSettings, Settings } from '../../src/shared/settings/settings';
+import { Engine } from '../../src/shared/state/words';
 import { startPlatform } from '../standins/platform';
 import { Figures, Rates, ratesOf } from './meter';
 import { startList } from './platform';
--- a/tools/capacity/load.ts
+++ b/tools/capacity/load.ts
@@ -1,5 +1,5 @@
 import { Part } from '../../src/shared/contracts/engine';
-import { HelloEdge, hold, Held, WIRE_VERSION } from '../../src/shared/connections';
+import { HelloEdge, hold, Held, WIRE_VERSION } from '../../src/shared/transport/connections';
 import { Hollow, MODEL, SALT } from './hollow';
 import { CHAIN, hollowHash } from './sources';
 
--- a/tools/capacity/meter.ts
+++ b/tools/capacity/meter.ts
@@ -1,8 +1,8 @@
 import { subscribe } from 'node:diagnostics_channel';
 import { Socket } from 'node:net';
-import { Connection, Disk, Message, Ports, Wire } from '../../src/shared/ports';
-import { Listening } from '../../src/shared/ports';
-import { Outcome } from '../../src/shared/errors';
+import { Connection, Disk, Message, Ports, Wire } from '../../src/shared/ports/ports';
+import { Listening } from '../../src/shared/ports/ports';
+import { Outcome } from '../../src/shared/errors/errors';
 
 /** What one process has used since it began; memory is as it stands. */
 export interface Figures {
--- a/tools/capacity/operators.ts
+++ b/tools/capacity/operators.ts
@@ -1,6 +1,6 @@
-import { open } from '../../src/shared/errors';
-import { askJson } from '../../src/shared/lib';
-import { Intents, Rule, Tenant } from '../../src/shared/words';
+import { open } from '../../src/shared/errors/errors';
+import { askJson } from '../../src/shared/util/lib';
+import { Intents, Rule, Tenant } from '../../src/shared/state/words';
 import { Hollow, MODEL } from './hollow';
 
 /** What one change cost its operator: ms to the return, and whether it was in effect by then. */
--- a/tools/capacity/platform-axes.ts
+++ b/tools/capacity/platform-axes.ts
@@ -1,4 +1,4 @@
-import { open } from '../../src/shared/errors';
+import { open } from '../../src/shared/errors/errors';
 import { Hollow, HollowSizes } from './hollow';
 import { askAt, boardOf, placedOf, overlapOf } from './load';
 import {
--- a/tools/capacity/platform.ts
+++ b/tools/capacity/platform.ts
@@ -1,8 +1,8 @@
-import { giveJson } from '../../src/shared/edge';
-import { askJson } from '../../src/shared/lib';
-import { open, Outcome } from '../../src/shared/errors';
-import { Call, Listening, Ports } from '../../src/shared/ports';
-import { Engine } from '../../src/shared/words';
+import { giveJson } from '../../src/shared/transport/handlers';
+import { askJson } from '../../src/shared/util/lib';
+import { open, Outcome } from '../../src/shared/errors/errors';
+import { Call, Listening, Ports } from '../../src/shared/ports/ports';
+import { Engine } from '../../src/shared/state/words';
 import { Hollow, MODEL } from './hollow';
 import { ChangeSeen } from './operators';
 import { CHAIN, hollowHash, SourceWays } from './sources';
--- a/tools/capacity/sources.ts
+++ b/tools/capacity/sources.ts
@@ -1,7 +1,7 @@
 import { EventBatch, PartEvent } from '../../src/shared/contracts/engine';
-import { giveJson, handles, takeCalls } from '../../src/shared/edge';
-import { Outcome } from '../../src/shared/errors';
-import { Call, Listening, Ports } from '../../src/shared/ports';
+import { giveJson, handles, takeCalls } from '../../src/shared/transport/handlers';
+import { Outcome } from '../../src/shared/errors/errors';
+import { Call, Listening, Ports } from '../../src/shared/ports/ports';
 
 /** How a hollow source of kept parts behaves: it keeps `holds` parts, and then stores and drops at its pace. */
 export interface SourceWays {
--- a/tools/compatibility/controller-asks.ts
+++ b/tools/compatibility/controller-asks.ts
@@ -3,13 +3,13 @@
  * and those that are refused.
  */
 
-import { handOver } from '../../src/control/hand-over';
-import { Operation } from '../../src/control/operations';
-import { progressOf } from '../../src/control/replicate';
-import { boundsOf } from '../../src/shared/bounds';
-import { converse } from '../../src/shared/connections';
-import { Outcome } from '../../src/shared/errors';
-import { allVoters, Voter } from '../../src/shared/words';
+import { handOver } from '../../src/control/configuration/change-forwarding';
+import { Operation } from '../../src/control/configuration/operations';
+import { progressOf } from '../../src/control/consensus/replica-sync';
+import { boundsOf } from '../../src/shared/settings/time-limits';
+import { converse } from '../../src/shared/transport/connections';
+import { Outcome } from '../../src/shared/errors/errors';
+import { allVoters, Voter } from '../../src/shared/state/words';
 import { asked, isFounded, procOf, until, votersOf } from '../sim/simcore';
 import { makeSimFleet, SimFleet, simIntents } from '../sim/simfleet';
 import { makeProbe, Probe, settled } from './probe';
--- a/tools/compatibility/disk-damage.ts
+++ b/tools/compatibility/disk-damage.ts
@@ -2,7 +2,7 @@
  * Torn, cut and changed forms of a controller's disk.
  */
 
-import { unframe } from '../../src/control/frames';
+import { unframe } from '../../src/control/storage/frames';
 import { DiskFiles } from './disk-state';
 
 /** One damaged form of a disk, and what a controller must make of it. */
--- a/tools/compatibility/disk-state.ts
+++ b/tools/compatibility/disk-state.ts
@@ -4,10 +4,10 @@
 
 import { createHash } from 'node:crypto';
 import { Right } from 'purify-ts';
-import { openSlots, Slots } from '../../src/control/slots';
-import { KeptVotes, readVotes, Vote } from '../../src/control/votes';
-import { open, Outcome } from '../../src/shared/errors';
-import { Ports } from '../../src/shared/ports';
+import { openSlots, Slots } from '../../src/control/storage/control-store';
+import { KeptVotes, readVotes, Vote } from '../../src/control/storage/idempotency-votes';
+import { open, Outcome } from '../../src/shared/errors/errors';
+import { Ports } from '../../src/shared/ports/ports';
 import { seededDice } from '../sim/dice';
 import { makeNet } from '../sim/simwire';
 import { makeWorld } from '../sim/simworld';
--- a/tools/compatibility/field-paths.ts
+++ b/tools/compatibility/field-paths.ts
@@ -2,7 +2,7 @@
  * The names and types of all fields of a message, whatever their values.
  */
 
-import { decompress } from '../../src/shared/compression';
+import { decompress } from '../../src/shared/transport/compression';
 
 /** The type of a value on the wire. */
 function typeOf(value: unknown): string {
--- a/tools/compatibility/probe.ts
+++ b/tools/compatibility/probe.ts
@@ -2,9 +2,9 @@
  * A process that asks one of ours over a connection of its own, and what has it run in virtual time.
  */
 
-import { askOnce, Hello, WIRE_VERSION } from '../../src/shared/connections';
-import { Outcome } from '../../src/shared/errors';
-import { Ports } from '../../src/shared/ports';
+import { askOnce, Hello, WIRE_VERSION } from '../../src/shared/transport/connections';
+import { Outcome } from '../../src/shared/errors/errors';
+import { Ports } from '../../src/shared/ports/ports';
 import { SimNet } from '../sim/simwire';
 import { World } from '../sim/simworld';
 
--- a/tools/compatibility/scenarios.ts
+++ b/tools/compatibility/scenarios.ts
@@ -2,17 +2,17 @@
  * The runs whose messages are recorded. All are in virtual time and give the same messages each time.
  */
 
-import { makeRollOutDesk } from '../../test/rolloutdesk';
+import { makeRollOutDesk } from '../../test/control/rolloutdesk';
 import { Indexers, reachIndexers } from '../../src/data/gateway/indexers';
 import { Loads } from '../../src/data/gateway/loads';
-import { boundsOf } from '../../src/shared/bounds';
-import { converse, HelloEdge } from '../../src/shared/connections';
-import { follow, Follower } from '../../src/shared/follow';
-import { makeFeed } from '../../src/shared/lib';
-import { EngineLoad } from '../../src/shared/loads';
-import { Connection } from '../../src/shared/ports';
-import { defaultSettings } from '../../src/shared/settings';
-import { Member } from '../../src/shared/words';
+import { boundsOf } from '../../src/shared/settings/time-limits';
+import { converse, HelloEdge } from '../../src/shared/transport/connections';
+import { follow, Follower } from '../../src/shared/replication/follower';
+import { makeFeed } from '../../src/shared/util/lib';
+import { EngineLoad } from '../../src/shared/contracts/indexer';
+import { Connection } from '../../src/shared/ports/ports';
+import { defaultSettings } from '../../src/shared/settings/settings';
+import { Member } from '../../src/shared/state/words';
 import { makeScene, PROMPT, SALT, Scene } from '../sim/feedscene';
 import { drawnDocument, makeNewsRig } from '../sim/news/rig';
 import { runSeed } from '../sim/simrun';
--- a/tools/compatibility/stored-disks.ts
+++ b/tools/compatibility/stored-disks.ts
@@ -5,7 +5,7 @@
 import { crc32 } from 'node:zlib';
 import { pack } from 'msgpackr';
 import { Controller } from '../../src/control/controller';
-import { KEYS, Voter, Voters } from '../../src/shared/words';
+import { KEYS, Voter, Voters } from '../../src/shared/state/words';
 import { asked, back, counts, isFounded, lose, procOf, until, votersOf } from '../sim/simcore';
 import { makeSimFleet, SimFleet, simIntents } from '../sim/simfleet';
 import { damagedForms } from './disk-damage';
--- a/tools/compatibility/write-on.ts
+++ b/tools/compatibility/write-on.ts
@@ -2,8 +2,8 @@
  * Writing on a stored disk with the present code: the same lines and votes behind what it holds.
  */
 
-import { Cell } from '../../src/control/slots';
-import { Vote, Votes } from '../../src/control/votes';
+import { Cell } from '../../src/control/storage/control-store';
+import { Vote, Votes } from '../../src/control/storage/idempotency-votes';
 import { DiskFiles, digestOfBytes, DiskState, openDisk, cellsOf } from './disk-state';
 
 /** What the process that wrote held at its end. */
--- a/tools/fleet/faults.ts
+++ b/tools/fleet/faults.ts
@@ -1,5 +1,5 @@
 import { rmSync } from 'node:fs';
-import { askJson } from '../../src/shared/lib';
+import { askJson } from '../../src/shared/util/lib';
 import { listed } from '../standins/deploy';
 import { controlOf, type Fleet, type Proc } from './processes';
 
--- a/tools/fleet/fleet.ts
+++ b/tools/fleet/fleet.ts
@@ -1,7 +1,7 @@
 import { existsSync, mkdirSync, readFileSync, rmSync } from 'node:fs';
 import { join, resolve } from 'node:path';
 import { Command } from 'commander';
-import { open } from '../../src/shared/errors';
+import { open } from '../../src/shared/errors/errors';
 import { Report, runCallers } from '../standins/callers';
 import { Deployment, DEPLOYMENTS, makeDeployment } from '../standins/deploy';
 import { LedgerEntry } from '../standins/engineways';
--- a/tools/fleet/platform.ts
+++ b/tools/fleet/platform.ts
@@ -1,7 +1,7 @@
 import { mkdirSync, rmSync } from 'node:fs';
 import { resolve } from 'node:path';
-import { Clock } from '../../src/shared/ports';
-import { realClock } from '../../src/shared/real';
+import { Clock } from '../../src/shared/ports/ports';
+import { realClock } from '../../src/shared/system/system-ports';
 import { seededDice } from '../sim/dice';
 import { Day, startDay } from '../standins/platform/day';
 import { Entry } from '../standins/platform/entry';
--- a/tools/fleet/processes.ts
+++ b/tools/fleet/processes.ts
@@ -5,11 +5,11 @@
 import { ChildProcess, spawn } from 'node:child_process';
 import { writeFileSync } from 'node:fs';
 import { join, resolve } from 'node:path';
-import { askJson } from '../../src/shared/lib';
-import { open } from '../../src/shared/errors';
-import { Ports } from '../../src/shared/ports';
-import { realClock, realDice, realDisk, realLog } from '../../src/shared/real';
-import { realWire } from '../../src/shared/realwire';
+import { askJson } from '../../src/shared/util/lib';
+import { open } from '../../src/shared/errors/errors';
+import { Ports } from '../../src/shared/ports/ports';
+import { realClock, realDice, realDisk, realLog } from '../../src/shared/system/system-ports';
+import { realWire } from '../../src/shared/system/tcp-network';
 import { Deployment, listed } from '../standins/deploy';
 import { boundOf } from '../standins/links';
 
--- a/tools/fleet/soak.ts
+++ b/tools/fleet/soak.ts
@@ -3,7 +3,7 @@
  * using the connections that they have.
  */
 
-import { Dice } from '../../src/shared/ports';
+import { Dice } from '../../src/shared/ports/ports';
 
 /** One trouble of a soak, begun whether or not the ones before it are over. */
 export interface SoakStep {
--- a/tools/fleet/troubles.ts
+++ b/tools/fleet/troubles.ts
@@ -1,4 +1,4 @@
-import { wholeHash } from '../../src/shared/lib';
+import { wholeHash } from '../../src/shared/util/lib';
 import { SPOILT, spoiltItems } from './invalid-changes';
 import { ConfigDoc, ConfigSent, troubled } from '../standins/platform/book';
 import { Day } from '../standins/platform/day';
--- a/tools/history/generate.ts
+++ b/tools/history/generate.ts
@@ -1,6 +1,6 @@
 /** Random histories of a register that is right, for tests of the checker. */
 import { HistoryCall } from '../../src/shared/history/calls';
-import { Dice } from '../../src/shared/ports';
+import { Dice } from '../../src/shared/ports/ports';
 import { seededDice } from '../sim/dice';
 
 /** How a random history is made. */
--- a/tools/model/disk.ts
+++ b/tools/model/disk.ts
@@ -1,7 +1,7 @@
 /** A simulated data folder: what is written is cached at once, and durable after its sync. */
 import { Right } from 'purify-ts';
-import { Outcome } from '../../src/shared/errors';
-import { Disk } from '../../src/shared/ports';
+import { Outcome } from '../../src/shared/errors/errors';
+import { Disk } from '../../src/shared/ports/ports';
 import { digest } from './scheduler';
 
 interface File {
--- a/tools/model/invariants.ts
+++ b/tools/model/invariants.ts
@@ -1,5 +1,5 @@
 /** The invariants, each a named checker over what the modelled processes answer, hold and tell. */
-import { comparePlaces, isQuorum, Numbered, Place, Voters } from '../../src/shared/words';
+import { comparePlaces, isQuorum, Numbered, Place, Voters } from '../../src/shared/state/words';
 
 /** The invariants by name. */
 export const INVARIANTS = {
--- a/tools/model/mutations.ts
+++ b/tools/model/mutations.ts
@@ -1,13 +1,13 @@
 /** Faulty variants of the control code, made by wrapping it, by which each invariant is seen to catch. */
 import { Right } from 'purify-ts';
-import { Changed } from '../../src/control/changes';
-import { ReadParts } from '../../src/control/read';
-import { Reach } from '../../src/control/acceptor';
-import { Owner } from '../../src/control/register';
-import { Line, Slots } from '../../src/control/slots';
-import { Fault, Outcome } from '../../src/shared/errors';
-import { Disk } from '../../src/shared/ports';
-import { Numbered, Voter, Voters } from '../../src/shared/words';
+import { Changed } from '../../src/control/configuration/change-coordinator';
+import { ReadParts } from '../../src/control/consensus/linearizable-read';
+import { Reach } from '../../src/control/consensus/acceptor';
+import { Owner } from '../../src/control/consensus/key-owner';
+import { Line, Slots } from '../../src/control/storage/control-store';
+import { Fault, Outcome } from '../../src/shared/errors/errors';
+import { Disk } from '../../src/shared/ports/ports';
+import { Numbered, Voter, Voters } from '../../src/shared/state/words';
 import { InvariantName } from './invariants';
 
 /** One mechanism left out; what is absent stays as it is. */
--- a/tools/model/network.ts
+++ b/tools/model/network.ts
@@ -1,7 +1,7 @@
 /** Requests between modelled processes: each request, answer, loss, duplicate and time-out is an event. */
 import { Left } from 'purify-ts';
-import { makeFault, Outcome } from '../../src/shared/errors';
-import { noConnection } from '../../src/shared/connections';
+import { makeFault, Outcome } from '../../src/shared/errors/errors';
+import { noConnection } from '../../src/shared/transport/connections';
 import { Host, ModelEvent, Scheduler } from './scheduler';
 
 /** A process that sends and takes requests. */
--- a/tools/model/node.ts
+++ b/tools/model/node.ts
@@ -1,20 +1,25 @@
 /** One modelled core machine: a folder that stays, and lives of a process that runs the control code on it. */
 import { Right } from 'purify-ts';
-import { Changed, makeChanges } from '../../src/control/changes';
-import { DocumentReader } from '../../src/control/deployment';
-import { Operation } from '../../src/control/operations';
-import { ControlEdge } from '../../src/control/peers';
-import { ReadEdge, ReadParts, readNewest, readSettled } from '../../src/control/read';
-import { Acceptor, Reach } from '../../src/control/acceptor';
-import { makeOwner, Owner } from '../../src/control/register';
-import { openSlots, Slots } from '../../src/control/slots';
-import { Exchange } from '../../src/shared/connections';
-import { dispatch } from '../../src/shared/edge';
-import { bad, open, Outcome } from '../../src/shared/errors';
-import { Dice, Ports } from '../../src/shared/ports';
-import { Bounds } from '../../src/shared/bounds';
-import { Settings } from '../../src/shared/settings';
-import { allVoters, KEYS, Numbered, Voter, Voters } from '../../src/shared/words';
+import { Changed, makeChanges } from '../../src/control/configuration/change-coordinator';
+import { DocumentReader } from '../../src/control/configuration/deployment-change';
+import { Operation } from '../../src/control/configuration/operations';
+import { ControlEdge } from '../../src/control/peer-handlers';
+import {
+  ReadEdge,
+  ReadParts,
+  readNewest,
+  readSettled,
+} from '../../src/control/consensus/linearizable-read';
+import { Acceptor, Reach } from '../../src/control/consensus/acceptor';
+import { makeOwner, Owner } from '../../src/control/consensus/key-owner';
+import { openSlots, Slots } from '../../src/control/storage/control-store';
+import { Exchange } from '../../src/shared/transport/connections';
+import { dispatch } from '../../src/shared/transport/handlers';
+import { bad, open, Outcome } from '../../src/shared/errors/errors';
+import { Dice, Ports } from '../../src/shared/ports/ports';
+import { Bounds } from '../../src/shared/settings/time-limits';
+import { Settings } from '../../src/shared/settings/settings';
+import { allVoters, KEYS, Numbered, Voter, Voters } from '../../src/shared/state/words';
 import { Folder, makeFolder } from './disk';
 import { Checker } from './invariants';
 import { Mutation } from './mutations';
--- a/tools/model/operators.ts
+++ b/tools/model/operators.ts
@@ -1,9 +1,9 @@
 /** Modelled operators: each sends orders and reads by a short script, and tries again elsewhere where an answer isn't clear. */
 import { Left } from 'purify-ts';
-import { Changed } from '../../src/control/changes';
-import { Operation } from '../../src/control/operations';
-import { Fault, makeFault, open, Outcome } from '../../src/shared/errors';
-import { KEYS, Numbered } from '../../src/shared/words';
+import { Changed } from '../../src/control/configuration/change-coordinator';
+import { Operation } from '../../src/control/configuration/operations';
+import { Fault, makeFault, open, Outcome } from '../../src/shared/errors/errors';
+import { KEYS, Numbered } from '../../src/shared/state/words';
 import { Checker, Order, versionOf } from './invariants';
 import { Mutation } from './mutations';
 import { Endpoint, Network } from './network';
--- a/tools/model/replace.ts
+++ b/tools/model/replace.ts
@@ -1,15 +1,15 @@
 /** A change of the voters as an operator orders it: the real joint set over the modelled nodes, with stand-ins for leases and votes. */
 import { Right } from 'purify-ts';
-import { Changed } from '../../src/control/changes';
+import { Changed } from '../../src/control/configuration/change-coordinator';
 import { Controller } from '../../src/control/controller';
-import { Operation } from '../../src/control/operations';
-import { Owner } from '../../src/control/register';
-import { Slots } from '../../src/control/slots';
-import { moveVoters } from '../../src/control/voters';
-import { Handled, message } from '../../src/shared/edge';
-import { bad, Outcome } from '../../src/shared/errors';
-import { Ports } from '../../src/shared/ports';
-import { comparePlaces, KEYS, Numbered, Place, Voter, Voters } from '../../src/shared/words';
+import { Operation } from '../../src/control/configuration/operations';
+import { Owner } from '../../src/control/consensus/key-owner';
+import { Slots } from '../../src/control/storage/control-store';
+import { moveVoters } from '../../src/control/membership/reconfiguration';
+import { Handled, message } from '../../src/shared/transport/handlers';
+import { bad, Outcome } from '../../src/shared/errors/errors';
+import { Ports } from '../../src/shared/ports/ports';
+import { comparePlaces, KEYS, Numbered, Place, Voter, Voters } from '../../src/shared/state/words';
 
 /** What a node answers beside the registers while voters change: no router holds a lease, and no vote was given. */
 export class VotersEdge {
--- a/tools/model/world.ts
+++ b/tools/model/world.ts
@@ -1,8 +1,8 @@
 /** One run of a modelled world: it lists the enabled events, runs the chosen one, and has the checkers look. */
-import { openSlots } from '../../src/control/slots';
-import { Outcome, open } from '../../src/shared/errors';
-import { Dice, Ports } from '../../src/shared/ports';
-import { comparePlaces, KEYS, Numbered, Voter, Voters } from '../../src/shared/words';
+import { openSlots } from '../../src/control/storage/control-store';
+import { Outcome, open } from '../../src/shared/errors/errors';
+import { Dice, Ports } from '../../src/shared/ports/ports';
+import { comparePlaces, KEYS, Numbered, Voter, Voters } from '../../src/shared/state/words';
 import { Checker, DurableDisk, HeldCell, makeChecker, Violation } from './invariants';
 import { Faults, makeFaults } from './faults';
 import { Mutation, UNCHANGED } from './mutations';
--- a/tools/model/worlds.ts
+++ b/tools/model/worlds.ts
@@ -1,5 +1,5 @@
 /** The small worlds that are checked. */
-import { KEYS } from '../../src/shared/words';
+import { KEYS } from '../../src/shared/state/words';
 import { Step, WEIGHTS_KEY } from './operators';
 
 /** How many faults of each kind a schedule may have. */
--- a/tools/sim/dice.ts
+++ b/tools/sim/dice.ts
@@ -1,4 +1,4 @@
-import { Dice } from '../../src/shared/ports';
+import { Dice } from '../../src/shared/ports/ports';
 
 /** Randomness from a seed, the same every run. */
 export function seededDice(seed: number): Dice {
--- a/tools/sim/feeds.ts
+++ b/tools/sim/feeds.ts
@@ -1,5 +1,5 @@
 import { Command } from 'commander';
-import { WirePart } from '../../src/shared/loads';
+import { WirePart } from '../../src/shared/contracts/indexer';
 import { KvSource } from '../standins/kvsource';
 import { seededDice } from './dice';
 import { makeScene, SALT, Scene } from './feedscene';
--- a/tools/sim/news/play.ts
+++ b/tools/sim/news/play.ts
@@ -1,8 +1,8 @@
 /** Plays changes at a rate over many followers behind thin links, and measures how they get there. */
-import { DeploymentValue } from '../../../src/shared/deployment';
-import { open } from '../../../src/shared/errors';
-import { Message } from '../../../src/shared/ports';
-import { Engine, KEYS, Numbered } from '../../../src/shared/words';
+import { DeploymentValue } from '../../../src/shared/state/deployment';
+import { open } from '../../../src/shared/errors/errors';
+import { Message } from '../../../src/shared/ports/ports';
+import { Engine, KEYS, Numbered } from '../../../src/shared/state/words';
 import { drawnDocument, drawnRoute, makeNewsRig, NewsRig, ProcessorShares } from './rig';
 
 /** What is played. */
--- a/tools/sim/news/rig.ts
+++ b/tools/sim/news/rig.ts
@@ -1,13 +1,18 @@
 import { Controller, startController } from '../../../src/control/controller';
-import { DeploymentValue } from '../../../src/shared/deployment';
-import { Hello, HelloEdge, converse, WIRE_VERSION } from '../../../src/shared/connections';
-import { open, Outcome } from '../../../src/shared/errors';
-import { wholeHash } from '../../../src/shared/lib';
-import { follow, Follower } from '../../../src/shared/follow';
-import { Connection, Ports } from '../../../src/shared/ports';
-import { boundsOf } from '../../../src/shared/bounds';
-import { defaultSettings, Settings } from '../../../src/shared/settings';
-import { KEYS, Member } from '../../../src/shared/words';
+import { DeploymentValue } from '../../../src/shared/state/deployment';
+import {
+  Hello,
+  HelloEdge,
+  converse,
+  WIRE_VERSION,
+} from '../../../src/shared/transport/connections';
+import { open, Outcome } from '../../../src/shared/errors/errors';
+import { wholeHash } from '../../../src/shared/util/lib';
+import { follow, Follower } from '../../../src/shared/replication/follower';
+import { Connection, Ports } from '../../../src/shared/ports/ports';
+import { boundsOf } from '../../../src/shared/settings/time-limits';
+import { defaultSettings, Settings } from '../../../src/shared/settings/settings';
+import { KEYS, Member } from '../../../src/shared/state/words';
 import { platform } from '../../../platform/dialect';
 import { makeProcessors } from '../processors';
 import { makeNet, SimNet } from '../simwire';
--- a/tools/sim/overlap.ts
+++ b/tools/sim/overlap.ts
@@ -1,5 +1,5 @@
 import { Command } from 'commander';
-import { IntentsValue, KEYS } from '../../src/shared/words';
+import { IntentsValue, KEYS } from '../../src/shared/state/words';
 import { Seen } from '../standins/callers';
 import { DEPLOYMENTS } from '../standins/deploy';
 import { Fault } from './simfaults';
--- a/tools/sim/placing.ts
+++ b/tools/sim/placing.ts
@@ -1,6 +1,6 @@
 import { Command } from 'commander';
 import { Part } from '../../src/shared/contracts/engine';
-import { EngineLoad, OverlapAnswer } from '../../src/shared/loads';
+import { EngineLoad, OverlapAnswer } from '../../src/shared/contracts/indexer';
 import { makePlacement } from '../../src/data/gateway/placement';
 import {
   EngineSpot,
@@ -11,7 +11,7 @@
   PoolView,
   Underway,
 } from '../../src/data/gateway/placement-types';
-import { Dice } from '../../src/shared/ports';
+import { Dice } from '../../src/shared/ports/ports';
 import { makeAgenda } from './agenda';
 import { makePartCache, PartCache } from './partcache';
 import { seededDice } from './dice';
--- a/tools/sim/simcore.ts
+++ b/tools/sim/simcore.ts
@@ -1,5 +1,5 @@
 import { Controller } from '../../src/control/controller';
-import { allVoters, IntentsValue, Voter } from '../../src/shared/words';
+import { allVoters, IntentsValue, Voter } from '../../src/shared/state/words';
 import { askCore, SimFleet, simIntents } from './simfleet';
 import { Proc } from './simworld';
 
--- a/tools/sim/simfaults.ts
+++ b/tools/sim/simfaults.ts
@@ -1,4 +1,4 @@
-import { Dice } from '../../src/shared/ports';
+import { Dice } from '../../src/shared/ports/ports';
 import { EngineWays } from '../standins/engineways';
 import { SimFleet } from './simfleet';
 import { Proc } from './simworld';
--- a/tools/sim/simops.ts
+++ b/tools/sim/simops.ts
@@ -1,5 +1,5 @@
-import { open } from '../../src/shared/errors';
-import { askJson, finishReply, lineReader, parseJson } from '../../src/shared/lib';
+import { open } from '../../src/shared/errors/errors';
+import { askJson, finishReply, lineReader, parseJson } from '../../src/shared/util/lib';
 import { askCore, SimFleet, simIntents } from './simfleet';
 
 /** What operators were told, and what that lets us expect. */
--- a/tools/sim/simwire.ts
+++ b/tools/sim/simwire.ts
@@ -1,5 +1,5 @@
 import { Left, Right } from 'purify-ts';
-import { makeFault, Outcome } from '../../src/shared/errors';
+import { makeFault, Outcome } from '../../src/shared/errors/errors';
 import {
   Ask,
   Call,
@@ -9,7 +9,7 @@
   Reply,
   Connection,
   Wire,
-} from '../../src/shared/ports';
+} from '../../src/shared/ports/ports';
 import { Proc, World } from './simworld';
 import { makePipes, NetWays, Pipe, PipeEnds } from './simpipe';
 import { ThinLinks } from './thin-links';
--- a/tools/sim/simworld.ts
+++ b/tools/sim/simworld.ts
@@ -1,7 +1,7 @@
 import { Left, Right } from 'purify-ts';
-import { withSuspension } from '../../src/shared/clock';
-import { makeFault, Outcome } from '../../src/shared/errors';
-import { Clock, Dice, Disk, Log } from '../../src/shared/ports';
+import { withSuspension } from '../../src/shared/system/suspension-clock';
+import { makeFault, Outcome } from '../../src/shared/errors/errors';
+import { Clock, Dice, Disk, Log } from '../../src/shared/ports/ports';
 import { seededDice } from './dice';
 import { makeEventHeap, SimEvent } from './event-heap';
 import { Processors } from './processors';
--- a/tools/sim/without.ts
+++ b/tools/sim/without.ts
@@ -1,8 +1,8 @@
 import { Right } from 'purify-ts';
-import * as leases from '../../src/control/leases';
+import * as leases from '../../src/control/leases/lease-registry';
 import type { Controller } from '../../src/control/controller';
-import * as duties from '../../src/control/duties';
-import * as slots from '../../src/control/slots';
+import * as duties from '../../src/control/singletons/background-tasks';
+import * as slots from '../../src/control/storage/control-store';
 import { CallerApi } from '../../src/data/api';
 import * as engines from '../../src/data/engines';
 import * as router from '../../src/data/router';
@@ -11,15 +11,15 @@
 import * as tree from '../../src/index/tree';
 import * as engine from '../../src/shared/contracts/engine';
 import * as platform from '../../src/shared/contracts/platform';
-import * as delta from '../../src/shared/delta';
-import { Outcome } from '../../src/shared/errors';
-import * as clock from '../../src/shared/clock';
-import * as follow from '../../src/shared/follow';
-import { Call, Ports } from '../../src/shared/ports';
-import * as bounds from '../../src/shared/bounds';
-import { Settings } from '../../src/shared/settings';
-import { Engine, Intents } from '../../src/shared/words';
-import * as operations from '../../src/control/operations';
+import * as delta from '../../src/shared/replication/delta';
+import { Outcome } from '../../src/shared/errors/errors';
+import * as clock from '../../src/shared/system/suspension-clock';
+import * as follow from '../../src/shared/replication/follower';
+import { Call, Ports } from '../../src/shared/ports/ports';
+import * as bounds from '../../src/shared/settings/time-limits';
+import { Settings } from '../../src/shared/settings/settings';
+import { Engine, Intents } from '../../src/shared/state/words';
+import * as operations from '../../src/control/configuration/operations';
 
 type Patch = Record<string, (...x: never[]) => unknown>;
 
--- a/tools/sim/worst/core.ts
+++ b/tools/sim/worst/core.ts
@@ -1,10 +1,10 @@
 /** The controllers of a worst day, and what troubles them now. */
 import { Controller, startController } from '../../../src/control/controller';
-import { serveDeployment } from '../../../src/control/deployment-api';
-import { startDuties } from '../../../src/control/duties';
-import { open } from '../../../src/shared/errors';
-import { allVoters, KEYS } from '../../../src/shared/words';
-import { defaultSettings, Settings } from '../../../src/shared/settings';
+import { serveDeployment } from '../../../src/control/api/deployment-api';
+import { startDuties } from '../../../src/control/singletons/background-tasks';
+import { open } from '../../../src/shared/errors/errors';
+import { allVoters, KEYS } from '../../../src/shared/state/words';
+import { defaultSettings, Settings } from '../../../src/shared/settings/settings';
 import { platform } from '../../../platform/dialect';
 import { makeNet, SimNet } from '../simwire';
 import { makeWorld, Proc, World } from '../simworld';
--- a/tools/sim/worst/day.ts
+++ b/tools/sim/worst/day.ts
@@ -1,8 +1,8 @@
 /** A worst day: storms of operators' changes over a core in trouble, and what is judged of it. */
-import { open } from '../../../src/shared/errors';
+import { open } from '../../../src/shared/errors/errors';
 import { checkHistory, sayVerdict } from '../../../src/shared/history/verdict';
-import { KEYS } from '../../../src/shared/words';
-import { NamedWeights } from '../../../src/shared/weights';
+import { KEYS } from '../../../src/shared/state/words';
+import { NamedWeights } from '../../../src/shared/state/weights';
 import { HistoryRecorder, makeHistoryRecorder } from '../../history/record';
 import { seededDice } from '../dice';
 import { CoreWays, makeWorstCore, Member, WorstCore } from './core';
--- a/tools/sim/worst/orders.ts
+++ b/tools/sim/worst/orders.ts
@@ -1,6 +1,6 @@
 /** What operators of worst days ask for. */
 import { CallKind } from '../../../src/shared/history/calls';
-import { Dice } from '../../../src/shared/ports';
+import { Dice } from '../../../src/shared/ports/ports';
 import { platform } from '../../../platform/dialect';
 import {
   applyRouteChange,
--- a/tools/sim/worst/storm.ts
+++ b/tools/sim/worst/storm.ts
@@ -1,7 +1,7 @@
 /** Two operators who send hundreds of changes, several at once, and send them again where no answer came. */
 import { CallAnswer, RefusalReason } from '../../../src/shared/history/calls';
-import { open } from '../../../src/shared/errors';
-import { askJson } from '../../../src/shared/lib';
+import { open } from '../../../src/shared/errors/errors';
+import { askJson } from '../../../src/shared/util/lib';
 import { platform } from '../../../platform/dialect';
 import { HistoryRecorder } from '../../history/record';
 import { httpOf, Member, WorstCore } from './core';
--- a/tools/standins/callers.ts
+++ b/tools/standins/callers.ts
@@ -1,8 +1,8 @@
 import { Part, splitParts } from '../../src/shared/contracts/engine';
-import { open } from '../../src/shared/errors';
-import { finishReply, lineReader, parseJson } from '../../src/shared/lib';
-import { Ports } from '../../src/shared/ports';
-import { Intents, Service } from '../../src/shared/words';
+import { open } from '../../src/shared/errors/errors';
+import { finishReply, lineReader, parseJson } from '../../src/shared/util/lib';
+import { Ports } from '../../src/shared/ports/ports';
+import { Intents, Service } from '../../src/shared/state/words';
 
 /** How callers behave. */
 export interface CallerWays {
--- a/tools/standins/core.ts
+++ b/tools/standins/core.ts
@@ -1,8 +1,14 @@
 import { Right } from 'purify-ts';
-import { converse, Exchange, Hello, HelloEdge, WIRE_VERSION } from '../../src/shared/connections';
-import { Handled, message } from '../../src/shared/edge';
-import { Connection, Ports } from '../../src/shared/ports';
-import { Member, Numbered, Voters } from '../../src/shared/words';
+import {
+  converse,
+  Exchange,
+  Hello,
+  HelloEdge,
+  WIRE_VERSION,
+} from '../../src/shared/transport/connections';
+import { Handled, message } from '../../src/shared/transport/handlers';
+import { Connection, Ports } from '../../src/shared/ports/ports';
+import { Member, Numbered, Voters } from '../../src/shared/state/words';
 
 /** A stand-in for a core of one controller: it grants every lease and tells what it is given. */
 export interface StandInCore {
--- a/tools/standins/deploy.ts
+++ b/tools/standins/deploy.ts
@@ -1,4 +1,4 @@
-import { Engine, Intents, Service, Tenant } from '../../src/shared/words';
+import { Engine, Intents, Service, Tenant } from '../../src/shared/state/words';
 import { EngineWays } from './engineways';
 
 /** The shape of one of the two deployments, on one machine's loopback addresses. */
--- a/tools/standins/engine.ts
+++ b/tools/standins/engine.ts
@@ -1,9 +1,15 @@
 import { EngineLine, EngineOrder, GenerateAsk, Part } from '../../src/shared/contracts/engine';
-import { giveFault, giveJson, handles, takeCalls, takeJson } from '../../src/shared/edge';
-import { Outcome } from '../../src/shared/errors';
-import { askJson } from '../../src/shared/lib';
-import { Call, Listening, Ports } from '../../src/shared/ports';
-import { compareEpochs } from '../../src/shared/words';
+import {
+  giveFault,
+  giveJson,
+  handles,
+  takeCalls,
+  takeJson,
+} from '../../src/shared/transport/handlers';
+import { Outcome } from '../../src/shared/errors/errors';
+import { askJson } from '../../src/shared/util/lib';
+import { Call, Listening, Ports } from '../../src/shared/ports/ports';
+import { compareEpochs } from '../../src/shared/state/words';
 import { EngineCache, Kept, makeEngineCache } from './enginecache';
 import { EngineWays, LedgerEntry } from './engineways';
 
--- a/tools/standins/enginecache.ts
+++ b/tools/standins/enginecache.ts
@@ -3,7 +3,7 @@
  */
 
 import { EventBatch, EventsAnswer, Part, PartEvent } from '../../src/shared/contracts/engine';
-import { Ports } from '../../src/shared/ports';
+import { Ports } from '../../src/shared/ports/ports';
 import { EngineWays } from './engineways';
 
 /** A part that an engine keeps, and for whom it was read. */
--- a/tools/standins/kvsource.ts
+++ b/tools/standins/kvsource.ts
@@ -1,5 +1,5 @@
-import { giveJson } from '../../src/shared/edge';
-import { Call, Clock } from '../../src/shared/ports';
+import { giveJson } from '../../src/shared/transport/handlers';
+import { Call, Clock } from '../../src/shared/ports/ports';
 
 type Told = [number: number, sign: string, salt: string, id: string, kept: number, model: string];
 
--- a/tools/standins/links.ts
+++ b/tools/standins/links.ts
@@ -1,7 +1,7 @@
 import net from 'node:net';
-import { giveJson, handles, takeCalls, takeJson } from '../../src/shared/edge';
-import { Outcome } from '../../src/shared/errors';
-import { Call, Listening, Ports } from '../../src/shared/ports';
+import { giveJson, handles, takeCalls, takeJson } from '../../src/shared/transport/handlers';
+import { Outcome } from '../../src/shared/errors/errors';
+import { Call, Listening, Ports } from '../../src/shared/ports/ports';
 
 /** The stand-in for the network: it listens where processes say they are, and passes to where they bind. */
 export interface LinkWays {
--- a/tools/standins/platform.ts
+++ b/tools/standins/platform.ts
@@ -1,7 +1,7 @@
-import { giveJson, handles, takeCalls, takeJson } from '../../src/shared/edge';
-import { Outcome } from '../../src/shared/errors';
-import { Call, Listening, Ports } from '../../src/shared/ports';
-import { Engine } from '../../src/shared/words';
+import { giveJson, handles, takeCalls, takeJson } from '../../src/shared/transport/handlers';
+import { Outcome } from '../../src/shared/errors/errors';
+import { Call, Listening, Ports } from '../../src/shared/ports/ports';
+import { Engine } from '../../src/shared/state/words';
 
 /** The stand-in platform's list, which a test or the runner changes. */
 class PlatformEdge {
--- a/tools/standins/platform/cache.ts
+++ b/tools/standins/platform/cache.ts
@@ -1,4 +1,4 @@
-import { Clock, Dice } from '../../../src/shared/ports';
+import { Clock, Dice } from '../../../src/shared/ports/ports';
 
 /** One kept part: its tokens were read by a run of one tenant under one version. */
 export interface KeptPart {
--- a/tools/standins/platform/day.ts
+++ b/tools/standins/platform/day.ts
@@ -1,4 +1,4 @@
-import { Clock, Dice } from '../../../src/shared/ports';
+import { Clock, Dice } from '../../../src/shared/ports/ports';
 import { Book, ConfigDoc, makeBook } from './book';
 import { Clients, ClientWays, makeClients } from './clients';
 import { EngineLife, startEngine } from './engine';
--- a/tools/standins/platform/entry.ts
+++ b/tools/standins/platform/entry.ts
@@ -1,6 +1,6 @@
 import http from 'node:http';
-import { Clock } from '../../../src/shared/ports';
-import { rendezvous } from '../../../src/shared/lib';
+import { Clock } from '../../../src/shared/ports/ports';
+import { rendezvous } from '../../../src/shared/util/lib';
 import { each, kept, splitAt } from './serve';
 
 /** An edge node, as the platform's entry knows it. */
--- a/tools/standins/platform/ground.ts
+++ b/tools/standins/platform/ground.ts
@@ -1,4 +1,4 @@
-import { Clock, Dice } from '../../../src/shared/ports';
+import { Clock, Dice } from '../../../src/shared/ports/ports';
 import { Book } from './book';
 import { Keeper } from './cache';
 import { Door, DoorWays, Exchange, openDoor } from './serve';
--- a/tools/standins/platform/serve.ts
+++ b/tools/standins/platform/serve.ts
@@ -1,7 +1,7 @@
 import http from 'node:http';
 import net from 'node:net';
-import { open } from '../../../src/shared/errors';
-import { Call, Clock, Wire } from '../../../src/shared/ports';
+import { open } from '../../../src/shared/errors/errors';
+import { Call, Clock, Wire } from '../../../src/shared/ports/ports';
 
 /** One request that reached a stand-in, and the ways to answer it, also badly. */
 export interface Exchange {
--- a/tools/standins/standin.ts
+++ b/tools/standins/standin.ts
@@ -1,7 +1,7 @@
 import { appendFileSync } from 'node:fs';
-import { Ports } from '../../src/shared/ports';
-import { realClock, realDice, realDisk, realLog } from '../../src/shared/real';
-import { realWire } from '../../src/shared/realwire';
+import { Ports } from '../../src/shared/ports/ports';
+import { realClock, realDice, realDisk, realLog } from '../../src/shared/system/system-ports';
+import { realWire } from '../../src/shared/system/tcp-network';
 import { startEngine } from './engine';
 import { EngineWays, LedgerEntry } from './engineways';
 import { startLinks } from './links';
