--- a/src/control/api/call-draining.ts
+++ b/src/control/api/call-draining.ts
@@ -1,5 +1,5 @@
-import { Call, Clock, Listening, Wire } from '../../shared/ports/ports';
-import { Bounds } from '../../shared/settings/time-limits';
+import { IncomingRequest, Clock, Listener, Network } from '../../shared/ports/ports';
+import { TimeLimits } from '../../shared/settings/time-limits';
 
 /** How often it is looked whether calls are under way, as a share of `pause`. */
 const LOOK = 0.1;
@@ -7,17 +7,20 @@
 /** Calls that a process has taken and not answered yet. */
 export interface CallCounter {
   /** A wire whose served calls are counted. */
-  wire: Wire;
-  underWay(): number;
+  network: Network;
+  inFlight(): number;
 }
 
 /** Counts the calls that are served by a wire. */
-export function countCalls(wire: Wire): CallCounter {
+export function countCalls(wire: Network): CallCounter {
   let open = 0;
 
-  function serve(at: string, take: (call: Call) => Promise<void>): ReturnType<Wire['serve']> {
-    return wire.serve(at, counted);
-    async function counted(call: Call): Promise<void> {
+  function serve(
+    at: string,
+    take: (call: IncomingRequest) => Promise<void>,
+  ): ReturnType<Network['serveHttp']> {
+    return wire.serveHttp(at, counted);
+    async function counted(call: IncomingRequest): Promise<void> {
       open++;
       await take(call);
       open--;
@@ -28,22 +31,22 @@
     return open;
   }
 
-  return { wire: { ...wire, serve }, underWay };
+  return { network: { ...wire, serveHttp: serve }, inFlight: underWay };
 }
 
 /** What ending the service of calls needs. */
-export interface EndServiceParts {
+export interface CallDrainingDependencies {
   clock: Clock;
-  bounds: Bounds;
-  listening: Listening;
+  timeLimits: TimeLimits;
+  listener: Listener;
   calls: CallCounter;
 }
 
 /** Takes no further connections and comes back once each call that was taken is answered, or that took too long. */
-export async function endService(p: EndServiceParts): Promise<void> {
-  const closed = p.listening.close();
-  const until = p.clock.now() + p.bounds.lastCalls;
-  while (p.calls.underWay() > 0 && p.clock.now() < until)
-    await p.clock.sleep(p.bounds.pause * LOOK);
-  await Promise.race([closed, p.clock.sleep(p.bounds.pause)]);
+export async function drainCalls(p: CallDrainingDependencies): Promise<void> {
+  const closed = p.listener.close();
+  const until = p.clock.now() + p.timeLimits.callDrainTimeoutMs;
+  while (p.calls.inFlight() > 0 && p.clock.now() < until)
+    await p.clock.sleep(p.timeLimits.retryPauseMs * LOOK);
+  await Promise.race([closed, p.clock.sleep(p.timeLimits.retryPauseMs)]);
 }
--- a/src/control/api/deployment-api.ts
+++ b/src/control/api/deployment-api.ts
@@ -1,14 +1,19 @@
-import { Dialect } from '../../shared/platform-adapter/platform-adapter';
-import { giveFault, giveJson, takeCalls, takeJson } from '../../shared/transport/handlers';
-import { Fault, open, Outcome } from '../../shared/errors/errors';
-import { Call, Listening, Ports } from '../../shared/ports/ports';
+import { PlatformAdapter } from '../../shared/platform-adapter/platform-adapter';
+import {
+  sendError,
+  sendJson,
+  makeRequestListener,
+  readJsonBody,
+} from '../../shared/transport/handlers';
+import { OperationError, errorOrValue, Result } from '../../shared/errors/errors';
+import { IncomingRequest, Listener, Ports } from '../../shared/ports/ports';
 import { DeploymentValue } from '../../shared/state/deployment';
 import { withTimeout } from '../../shared/concurrency/timeout';
-import { KEYS } from '../../shared/state/words';
+import { CONTROL_KEYS } from '../../shared/state/words';
 import { OperatorApi } from './operator-api';
-import { Changed } from '../configuration/change-coordinator';
+import { ChangeResult } from '../configuration/change-coordinator';
 import { Controller } from '../controller';
-import { makeOrder } from '../configuration/deployment-change';
+import { makeDeploymentOperation } from '../configuration/deployment-change';
 import { Operation } from '../configuration/operations';
 
 /** How long a call is worked on before its caller is sent on to another controller, as a share of `ackMs`. */
@@ -24,12 +29,12 @@
 export function serveDeployment(
   c: Controller,
   ports: Ports,
-  dialect: Dialect,
-): Promise<Outcome<Listening>> {
+  dialect: PlatformAdapter,
+): Promise<Result<Listener>> {
   const { paths } = dialect.operators;
-  const own = takeCalls([new OperatorApi(c, ports)], ports.log);
+  const own = makeRequestListener([new OperatorApi(c, ports)], ports.logger);
 
-  async function take(call: Call): Promise<void> {
+  async function take(call: IncomingRequest): Promise<void> {
     if (call.path === paths.replace || call.path === paths.update) return put(call);
     if (call.path === paths.weights) return nameWeights(call);
     if (call.path === paths.describe) return describe(call);
@@ -42,46 +47,46 @@
   }
 
   /** Has a result while its caller still listens, or a fault of unknown fate. */
-  function inTime<T>(step: string, result: Promise<Outcome<T>>): Promise<Outcome<T>> {
+  function inTime<T>(step: string, result: Promise<Result<T>>): Promise<Result<T>> {
     return withTimeout(ports.clock, answerWithin(), step, c.name, result);
   }
 
-  function change(op: Operation): Promise<Outcome<Changed>> {
+  function change(op: Operation): Promise<Result<ChangeResult>> {
     return inTime('change', tryChange(op));
   }
 
   /** Tries a change; one whose fate is open is tried again, since one that was taken is known again. */
-  async function tryChange(op: Operation): Promise<Outcome<Changed>> {
+  async function tryChange(op: Operation): Promise<Result<ChangeResult>> {
     const until = ports.clock.now() + answerWithin();
     for (;;) {
       const o = await c.change(op);
-      const [f] = open(o);
-      if (!f || isClear(f) || ports.clock.now() + c.bounds.pause > until) return o;
-      await ports.clock.sleep(c.bounds.pause * (0.3 + 0.4 * ports.dice.next()));
+      const [f] = errorOrValue(o);
+      if (!f || isClear(f) || ports.clock.now() + c.timeLimits.retryPauseMs > until) return o;
+      await ports.clock.sleep(c.timeLimits.retryPauseMs * (0.3 + 0.4 * ports.random.next()));
     }
   }
 
-  function refuse(call: Call, f: Fault): void {
-    if (f.code === 'conflict') return giveFault(call, 412, 'refused', 'conflict', f.why);
+  function refuse(call: IncomingRequest, f: OperationError): void {
+    if (f.code === 'conflict') return sendError(call, 412, 'refused', 'conflict', f.reason);
     if (f.code === 'bad-deployment')
-      return giveFault(call, 400, 'refused', 'bad-deployment', f.why);
-    giveFault(
+      return sendError(call, 400, 'refused', 'bad-deployment', f.reason);
+    sendError(
       call,
       503,
-      f.sort,
+      f.certainty,
       f.code ?? 'unknown',
-      `${f.step} at ${f.peer}: ${f.why}`,
-      c.bounds.pause,
+      `${f.step} at ${f.peer}: ${f.reason}`,
+      c.timeLimits.retryPauseMs,
     );
   }
 
-  async function put(call: Call): Promise<void> {
-    if (call.method !== 'POST') return giveFault(call, 405, 'refused', 'bad-method', call.method);
-    const body = await takeJson(call, c.settings.bodyMostBytes);
+  async function put(call: IncomingRequest): Promise<void> {
+    if (call.method !== 'POST') return sendError(call, 405, 'refused', 'bad-method', call.method);
+    const body = await readJsonBody(call, c.settings.bodyMostBytes);
     if (body === undefined) return;
     const base = dialect.operators.baseVersion(call.headers);
     if (base === undefined)
-      return giveFault(
+      return sendError(
         call,
         400,
         'refused',
@@ -89,38 +94,40 @@
         'the version that this builds on is missing',
       );
     const kind = call.path === paths.update ? 'update' : 'replace';
-    const [f] = open(await change(makeOrder(base, kind, body)));
+    const [f] = errorOrValue(await change(makeDeploymentOperation(base, kind, body)));
     if (f && f.code !== 'stands') return refuse(call, f);
-    giveJson(call, 200, { taken: true });
+    sendJson(call, 200, { taken: true });
   }
 
-  async function nameWeights(call: Call): Promise<void> {
-    if (call.method !== 'POST') return giveFault(call, 405, 'refused', 'bad-method', call.method);
-    const body = await takeJson(call, c.settings.bodyMostBytes);
+  async function nameWeights(call: IncomingRequest): Promise<void> {
+    if (call.method !== 'POST') return sendError(call, 405, 'refused', 'bad-method', call.method);
+    const body = await readJsonBody(call, c.settings.bodyMostBytes);
     if (body === undefined) return;
     const w = dialect.operators.weights(body);
-    if (w.isLeft()) return giveFault(call, 400, 'refused', 'bad-weights', String(w.extract()));
+    if (w.isLeft()) return sendError(call, 400, 'refused', 'bad-weights', String(w.extract()));
     const { model, weights, rank } = w.extract() as {
       model: string;
       weights: string;
       rank: number;
     };
-    const [f] = open(await change({ kind: 'weights', model, weights, rank }));
+    const [f] = errorOrValue(await change({ kind: 'weights', model, weights, rank }));
     if (f && f.code !== 'stands') return refuse(call, f);
-    giveJson(call, 200, { model, weights });
+    sendJson(call, 200, { model, weights });
   }
 
-  async function describe(call: Call): Promise<void> {
-    const [f, n] = open(await inTime('describe', c.newest(KEYS.deployment)));
+  async function describe(call: IncomingRequest): Promise<void> {
+    const [f, n] = errorOrValue(
+      await inTime('describe', c.readLinearizable(CONTROL_KEYS.deployment)),
+    );
     if (f) return refuse(call, f);
-    if (!n) return giveFault(call, 404, 'refused', 'none', 'there is no deployment yet');
-    giveJson(call, 200, (n.value as DeploymentValue).doc);
+    if (!n) return sendError(call, 404, 'refused', 'none', 'there is no deployment yet');
+    sendJson(call, 200, (n.value as DeploymentValue).doc);
   }
 
-  return ports.wire.serve(c.settings.http, take);
+  return ports.network.serveHttp(c.settings.http, take);
 }
 
 /** Whether trying again here can tell no more. */
-function isClear(f: Fault): boolean {
+function isClear(f: OperationError): boolean {
   return FINAL_CODES.has(f.code ?? '');
 }
--- a/src/control/api/operator-api.ts
+++ b/src/control/api/operator-api.ts
@@ -1,42 +1,42 @@
-import { Fault, open, Outcome } from '../../shared/errors/errors';
+import { OperationError, errorOrValue, Result } from '../../shared/errors/errors';
 import {
-  field,
-  giveFault,
-  giveJson,
-  handles,
-  takeAs,
-  takeCalls,
+  bodyField,
+  sendError,
+  sendJson,
+  httpHandler,
+  readBodyAs,
+  makeRequestListener,
 } from '../../shared/transport/handlers';
-import { wholeHash } from '../../shared/util/lib';
+import { sha256Hex } from '../../shared/util/lib';
 import { isId } from '../../shared/settings/validators';
-import { Call, Listening, Ports } from '../../shared/ports/ports';
-import { IntentsValue, KEYS, Place } from '../../shared/state/words';
-import { checkIntents } from '../configuration/intents-validation';
-import { Changed } from '../configuration/change-coordinator';
+import { IncomingRequest, Listener, Ports } from '../../shared/ports/ports';
+import { IntentsValue, CONTROL_KEYS, Version } from '../../shared/state/words';
+import { validateIntents } from '../configuration/intents-validation';
+import { ChangeResult } from '../configuration/change-coordinator';
 import { Controller } from '../controller';
 import { NamedWeights } from '../../shared/state/weights';
 import { Operation, TenantKeys } from '../configuration/operations';
 import { reached } from '../peer-handlers';
-import { voterRows, votersStatus } from '../membership/voter-status';
+import { voterMetricRows, readVoterStatus } from '../membership/voter-status';
 import { replaceVoter } from '../membership/reconfiguration';
 
 class ApplyAsk {
-  @field('number') basedOn!: number;
-  @field('object') intents!: object;
-  @field('boolean', false) dryRun?: boolean;
+  @bodyField('number') basedOn!: number;
+  @bodyField('object') intents!: object;
+  @bodyField('boolean', false) dryRun?: boolean;
 }
 
 class WeightsAsk {
-  @field('string') weights!: string;
+  @bodyField('string') weights!: string;
 }
 
 class VotersAsk {
-  @field('string') out!: string;
-  @field('string') into!: string;
+  @bodyField('string') out!: string;
+  @bodyField('string') into!: string;
 }
 
 class FoundAsk {
-  @field('list') without!: string[];
+  @bodyField('list') without!: string[];
 }
 
 /** The operators' HTTP interface. */
@@ -46,35 +46,40 @@
     private readonly ports: Ports,
   ) {}
 
-  private giveTrouble(call: Call, f: Fault): void {
+  private giveTrouble(call: IncomingRequest, f: OperationError): void {
     if (f.code === 'conflict')
-      return giveJson(call, 409, {
-        error: { class: 'refused', code: 'conflict', message: f.why },
-        revision: this.c.value(KEYS.intents)?.place.number ?? 0,
+      return sendJson(call, 409, {
+        error: { class: 'refused', code: 'conflict', message: f.reason },
+        revision: this.c.committedValue(CONTROL_KEYS.intents)?.place.number ?? 0,
       });
-    if (f.sort === 'unknown')
-      return giveFault(
+    if (f.certainty === 'unknown')
+      return sendError(
         call,
         504,
         'unknown',
         f.code ?? 'unknown',
-        `${f.step} at ${f.peer}: ${f.why}`,
-        this.c.bounds.pause,
+        `${f.step} at ${f.peer}: ${f.reason}`,
+        this.c.timeLimits.retryPauseMs,
       );
-    giveFault(
+    sendError(
       call,
       f.code === 'bad-intents' ? 400 : 503,
       'refused',
       f.code ?? 'refused',
-      `${f.step} at ${f.peer}: ${f.why}`,
-      this.c.bounds.pause,
+      `${f.step} at ${f.peer}: ${f.reason}`,
+      this.c.timeLimits.retryPauseMs,
     );
   }
 
-  private giveChanged(call: Call, key: string, r: Changed, more: object = {}): void {
+  private giveChanged(
+    call: IncomingRequest,
+    key: string,
+    r: ChangeResult,
+    more: object = {},
+  ): void {
     const { epoch, by, number } = r.place;
     const change = `${key}~${epoch}~${by}~${number}`.replace('/', ':');
-    giveJson(call, r.inEffect ? 200 : 202, {
+    sendJson(call, r.inEffect ? 200 : 202, {
       change,
       revision: number,
       inEffect: r.inEffect,
@@ -82,17 +87,22 @@
     });
   }
 
-  private async carry(call: Call, key: string, op: Operation, more: object = {}): Promise<void> {
-    const [f, r] = open(await this.c.change(op));
+  private async carry(
+    call: IncomingRequest,
+    key: string,
+    op: Operation,
+    more: object = {},
+  ): Promise<void> {
+    const [f, r] = errorOrValue(await this.c.change(op));
     if (f) return this.giveTrouble(call, f);
     this.giveChanged(call, key, r, more);
   }
 
   /** The intents that stand. */
-  @handles('GET', '/v1/intents')
-  async getIntents(call: Call): Promise<void> {
-    const v = this.c.value<IntentsValue>(KEYS.intents);
-    giveJson(call, 200, {
+  @httpHandler('GET', '/v1/intents')
+  async getIntents(call: IncomingRequest): Promise<void> {
+    const v = this.c.committedValue<IntentsValue>(CONTROL_KEYS.intents);
+    sendJson(call, 200, {
       revision: v?.place.number ?? 0,
       intents: v?.value.doc ?? {
         tenants: [],
@@ -105,185 +115,196 @@
   }
 
   /** Applies a whole intents file on the revision it was based on. */
-  @handles('PUT', '/v1/intents')
-  async putIntents(call: Call): Promise<void> {
-    const a = await takeAs(call, ApplyAsk, this.c.settings.bodyMostBytes, 'apply');
+  @httpHandler('PUT', '/v1/intents')
+  async putIntents(call: IncomingRequest): Promise<void> {
+    const a = await readBodyAs(call, ApplyAsk, this.c.settings.bodyMostBytes, 'apply');
     if (!a) return;
-    const checked = checkIntents(a.intents);
+    const checked = validateIntents(a.intents);
     if (checked.isLeft())
-      return giveJson(call, 400, {
+      return sendJson(call, 400, {
         error: { class: 'refused', code: 'bad-intents', message: 'the file has faults' },
         faults: checked.extract(),
       });
     if (a.dryRun) {
-      const now = this.c.value(KEYS.intents)?.place.number ?? 0;
+      const now = this.c.committedValue(CONTROL_KEYS.intents)?.place.number ?? 0;
       if (now !== a.basedOn)
         return this.giveTrouble(call, {
           step: 'apply',
-          peer: KEYS.intents,
-          why: `based on revision ${a.basedOn}, but ${now} stands`,
-          sort: 'refused',
+          peer: CONTROL_KEYS.intents,
+          reason: `based on revision ${a.basedOn}, but ${now} stands`,
+          certainty: 'refused',
           code: 'conflict',
         });
-      return giveJson(call, 200, { dryRun: true, revision: now });
+      return sendJson(call, 200, { dryRun: true, revision: now });
     }
-    await this.carry(call, KEYS.intents, { kind: 'intents', basedOn: a.basedOn, doc: a.intents });
+    await this.carry(call, CONTROL_KEYS.intents, {
+      kind: 'intents',
+      basedOn: a.basedOn,
+      doc: a.intents,
+    });
   }
 
   /** How far a change has come. */
-  @handles('GET', '/v1/changes/:change')
-  async getChange(call: Call, change: string): Promise<void> {
+  @httpHandler('GET', '/v1/changes/:change')
+  async getChange(call: IncomingRequest, change: string): Promise<void> {
     const [key, epoch, by, number] = change.split('~');
     if (number === undefined)
-      return giveFault(call, 400, 'refused', 'bad-change', 'a change is named key~epoch~by~number');
-    const p: Place = { epoch: Number(epoch), by, number: Number(number) };
+      return sendError(call, 400, 'refused', 'bad-change', 'a change is named key~epoch~by~number');
+    const p: Version = { epoch: Number(epoch), by, number: Number(number) };
     const name = key.replace(':', '/');
-    const known = reached(this.c.value(name)?.place, p);
-    const inEffect = known && (await this.c.effect(name, p, this.c.bounds.pause));
-    giveJson(call, 200, {
+    const known = reached(this.c.committedValue(name)?.place, p);
+    const inEffect = known && (await this.c.awaitEffect(name, p, this.c.timeLimits.retryPauseMs));
+    sendJson(call, 200, {
       change,
       committed: known,
       inEffect,
-      routers: this.c.leases.applied(name),
+      routers: this.c.leases.appliedVersions(name),
     });
   }
 
   /** The tenants' key ids; hashes stay here. */
-  @handles('GET', '/v1/keys')
-  async getKeys(call: Call): Promise<void> {
+  @httpHandler('GET', '/v1/keys')
+  async getKeys(call: IncomingRequest): Promise<void> {
     const out: Record<string, string[]> = {};
-    for (const k of this.c.slots.cells.keys()) {
-      const v = k.startsWith(KEYS.tenantKeys) ? this.c.value<TenantKeys>(k)?.value : undefined;
+    for (const k of this.c.store.registers.keys()) {
+      const v = k.startsWith(CONTROL_KEYS.tenantKeys)
+        ? this.c.committedValue<TenantKeys>(k)?.value
+        : undefined;
       if (v) out[v.tenant] = v.keys.map(idOf);
     }
     function idOf(x: { id: string }): string {
       return x.id;
     }
-    giveJson(call, 200, { keys: out });
+    sendJson(call, 200, { keys: out });
   }
 
   /** Makes a key for a tenant; it is shown once. */
-  @handles('POST', '/v1/keys/:tenant')
-  async addKey(call: Call, tenant: string): Promise<void> {
+  @httpHandler('POST', '/v1/keys/:tenant')
+  async addKey(call: IncomingRequest, tenant: string): Promise<void> {
     if (!isId(tenant))
-      return giveFault(call, 400, 'refused', 'bad-name', 'the tenant is not a name');
-    const secret = `ph_${this.ports.dice.id().replaceAll('-', '')}${this.ports.dice.id().replaceAll('-', '')}`;
-    const id = wholeHash(secret).slice(0, 12);
+      return sendError(call, 400, 'refused', 'bad-name', 'the tenant is not a name');
+    const secret = `ph_${this.ports.random.uuid().replaceAll('-', '')}${this.ports.random.uuid().replaceAll('-', '')}`;
+    const id = sha256Hex(secret).slice(0, 12);
     await this.carry(
       call,
-      KEYS.tenantKeys + tenant,
-      { kind: 'key-add', tenant, id, hash: wholeHash(secret) },
+      CONTROL_KEYS.tenantKeys + tenant,
+      { kind: 'key-add', tenant, id, hash: sha256Hex(secret) },
       { tenant, id, key: secret },
     );
   }
 
   /** Withdraws a key. */
-  @handles('DELETE', '/v1/keys/:tenant/:id')
-  async dropKey(call: Call, tenant: string, id: string): Promise<void> {
+  @httpHandler('DELETE', '/v1/keys/:tenant/:id')
+  async dropKey(call: IncomingRequest, tenant: string, id: string): Promise<void> {
     await this.carry(
       call,
-      KEYS.tenantKeys + tenant,
+      CONTROL_KEYS.tenantKeys + tenant,
       { kind: 'key-drop', tenant, id },
       { tenant, id },
     );
   }
 
   /** The named weights of each model. */
-  @handles('GET', '/v1/weights')
-  async getWeights(call: Call): Promise<void> {
+  @httpHandler('GET', '/v1/weights')
+  async getWeights(call: IncomingRequest): Promise<void> {
     const out: NamedWeights[] = [];
-    for (const k of this.c.slots.cells.keys()) {
-      const v = k.startsWith(KEYS.weights) ? this.c.value<NamedWeights>(k)?.value : undefined;
+    for (const k of this.c.store.registers.keys()) {
+      const v = k.startsWith(CONTROL_KEYS.weights)
+        ? this.c.committedValue<NamedWeights>(k)?.value
+        : undefined;
       if (v) out.push(v);
     }
-    giveJson(call, 200, { weights: out });
+    sendJson(call, 200, { weights: out });
   }
 
   /** Names new weights of a model. */
-  @handles('PUT', '/v1/weights/:model')
-  async putWeights(call: Call, model: string): Promise<void> {
-    if (!isId(model)) return giveFault(call, 400, 'refused', 'bad-name', 'the model is not a name');
-    const a = await takeAs(call, WeightsAsk, this.c.settings.bodyMostBytes, 'name weights');
+  @httpHandler('PUT', '/v1/weights/:model')
+  async putWeights(call: IncomingRequest, model: string): Promise<void> {
+    if (!isId(model)) return sendError(call, 400, 'refused', 'bad-name', 'the model is not a name');
+    const a = await readBodyAs(call, WeightsAsk, this.c.settings.bodyMostBytes, 'name weights');
     if (!a) return;
     if (!isId(a.weights))
-      return giveFault(call, 400, 'refused', 'bad-name', 'the weights are not a name');
+      return sendError(call, 400, 'refused', 'bad-name', 'the weights are not a name');
     await this.carry(
       call,
-      KEYS.weights + model,
+      CONTROL_KEYS.weights + model,
       { kind: 'weights', model, weights: a.weights },
       { model, weights: a.weights },
     );
   }
 
   /** Replaces a lost core machine by an empty one. */
-  @handles('POST', '/v1/voters')
-  async postVoters(call: Call): Promise<void> {
-    const a = await takeAs(call, VotersAsk, this.c.settings.bodyMostBytes, 'replace voter');
+  @httpHandler('POST', '/v1/voters')
+  async postVoters(call: IncomingRequest): Promise<void> {
+    const a = await readBodyAs(call, VotersAsk, this.c.settings.bodyMostBytes, 'replace voter');
     if (!a) return;
-    const [g, v] = open(await replaceVoter(this.c, this.ports, a.out, a.into));
+    const [g, v] = errorOrValue(await replaceVoter(this.c, this.ports, a.out, a.into));
     if (g) return this.giveTrouble(call, g);
-    giveJson(call, 200, { voters: v, done: true });
+    sendJson(call, 200, { voters: v, done: true });
   }
 
   /** Founds a blank fleet without founders that are not there. */
-  @handles('POST', '/v1/found')
-  async postFound(call: Call): Promise<void> {
-    const a = await takeAs(call, FoundAsk, this.c.settings.bodyMostBytes, 'found');
+  @httpHandler('POST', '/v1/found')
+  async postFound(call: IncomingRequest): Promise<void> {
+    const a = await readBodyAs(call, FoundAsk, this.c.settings.bodyMostBytes, 'found');
     if (!a) return;
-    const [g, v] = open(await this.c.found(a.without));
+    const [g, v] = errorOrValue(await this.c.bootstrap(a.without));
     if (g) return this.giveTrouble(call, g);
-    giveJson(call, 200, { voters: v, done: true });
+    sendJson(call, 200, { voters: v, done: true });
   }
 
   /** The fleet as this controller sees it. */
-  @handles('GET', '/v1/fleet')
-  async getFleet(call: Call): Promise<void> {
+  @httpHandler('GET', '/v1/fleet')
+  async getFleet(call: IncomingRequest): Promise<void> {
     const c = this.c;
-    giveJson(call, 200, {
+    sendJson(call, 200, {
       controller: c.name,
-      disk: c.slots.disk,
-      diskFit: c.slots.fit(),
-      diskSpoilt: c.slots.spoilt,
+      disk: c.store.diskId,
+      diskFit: c.store.isWritable(),
+      diskSpoilt: c.store.isCorrupt,
       voters: c.voters(),
-      standing: await votersStatus(c),
-      live: c.live(),
-      majority: c.hasMajority(),
+      standing: await readVoterStatus(c),
+      live: c.liveAddresses(),
+      majority: c.hasQuorum(),
       members: c.leases.members(),
-      engines: c.value(KEYS.engines)?.value ?? [],
-      revision: c.value(KEYS.intents)?.place.number ?? 0,
-      routers: c.leases.applied(KEYS.intents),
+      engines: c.committedValue(CONTROL_KEYS.engines)?.value ?? [],
+      revision: c.committedValue(CONTROL_KEYS.intents)?.place.number ?? 0,
+      routers: c.leases.appliedVersions(CONTROL_KEYS.intents),
     });
   }
 
   /** Whether this controller stands in a majority with a fit disk. */
-  @handles('GET', '/healthz')
-  async health(call: Call): Promise<void> {
-    const ok = this.c.hasMajority() && this.c.slots.fit();
-    giveJson(call, ok ? 200 : 503, {
+  @httpHandler('GET', '/healthz')
+  async health(call: IncomingRequest): Promise<void> {
+    const ok = this.c.hasQuorum() && this.c.store.isWritable();
+    sendJson(call, ok ? 200 : 503, {
       ok,
-      majority: this.c.hasMajority(),
-      diskFit: this.c.slots.fit(),
+      majority: this.c.hasQuorum(),
+      diskFit: this.c.store.isWritable(),
     });
   }
 
   /** Figures in the text form that collectors read. */
-  @handles('GET', '/metrics')
-  async metrics(call: Call): Promise<void> {
+  @httpHandler('GET', '/metrics')
+  async metrics(call: IncomingRequest): Promise<void> {
     const c = this.c;
     const rows = [
       `plumhollow_controller_members ${c.leases.members().length}`,
-      `plumhollow_controller_live_voters ${c.live().length}`,
-      `plumhollow_controller_disk_fit ${c.slots.fit() ? 1 : 0}`,
-      `plumhollow_controller_intents_revision ${c.value(KEYS.intents)?.place.number ?? 0}`,
+      `plumhollow_controller_live_voters ${c.liveAddresses().length}`,
+      `plumhollow_controller_disk_fit ${c.store.isWritable() ? 1 : 0}`,
+      `plumhollow_controller_intents_revision ${c.committedValue(CONTROL_KEYS.intents)?.place.number ?? 0}`,
       ...c.leases.lagRows(),
-      ...voterRows(await votersStatus(c)),
+      ...voterMetricRows(await readVoterStatus(c)),
     ];
-    call.head(200, { 'content-type': 'text/plain; version=0.0.4' });
+    call.writeHead(200, { 'content-type': 'text/plain; version=0.0.4' });
     call.end(await c.metrics.text(rows));
   }
 }
 
 /** Serves the operators' HTTP interface. */
-export function serveOperators(c: Controller, ports: Ports): Promise<Outcome<Listening>> {
-  return ports.wire.serve(c.settings.http, takeCalls([new OperatorApi(c, ports)], ports.log));
+export function serveOperators(c: Controller, ports: Ports): Promise<Result<Listener>> {
+  return ports.network.serveHttp(
+    c.settings.http,
+    makeRequestListener([new OperatorApi(c, ports)], ports.logger),
+  );
 }
--- a/src/control/change-log.ts
+++ b/src/control/change-log.ts
@@ -1,25 +1,33 @@
-import { Clock, Log } from '../shared/ports/ports';
-import { KEYS, Numbered, Voter, Voters } from '../shared/state/words';
-import { DutyValue } from './singletons/singleton-lease';
+import { Clock, Logger } from '../shared/ports/ports';
+import { CONTROL_KEYS, VersionedValue, Voter, VoterSet } from '../shared/state/words';
+import { SingletonHolder } from './singletons/singleton-lease';
 
 /** How much of a disk's identity is logged. */
 const DISK_CHARACTERS = 8;
 
 /** Writes a line for each change of the voters or of their owner, and of the holder of a duty. */
-export function logChange(log: Log, n: Numbered, before: Numbered | undefined): void {
-  if (n.key === KEYS.voters) logVoters(log, n, n.value as Voters);
-  if (n.key.startsWith(KEYS.duty)) logDuty(log, n, before);
+export function logChange(
+  log: Logger,
+  n: VersionedValue,
+  before: VersionedValue | undefined,
+): void {
+  if (n.key === CONTROL_KEYS.voters) logVoters(log, n, n.value as VoterSet);
+  if (n.key.startsWith(CONTROL_KEYS.duty)) logDuty(log, n, before);
 }
 
-function logVoters(log: Log, { epoch, by, number }: Numbered, { now, next }: Voters): void {
+function logVoters(
+  log: Logger,
+  { epoch, by, number }: VersionedValue,
+  { now, next }: VoterSet,
+): void {
   const becomes = next ? ` become ${next.map(textOf).join(' ')}` : '';
   const fields = { step: 'voters', peer: by, epoch, number };
   log.notice(fields, `voters ${now.map(textOf).join(' ')}${becomes}`);
 }
 
-function logDuty(log: Log, n: Numbered, before: Numbered | undefined): void {
-  const { holder, fence } = n.value as DutyValue;
-  if (holder === (before?.value as DutyValue | undefined)?.holder) return;
+function logDuty(log: Logger, n: VersionedValue, before: VersionedValue | undefined): void {
+  const { holder, fence } = n.value as SingletonHolder;
+  if (holder === (before?.value as SingletonHolder | undefined)?.holder) return;
   const fields = { step: 'duty', peer: holder, epoch: n.epoch, number: n.number, fence };
   log.notice(fields, `${holder} holds ${n.key}`);
 }
@@ -30,7 +38,7 @@
 }
 
 /** Makes a function that is told whether a majority is up, and logs when that changes, and after how long. */
-export function makeMajorityLog(log: Log, clock: Clock, self: string): (isUp: boolean) => void {
+export function makeQuorumLog(log: Logger, clock: Clock, self: string): (isUp: boolean) => void {
   let was: boolean | undefined;
   let since = clock.now();
   function note(isUp: boolean): void {
--- a/src/control/configuration/accepted-changes.ts
+++ b/src/control/configuration/accepted-changes.ts
@@ -5,13 +5,13 @@
  * clear answer pauses for seconds between its tries: at ten changes a second this reaches back
  * over 100 s. An entry takes about 50 bytes, so that the list stays below 64 KiB.
  */
-export const REMEMBERED_ORDERS = 1024;
+export const MAX_ACCEPTED_CHANGES = 1024;
 
 /** How many orders were kept by releases that did not store their bases. */
 const REMEMBERED_WITHOUT_BASE = 32;
 
 /** An order that was taken: the revision it built on, its own, and the hash of its path and body. */
-export interface TakenOrder extends StoredOrder {
+export interface AcceptedChange extends StoredOrder {
   base: number;
 }
 
@@ -20,9 +20,9 @@
  * before it, which tells the bases that earlier releases did not store. The first order of such a
  * list builds on 0 if the list is whole; otherwise its base is not known, and it is left out.
  */
-export function readTakenOrders(value: DeploymentValue | undefined): TakenOrder[] {
+export function readAcceptedChanges(value: DeploymentValue | undefined): AcceptedChange[] {
   const stored = value?.taken ?? [];
-  const orders: TakenOrder[] = [];
+  const orders: AcceptedChange[] = [];
   let before = stored.length < REMEMBERED_WITHOUT_BASE ? 0 : undefined;
   for (const order of stored) {
     const base = order.base ?? before;
@@ -33,15 +33,15 @@
 }
 
 /** Whether this very order is among those that were taken. A body alone does not tell it: it may be sent on another base. */
-export function isTaken(orders: TakenOrder[], base: number, sum: string): boolean {
-  function isSame(order: TakenOrder): boolean {
+export function isAccepted(orders: AcceptedChange[], base: number, sum: string): boolean {
+  function isSame(order: AcceptedChange): boolean {
     return order.sum === sum && order.base === base;
   }
   return orders.some(isSame);
 }
 
 /** Whether an order builds on less than the oldest one that is remembered. */
-export function isOlderThanMemory(orders: TakenOrder[], base: number): boolean {
+export function isOlderThanHistory(orders: AcceptedChange[], base: number): boolean {
   return orders.length > 0 && base < orders[0].base;
 }
 
@@ -50,11 +50,11 @@
  * oldest remembered order was the revision of the one before it, so that no forgotten order has a
  * higher revision.
  */
-export function mayBeForgotten(orders: TakenOrder[], base: number, revision: number): boolean {
-  return isOlderThanMemory(orders, base) && base < revision && revision <= orders[0].base;
+export function mayBeEvicted(orders: AcceptedChange[], base: number, revision: number): boolean {
+  return isOlderThanHistory(orders, base) && base < revision && revision <= orders[0].base;
 }
 
 /** Adds an order at the end; only the oldest ones make way for it. */
-export function remember(orders: TakenOrder[], order: TakenOrder): TakenOrder[] {
-  return [...orders, order].slice(-REMEMBERED_ORDERS);
+export function recordAccepted(orders: AcceptedChange[], order: AcceptedChange): AcceptedChange[] {
+  return [...orders, order].slice(-MAX_ACCEPTED_CHANGES);
 }
--- a/src/control/configuration/deployment-change.ts
+++ b/src/control/configuration/deployment-change.ts
@@ -1,17 +1,17 @@
 import { Either, Left, Right } from 'purify-ts';
 import { Deployment, DeploymentValue, NamedChange } from '../../shared/state/deployment';
-import { Dialect } from '../../shared/platform-adapter/platform-adapter';
-import { Fault, makeFault, Outcome } from '../../shared/errors/errors';
+import { PlatformAdapter } from '../../shared/platform-adapter/platform-adapter';
+import { OperationError, makeError, Result } from '../../shared/errors/errors';
 import { shortHash } from '../../shared/util/lib';
-import { KEYS, Numbered } from '../../shared/state/words';
-import { checkDeployment } from './deployment-validation';
+import { CONTROL_KEYS, VersionedValue } from '../../shared/state/words';
+import { validateDeployment } from './deployment-validation';
 import {
-  isOlderThanMemory,
-  isTaken,
-  mayBeForgotten,
-  readTakenOrders,
-  remember,
-  TakenOrder,
+  isOlderThanHistory,
+  isAccepted,
+  mayBeEvicted,
+  readAcceptedChanges,
+  recordAccepted,
+  AcceptedChange,
 } from './accepted-changes';
 
 /** An operator's change of the deployment, on top of the revision that it builds on: a whole document, or a named change. */
@@ -25,15 +25,15 @@
 }
 
 /** Whether an order carries a whole document, or a named change of the one that stands. */
-export type OrderKind = 'replace' | 'update';
+export type DeploymentChangeKind = 'replace' | 'update';
 
 /** How documents are read. */
-export type DocumentReader = Pick<Dialect, 'deployment' | 'namedChange'>;
+export type DocumentParser = Pick<PlatformAdapter, 'deployment' | 'namedChange'>;
 
 type Lists = Record<string, { name: string }[] | undefined>;
 
 /** Makes a document from another by a named change of its lists. */
-export function applyNamed(doc: object, change: NamedChange): object {
+export function applyNamedChange(doc: object, change: NamedChange): object {
   const out = { ...doc, revision: change.revision } as Record<string, unknown>;
   for (const list of new Set([...Object.keys(change.remove), ...Object.keys(change.upsert)])) {
     const gone = new Set(change.remove[list]);
@@ -51,12 +51,16 @@
   return out;
 }
 
-function hashOrder(kind: OrderKind, body: unknown): string {
+function hashOrder(kind: DeploymentChangeKind, body: unknown): string {
   return shortHash(JSON.stringify([kind === 'replace', body]));
 }
 
 /** Makes an order of what an operator sent. It is hashed here, since some text does not stay the same on the way to the key's owner. */
-export function makeOrder(base: number, kind: OrderKind, body: unknown): DeploymentOperation {
+export function makeDeploymentOperation(
+  base: number,
+  kind: DeploymentChangeKind,
+  body: unknown,
+): DeploymentOperation {
   const sum = hashOrder(kind, body);
   return kind === 'replace'
     ? { kind: 'deployment', base, doc: body, sum }
@@ -69,48 +73,48 @@
   return op.change === undefined ? hashOrder('replace', op.doc) : hashOrder('update', op.change);
 }
 
-function refusal(why: string, code: string): Fault {
-  return makeFault('apply', KEYS.deployment, why, 'refused', code);
+function refusal(why: string, code: string): OperationError {
+  return makeError('apply', CONTROL_KEYS.deployment, why, 'refused', code);
 }
 
-function refused<T>(why: string, code: string): Outcome<T> {
+function refused<T>(why: string, code: string): Result<T> {
   return Left(refusal(why, code));
 }
 
 /** What identifies an order wherever and however often it is sent. */
-export function identityOf(op: DeploymentOperation): string {
+export function operationIdentity(op: DeploymentOperation): string {
   return `${op.base} ${sumOf(op)}`;
 }
 
 /** The verdict on an order that needs no look into what it brings: it was taken already, or builds on what no longer stands. */
-export function verdictByBase(
+export function checkBaseRevision(
   op: DeploymentOperation,
-  now: Numbered | undefined,
-  reader: DocumentReader,
-): Fault | undefined {
+  now: VersionedValue | undefined,
+  reader: DocumentParser,
+): OperationError | undefined {
   const stands = now?.value as DeploymentValue | undefined;
   const revision = stands?.revision ?? 0;
-  const orders = readTakenOrders(stands);
-  if (isTaken(orders, op.base, sumOf(op))) return refusal('was taken already', 'stands');
+  const orders = readAcceptedChanges(stands);
+  if (isAccepted(orders, op.base, sumOf(op))) return refusal('was taken already', 'stands');
   return op.base === revision ? undefined : refuseBase(op, revision, orders, reader);
 }
 
 /** Works out the deployment that follows from an order and the one that stands; a fault of code `stands` says that the order was taken already, and one of code `forgotten` that it may have been. */
-export function makeDeployment(
+export function computeDeployment(
   op: DeploymentOperation,
-  now: Numbered | undefined,
-  reader: DocumentReader | undefined,
-): Outcome<DeploymentValue> {
+  now: VersionedValue | undefined,
+  reader: DocumentParser | undefined,
+): Result<DeploymentValue> {
   if (!reader) return refused('no documents are read here', 'bad-deployment');
   const stands = now?.value as DeploymentValue | undefined;
   const revision = stands?.revision ?? 0;
-  const orders = readTakenOrders(stands);
-  const verdict = verdictByBase(op, now, reader);
+  const orders = readAcceptedChanges(stands);
+  const verdict = checkBaseRevision(op, now, reader);
   if (verdict) return Left(verdict);
   const doc = wholeOf(op, stands, reader);
   const read = doc.chain(reader.deployment).chain(checked);
   function checked(d: Deployment): Either<string[], Deployment> {
-    const faults = checkDeployment(d);
+    const faults = validateDeployment(d);
     if (d.revision <= revision) faults.push(`revision ${d.revision} is not above ${revision}`);
     return faults.length > 0 ? Left(faults) : Right(d);
   }
@@ -119,7 +123,7 @@
   return Right({
     revision: fresh,
     doc: doc.extract(),
-    taken: remember(orders, { revision: fresh, base: op.base, sum: sumOf(op) }),
+    taken: recordAccepted(orders, { revision: fresh, base: op.base, sum: sumOf(op) }),
   });
 }
 
@@ -127,26 +131,26 @@
 function refuseBase(
   op: DeploymentOperation,
   revision: number,
-  orders: TakenOrder[],
-  reader: DocumentReader,
-): Fault {
+  orders: AcceptedChange[],
+  reader: DocumentParser,
+): OperationError {
   const conflict = `based on revision ${op.base}, but ${revision} stands`;
-  if (!isOlderThanMemory(orders, op.base)) return refusal(conflict, 'conflict');
+  if (!isOlderThanHistory(orders, op.base)) return refusal(conflict, 'conflict');
   const own = revisionOf(op, reader);
   if (own.isLeft()) return refusal((own.extract() as string[]).join('; '), 'bad-deployment');
   const why = `${conflict}; it may have been taken`;
-  return mayBeForgotten(orders, op.base, own.extract() as number)
-    ? makeFault('apply', KEYS.deployment, why, 'unknown', 'forgotten')
+  return mayBeEvicted(orders, op.base, own.extract() as number)
+    ? makeError('apply', CONTROL_KEYS.deployment, why, 'unknown', 'forgotten')
     : refusal(conflict, 'conflict');
 }
 
 /** The revision that an order brings, read without its base; the faults of one that is invalid on any base. */
-function revisionOf(op: DeploymentOperation, reader: DocumentReader): Either<string[], number> {
+function revisionOf(op: DeploymentOperation, reader: DocumentParser): Either<string[], number> {
   function ofChange(change: NamedChange): number {
     return change.revision;
   }
   function ofDocument(document: Deployment): Either<string[], number> {
-    const faults = checkDeployment(document);
+    const faults = validateDeployment(document);
     return faults.length > 0 ? Left(faults) : Right(document.revision);
   }
   return op.change === undefined
@@ -157,12 +161,12 @@
 function wholeOf(
   op: DeploymentOperation,
   stands: DeploymentValue | undefined,
-  reader: DocumentReader,
+  reader: DocumentParser,
 ): Either<string[], unknown> {
   if (op.change === undefined) return Right(op.doc);
   if (!stands) return Left(['there is no deployment to change']);
   function apply(c: NamedChange): object {
-    return applyNamed(stands!.doc as object, c);
+    return applyNamedChange(stands!.doc as object, c);
   }
   return reader.namedChange(op.change).map(apply);
 }
--- a/src/control/configuration/deployment-validation.ts
+++ b/src/control/configuration/deployment-validation.ts
@@ -1,7 +1,7 @@
 import { Deployment, HttpRoute } from '../../shared/state/deployment';
 
 /** What is wrong with a deployment; empty where it may come into force. */
-export function checkDeployment(d: Deployment): string[] {
+export function validateDeployment(d: Deployment): string[] {
   return [...checkRoutes(d), ...checkKeys(d)];
 }
 
--- a/src/control/configuration/intents-consistency.ts
+++ b/src/control/configuration/intents-consistency.ts
@@ -1,5 +1,5 @@
-import { askJson } from '../../shared/util/lib';
-import { Wire } from '../../shared/ports/ports';
+import { requestJson } from '../../shared/util/lib';
+import { Network } from '../../shared/ports/ports';
 import { Engine, Intents, Member } from '../../shared/state/words';
 import { NamedWeights } from '../../shared/state/weights';
 
@@ -15,8 +15,8 @@
 }
 
 /** Compares intents with the fleet as it is. */
-export async function compareFleet(
-  wire: Wire,
+export async function compareIntentsWithFleet(
+  wire: Network,
   doc: Intents,
   fleet: FleetView,
   keys: { keys: Record<string, string[]> },
@@ -54,11 +54,11 @@
       out.push({ path: `rules[${i}]`, why: `can't match: ${r.tenant} has no key` });
   }
   for (const [i, s] of doc.cacheStores.entries()) {
-    const o = await askJson(wire, {
-      at: s.at,
+    const o = await requestJson(wire, {
+      address: s.at,
       method: 'GET',
       path: '/api/kv-events?after=0&epoch=&wait=1',
-      within,
+      timeoutMs: within,
     });
     if (o.isLeft())
       out.push({ path: `cacheStores[${i}]`, why: `${s.id} does not answer at ${s.at}` });
--- a/src/control/configuration/intents-validation.ts
+++ b/src/control/configuration/intents-validation.ts
@@ -1,6 +1,7 @@
 import convict from 'convict';
 import { Either, Left, Right } from 'purify-ts';
-import { guard } from '../../shared/util/lib';
+import { OperationError } from '../../shared/errors/errors';
+import { tryCatch } from '../../shared/util/lib';
 import { id, maybeId, neededAddress, share, whole } from '../../shared/settings/validators';
 import { Intents } from '../../shared/state/words';
 
@@ -34,12 +35,12 @@
 };
 
 /** One fault of an intents file. */
-export interface IntentFault {
+export interface IntentViolation {
   path: string;
   why: string;
 }
 
-function checkItem(path: string, shape: object, item: unknown, faults: IntentFault[]): unknown {
+function checkItem(path: string, shape: object, item: unknown, faults: IntentViolation[]): unknown {
   if (typeof item !== 'object' || item === null || Array.isArray(item)) {
     faults.push({ path, why: 'must be an object' });
     return undefined;
@@ -50,14 +51,14 @@
     if (!known.has(k)) faults.push({ path: `${path}.${k}`, why: 'is not a known field' });
   const take: Record<string, unknown> = {};
   for (const [k, v] of Object.entries(item)) if (known.has(k)) take[k] = v;
-  const o = guard('check intents', path, check);
+  const o = tryCatch('check intents', path, check);
   function check(): unknown {
     c.load(take as never);
     c.validate({ allowed: 'strict' });
     return c.getProperties();
   }
   if (o.isLeft()) {
-    for (const line of (o.extract() as { why: string }).why.split('\n')) {
+    for (const line of (o.extract() as OperationError).reason.split('\n')) {
       const m = /^(\w+): (.*)$/.exec(line.trim());
       faults.push({ path: m ? `${path}.${m[1]}` : path, why: m ? m[2] : line.trim() });
     }
@@ -68,7 +69,7 @@
   return out;
 }
 
-function crossCheck(doc: Intents, faults: IntentFault[]): void {
+function crossCheck(doc: Intents, faults: IntentViolation[]): void {
   const ids: Record<string, Set<string>> = {};
   for (const kind of ['tenants', 'models', 'services', 'cacheStores'] as const) {
     ids[kind] = new Set();
@@ -109,10 +110,10 @@
 }
 
 /** Checks a whole intents file; every fault is listed by its path. */
-export function checkIntents(raw: unknown): Either<IntentFault[], Intents> {
+export function validateIntents(raw: unknown): Either<IntentViolation[], Intents> {
   if (typeof raw !== 'object' || raw === null || Array.isArray(raw))
     return Left([{ path: '', why: 'must be an object' }]);
-  const faults: IntentFault[] = [];
+  const faults: IntentViolation[] = [];
   const src = raw as Record<string, unknown>;
   for (const k of Object.keys(src))
     if (!(k in ITEMS)) faults.push({ path: k, why: 'is not a known field' });
--- a/src/control/configuration/operations.ts
+++ b/src/control/configuration/operations.ts
@@ -1,18 +1,18 @@
 import { Left, Right } from 'purify-ts';
-import { bad, makeFault, Outcome } from '../../shared/errors/errors';
+import { failure, makeError, Result } from '../../shared/errors/errors';
 import { NamedWeights } from '../../shared/state/weights';
 import {
   Engine,
   Intents,
   IntentsValue,
-  KEYS,
-  Numbered,
-  setSalts,
-  Voters,
+  CONTROL_KEYS,
+  VersionedValue,
+  deriveSalts,
+  VoterSet,
 } from '../../shared/state/words';
-import { DeploymentOperation, DocumentReader, makeDeployment } from './deployment-change';
-import { checkIntents } from './intents-validation';
-import { DutyValue } from '../singletons/singleton-lease';
+import { DeploymentOperation, DocumentParser, computeDeployment } from './deployment-change';
+import { validateIntents } from './intents-validation';
+import { SingletonHolder } from '../singletons/singleton-lease';
 
 /** The hashes of one tenant's keys. */
 export interface TenantKeys {
@@ -38,39 +38,45 @@
   | { kind: 'weights-end'; model: string; ended: string[] }
   | { kind: 'engines'; engines: Engine[] }
   | { kind: 'duty'; duty: string; holder: string; at?: string; basedOn?: number }
-  | { kind: 'voters'; voters: Voters; basedOn: number };
+  | { kind: 'voters'; voters: VoterSet; basedOn: number };
 
 /** The control key that an operation changes. */
-export function keyOf(op: Operation): string {
+export function controlKeyOf(op: Operation): string {
   switch (op.kind) {
     case 'intents':
-      return KEYS.intents;
+      return CONTROL_KEYS.intents;
     case 'key-add':
     case 'key-drop':
-      return KEYS.tenantKeys + op.tenant;
+      return CONTROL_KEYS.tenantKeys + op.tenant;
     case 'weights':
     case 'weights-end':
-      return KEYS.weights + op.model;
+      return CONTROL_KEYS.weights + op.model;
     case 'deployment':
-      return KEYS.deployment;
+      return CONTROL_KEYS.deployment;
     case 'engines':
-      return KEYS.engines;
+      return CONTROL_KEYS.engines;
     case 'duty':
-      return KEYS.duty + op.duty;
+      return CONTROL_KEYS.duty + op.duty;
     case 'voters':
-      return KEYS.voters;
+      return CONTROL_KEYS.voters;
   }
 }
 
-function keep<T>(now: Numbered | undefined, fresh: T): T {
+function keep<T>(now: VersionedValue | undefined, fresh: T): T {
   return (now?.value as T | undefined) ?? fresh;
 }
 
 /** Names weights. A ranked naming that is not above the highest one yet is superseded, or was taken; a naming without a rank keeps that of the one before. */
-function nameWeights(op: WeightsNaming, now: Numbered | undefined): Outcome<NamedWeights> {
+function nameWeights(op: WeightsNaming, now: VersionedValue | undefined): Result<NamedWeights> {
   const v = now?.value as NamedWeights | undefined;
   if (v?.rank !== undefined && op.rank !== undefined && op.rank <= v.rank)
-    return bad('name weights', op.model, `rank ${v.rank} is named already`, 'refused', 'stands');
+    return failure(
+      'name weights',
+      op.model,
+      `rank ${v.rank} is named already`,
+      'refused',
+      'stands',
+    );
   const rank = op.rank ?? v?.rank;
   const ranked = rank === undefined ? {} : { rank };
   if (v?.weights === op.weights) return Right({ ...v, ...ranked });
@@ -87,28 +93,28 @@
 }
 
 /** Works out the new value of a key from an operation and the value that stands. */
-export function makeValue(
+export function computeNextValue(
   op: Operation,
-  now: Numbered | undefined,
-  reader?: DocumentReader,
-): Outcome<unknown> {
+  now: VersionedValue | undefined,
+  reader?: DocumentParser,
+): Result<unknown> {
   switch (op.kind) {
     case 'intents': {
       const at = now?.number ?? 0;
       if (op.basedOn !== at)
-        return bad(
+        return failure(
           'apply',
-          KEYS.intents,
+          CONTROL_KEYS.intents,
           `based on revision ${op.basedOn}, but ${at} stands`,
           'refused',
           'conflict',
         );
-      const o = checkIntents(op.doc);
+      const o = validateIntents(op.doc);
       if (o.isLeft())
         return Left(
-          makeFault('apply', KEYS.intents, 'the file has faults', 'refused', 'bad-intents'),
+          makeError('apply', CONTROL_KEYS.intents, 'the file has faults', 'refused', 'bad-intents'),
         );
-      return Right(setSalts(o.extract() as Intents, now?.value as IntentsValue | undefined));
+      return Right(deriveSalts(o.extract() as Intents, now?.value as IntentsValue | undefined));
     }
     case 'key-add': {
       const v = keep<TenantKeys>(now, { tenant: op.tenant, keys: [] });
@@ -129,26 +135,26 @@
         return op.kind === 'weights-end' && !op.ended.includes(w);
       }
       if (!v)
-        return bad('end old weights', op.model, 'no weights are named', 'refused', 'conflict');
+        return failure('end old weights', op.model, 'no weights are named', 'refused', 'conflict');
       return Right({ ...v, older: v.older.filter(stays) });
     }
     case 'deployment':
-      return makeDeployment(op, now, reader);
+      return computeDeployment(op, now, reader);
     case 'engines':
       return Right(op.engines);
     case 'duty': {
-      const v = now?.value as DutyValue | undefined;
+      const v = now?.value as SingletonHolder | undefined;
       if (v?.holder === op.holder) return Right(v);
       const at = now?.number ?? 0;
       if (op.at !== undefined && op.basedOn !== at)
-        return bad('take duty', op.duty, `held by ${v?.holder}`, 'refused', 'conflict');
-      return Right({ holder: op.holder, at: op.at, fence: at + 1 } as DutyValue);
+        return failure('take duty', op.duty, `held by ${v?.holder}`, 'refused', 'conflict');
+      return Right({ holder: op.holder, at: op.at, fence: at + 1 } as SingletonHolder);
     }
     case 'voters': {
       if (op.basedOn !== (now?.number ?? 0))
-        return bad(
+        return failure(
           'change voters',
-          KEYS.voters,
+          CONTROL_KEYS.voters,
           'another change came first',
           'refused',
           'conflict',
--- a/src/control/connection-acceptor.ts
+++ b/src/control/connection-acceptor.ts
@@ -1,29 +1,31 @@
-import { closeSilent, converse, Exchange } from '../shared/transport/connections';
-import { Outcome } from '../shared/errors/errors';
-import { Connection, Listening, Ports } from '../shared/ports/ports';
+import { closeIdleChannels, openChannel, PeerChannel } from '../shared/transport/connections';
+import { Result } from '../shared/errors/errors';
+import { Connection, Listener, Ports } from '../shared/ports/ports';
 
 /** What accepting connections needs of its controller. */
-export interface AcceptParts {
+export interface ConnectionAcceptorDependencies {
   ports: Ports;
   /** Where connections are taken. */
-  at: string;
-  edges: readonly object[];
+  address: string;
+  handlers: readonly object[];
   /** A connection that is silent for this long is closed. */
-  silence: number;
-  stopped(): boolean;
+  idleTimeoutMs: number;
+  isStopped(): boolean;
 }
 
 /** Takes connections, and closes those that fall silent, as a peer that holds one never does. */
-export async function acceptConnections(p: AcceptParts): Promise<Outcome<Listening>> {
-  const taken = new Set<Exchange>();
-  const listening = await p.ports.wire.accept(p.at, take);
-  if (listening.isRight()) void closeSilent(p.ports, taken, p.silence, p.stopped);
+export async function acceptConnections(
+  p: ConnectionAcceptorDependencies,
+): Promise<Result<Listener>> {
+  const taken = new Set<PeerChannel>();
+  const listening = await p.ports.network.listen(p.address, take);
+  if (listening.isRight()) void closeIdleChannels(p.ports, taken, p.idleTimeoutMs, p.isStopped);
   return listening;
 
   function take(connection: Connection): void {
-    const exchange = converse(p.ports, connection, p.edges);
+    const exchange = openChannel(p.ports, connection, p.handlers);
     taken.add(exchange);
-    void exchange.done.then(forget);
+    void exchange.closed.then(forget);
     function forget(): void {
       taken.delete(exchange);
     }
--- a/src/control/consensus/linearizable-read.ts
+++ b/src/control/consensus/linearizable-read.ts
@@ -1,67 +1,76 @@
 import { Left, Right } from 'purify-ts';
-import { Handled, message } from '../../shared/transport/handlers';
-import { bad, open, Outcome } from '../../shared/errors/errors';
-import { KEYS, Numbered, Voter, Voters } from '../../shared/state/words';
-import { HeldPlace } from './acceptor';
-import { isLaterHeld, pollHeldPlaces } from './accepted-versions';
-import { Owner } from './key-owner';
-import { Slots } from '../storage/control-store';
+import { HandlerResult, messageHandler } from '../../shared/transport/handlers';
+import { failure, errorOrValue, Result } from '../../shared/errors/errors';
+import { CONTROL_KEYS, VersionedValue, Voter, VoterSet } from '../../shared/state/words';
+import { AcceptedVersionReply } from './acceptor';
+import { hasNewerAccepted, pollAcceptedVersions } from './accepted-versions';
+import { KeyOwner } from './key-owner';
+import { ControlStore } from '../storage/control-store';
 
 /** Polls of one read: a second one where the first shows that the voters are others by now. */
 const POLLS = 2;
 
 /** What a read needs of its controller; `ofOwner` asks the key's owner, wherever it is. */
-export interface ReadParts {
-  slots: Slots;
-  owner: Owner;
-  voters(): Voters | undefined;
-  askVoter(v: Voter, type: string, body: unknown): Promise<Outcome<unknown>>;
-  ofOwner(key: string, type: string, body: unknown): Promise<Outcome<unknown>>;
+export interface ReadDependencies {
+  store: ControlStore;
+  keyOwner: KeyOwner;
+  voters(): VoterSet | undefined;
+  requestVoter(v: Voter, type: string, body: unknown): Promise<Result<unknown>>;
+  requestOwner(key: string, type: string, body: unknown): Promise<Result<unknown>>;
   /** Keeps here what is committed. */
-  learnHere(n: Numbered): Promise<unknown>;
+  learnLocally(n: VersionedValue): Promise<unknown>;
 }
 
 /** What controllers ask one another for a read. */
-export class ReadEdge {
-  constructor(private readonly r: ReadParts) {}
+export class ReadHandlers {
+  constructor(private readonly r: ReadDependencies) {}
 
   /** Takes a key anew, as its owner, from what a majority holds: what was accepted is committed. */
-  @message('settle')
-  async settle(m: { key: string }): Handled {
-    return this.r.owner.ownAnew(m.key);
+  @messageHandler('settle')
+  async settle(m: { key: string }): HandlerResult {
+    return this.r.keyOwner.reacquire(m.key);
   }
 }
 
 /** Reads the places that a majority's disks hold; where a later one was accepted than is known here as committed, the owner settles it first. So what is read is never older than what was acknowledged. */
-export async function readNewest(
-  r: ReadParts,
+export async function readLinearizable(
+  r: ReadDependencies,
   key: string,
-): Promise<Outcome<Numbered | undefined>> {
-  const [f, held] = open(await readPlaces(r, key));
+): Promise<Result<VersionedValue | undefined>> {
+  const [f, held] = errorOrValue(await readPlaces(r, key));
   if (f) return Left(f);
-  const mine = r.slots.cells.get(key)?.learned;
-  if (!isLaterHeld(held, mine)) return Right(mine);
-  return r.ofOwner(key, 'settle', { key }) as Promise<Outcome<Numbered | undefined>>;
+  const mine = r.store.registers.get(key)?.learned;
+  if (!hasNewerAccepted(held, mine)) return Right(mine);
+  return r.requestOwner(key, 'settle', { key }) as Promise<Result<VersionedValue | undefined>>;
 }
 
 /** Reads as `readNewest` does, with a fault instead where a later place was accepted than is known here as committed: a change may be under way. */
-export async function readSettled(
-  r: ReadParts,
+export async function readIfStable(
+  r: ReadDependencies,
   key: string,
-): Promise<Outcome<Numbered | undefined>> {
-  const [f, held] = open(await readPlaces(r, key));
+): Promise<Result<VersionedValue | undefined>> {
+  const [f, held] = errorOrValue(await readPlaces(r, key));
   if (f) return Left(f);
-  const mine = r.slots.cells.get(key)?.learned;
-  return isLaterHeld(held, mine)
-    ? bad('read', key, 'a later change was accepted', 'unknown', 'unsettled')
+  const mine = r.store.registers.get(key)?.learned;
+  return hasNewerAccepted(held, mine)
+    ? failure('read', key, 'a later change was accepted', 'unknown', 'unsettled')
     : Right(mine);
 }
 
-async function readPlaces(r: ReadParts, key: string, polls = POLLS): Promise<Outcome<HeldPlace[]>> {
-  const known = r.slots.cells.get(KEYS.voters)?.learned;
-  const { held, laterVoters } = await pollHeldPlaces(r.voters(), r.askVoter, key, known);
+async function readPlaces(
+  r: ReadDependencies,
+  key: string,
+  polls = POLLS,
+): Promise<Result<AcceptedVersionReply[]>> {
+  const known = r.store.registers.get(CONTROL_KEYS.voters)?.learned;
+  const { accepted: held, newerVoterSet: laterVoters } = await pollAcceptedVersions(
+    r.voters(),
+    r.requestVoter,
+    key,
+    known,
+  );
   if (laterVoters) {
-    void r.learnHere(laterVoters);
+    void r.learnLocally(laterVoters);
     if (held.isLeft() && polls > 1) return readPlaces(r, key, polls - 1);
   }
   return held;
--- a/src/control/consensus/replica-sync.ts
+++ b/src/control/consensus/replica-sync.ts
@@ -1,9 +1,9 @@
 import { Left, Right } from 'purify-ts';
-import { field, Handled, message } from '../../shared/transport/handlers';
-import { bad, Fault, open, Outcome } from '../../shared/errors/errors';
-import { KEYS, Numbered, Place, Voter } from '../../shared/state/words';
+import { bodyField, HandlerResult, messageHandler } from '../../shared/transport/handlers';
+import { failure, OperationError, errorOrValue, Result } from '../../shared/errors/errors';
+import { CONTROL_KEYS, VersionedValue, Version, Voter } from '../../shared/state/words';
 import { reached } from '../peer-handlers';
-import { Slots } from '../storage/control-store';
+import { ControlStore } from '../storage/control-store';
 
 /** Keys that one message asks about at the most. */
 const KEYS_AT_ONCE = 256;
@@ -13,12 +13,12 @@
 const VALUES_AT_ONCE = 16;
 
 /** Where a key stands. */
-interface KeyPlace extends Place {
+interface KeyPlace extends Version {
   key: string;
 }
 
-class LackingAsk {
-  @field('list') places!: KeyPlace[];
+class LackingRequest {
+  @bodyField('list') places!: KeyPlace[];
 }
 
 /** Which of the places that it was asked about a disk has not learned. */
@@ -28,34 +28,37 @@
 }
 
 /** Answers how far this disk has learned what is committed. */
-export class ReplicaEdge {
-  constructor(private readonly slots: Slots) {}
+export class ReplicaHandlers {
+  constructor(private readonly slots: ControlStore) {}
 
   /** Tells which of these places this disk has not learned; what it has learned is synced before it answers. */
-  @message('lacking', LackingAsk)
-  async lacking(m: LackingAsk): Handled {
+  @messageHandler('lacking', LackingRequest)
+  async lacking(m: LackingRequest): HandlerResult {
     const lacking: string[] = [];
     for (const place of m.places)
-      if (!reached(this.slots.cells.get(place.key)?.learned, place)) lacking.push(place.key);
-    const [f] = open(await this.slots.settled());
-    return f ? Left(f) : Right({ disk: this.slots.disk, lacking } as LackingReply);
+      if (!reached(this.slots.registers.get(place.key)?.learned, place)) lacking.push(place.key);
+    const [f] = errorOrValue(await this.slots.flush());
+    return f ? Left(f) : Right({ disk: this.slots.diskId, lacking } as LackingReply);
   }
 
   /** Tells how many changes before these places what this disk has learned is. */
-  @message('progress', LackingAsk)
-  async progress(m: LackingAsk): Handled {
-    const { cells } = this.slots;
+  @messageHandler('progress', LackingRequest)
+  async progress(m: LackingRequest): HandlerResult {
+    const { registers: cells } = this.slots;
     let behind = 0;
     for (const place of m.places) {
       const learned = cells.get(place.key)?.learned;
       if (!reached(learned, place)) behind += Math.max(1, place.number - (learned?.number ?? 0));
     }
-    return Right({ epoch: cells.get(KEYS.voters)?.learned?.epoch ?? 0, behind } as Progress);
+    return Right({
+      epoch: cells.get(CONTROL_KEYS.voters)?.learned?.epoch ?? 0,
+      behind,
+    } as ReplicaProgress);
   }
 }
 
 /** How far a disk is, as against some places. */
-export interface Progress {
+export interface ReplicaProgress {
   /** Under which epoch it has learned the voters. */
   epoch: number;
   /** How many changes of the keys that it was asked about it has not learned. */
@@ -63,113 +66,116 @@
 }
 
 /** What bringing a voter up to date needs of its controller. */
-export interface ReplicateParts {
-  slots: Slots;
-  askVoter(v: Voter, type: string, body: unknown): Promise<Outcome<unknown>>;
+export interface ReplicaSyncDependencies {
+  store: ControlStore;
+  requestVoter(v: Voter, type: string, body: unknown): Promise<Result<unknown>>;
 }
 
 /** Brings a voter to have learned, on its synced disk and by its own word, all that is committed here now, and tells how many keys it had lacked; safe to repeat, and each batch that it took stays. */
-export async function bringUpToDate(p: ReplicateParts, to: Voter): Promise<Outcome<number>> {
-  const committed = learnedHere(p.slots);
+export async function syncReplica(p: ReplicaSyncDependencies, to: Voter): Promise<Result<number>> {
+  const committed = learnedHere(p.store);
   let lacked = 0;
   for (let i = 0; i < committed.length; i += KEYS_AT_ONCE) {
-    const [f, count] = open(await bringBatch(p, to, committed.slice(i, i + KEYS_AT_ONCE)));
+    const [f, count] = errorOrValue(await bringBatch(p, to, committed.slice(i, i + KEYS_AT_ONCE)));
     if (f) return Left(f);
     lacked += count;
   }
   return Right(lacked);
 }
 
-function learnedHere(slots: Slots): Numbered[] {
-  const out: Numbered[] = [];
-  for (const cell of slots.cells.values()) if (cell.learned) out.push(cell.learned);
+function learnedHere(slots: ControlStore): VersionedValue[] {
+  const out: VersionedValue[] = [];
+  for (const cell of slots.registers.values()) if (cell.learned) out.push(cell.learned);
   return out;
 }
 
 /** How far a voter is behind all that is learned here. */
-export async function progressOf(p: ReplicateParts, of: Voter): Promise<Outcome<Progress>> {
-  const committed = learnedHere(p.slots);
-  const whole: Progress = { epoch: 0, behind: 0 };
+export async function readReplicaProgress(
+  p: ReplicaSyncDependencies,
+  of: Voter,
+): Promise<Result<ReplicaProgress>> {
+  const committed = learnedHere(p.store);
+  const whole: ReplicaProgress = { epoch: 0, behind: 0 };
   for (let i = 0; i < committed.length; i += KEYS_AT_ONCE) {
     const places = committed.slice(i, i + KEYS_AT_ONCE).map(placeOf);
-    const [f, part] = open(await p.askVoter(of, 'progress', { places }));
+    const [f, part] = errorOrValue(await p.requestVoter(of, 'progress', { places }));
     if (f) return Left(f);
-    whole.epoch = (part as Progress).epoch;
-    whole.behind += (part as Progress).behind;
+    whole.epoch = (part as ReplicaProgress).epoch;
+    whole.behind += (part as ReplicaProgress).behind;
   }
   return Right(whole);
 }
 
 async function bringBatch(
-  p: ReplicateParts,
+  p: ReplicaSyncDependencies,
   to: Voter,
-  batch: readonly Numbered[],
-): Promise<Outcome<number>> {
-  const [f, missing] = open(await lackingOf(p, to, batch));
+  batch: readonly VersionedValue[],
+): Promise<Result<number>> {
+  const [f, missing] = errorOrValue(await lackingOf(p, to, batch));
   if (f) return Left(f);
   if (missing.length === 0) return Right(0);
-  const [g] = open(await sendValues(p, to, missing));
+  const [g] = errorOrValue(await sendValues(p, to, missing));
   if (g) return Left(g);
-  const [h, still] = open(await lackingOf(p, to, missing));
+  const [h, still] = errorOrValue(await lackingOf(p, to, missing));
   if (h) return Left(h);
   return still.length === 0
     ? Right(missing.length)
-    : bad('replicate', to.at, `still lacks ${still[0].key}`, 'unknown', 'pending');
+    : failure('replicate', to.at, `still lacks ${still[0].key}`, 'unknown', 'pending');
 }
 
 async function lackingOf(
-  p: ReplicateParts,
+  p: ReplicaSyncDependencies,
   to: Voter,
-  list: readonly Numbered[],
-): Promise<Outcome<Numbered[]>> {
-  const [f, r] = open(await p.askVoter(to, 'lacking', { places: list.map(placeOf) }));
+  list: readonly VersionedValue[],
+): Promise<Result<VersionedValue[]>> {
+  const [f, r] = errorOrValue(await p.requestVoter(to, 'lacking', { places: list.map(placeOf) }));
   if (f) return Left(atStep(f));
   const { disk, lacking } = r as LackingReply;
   if (disk !== to.disk)
-    return bad('replicate', to.at, 'another disk answers', 'refused', 'no-voter');
+    return failure('replicate', to.at, 'another disk answers', 'refused', 'no-voter');
   const keys = new Set(lacking);
-  function isLacking(n: Numbered): boolean {
+  function isLacking(n: VersionedValue): boolean {
     return keys.has(n.key);
   }
   return Right(list.filter(isLacking));
 }
 
 async function sendValues(
-  p: ReplicateParts,
+  p: ReplicaSyncDependencies,
   to: Voter,
-  list: readonly Numbered[],
-): Promise<Outcome<void>> {
-  function send(change: Numbered): Promise<Outcome<unknown>> {
-    return p.askVoter(to, 'learn', { change });
+  list: readonly VersionedValue[],
+): Promise<Result<void>> {
+  function send(change: VersionedValue): Promise<Result<unknown>> {
+    return p.requestVoter(to, 'learn', { change });
   }
   for (let i = 0; i < list.length; i += VALUES_AT_ONCE) {
     for (const sent of await Promise.all(list.slice(i, i + VALUES_AT_ONCE).map(send))) {
-      const [f] = open(sent);
+      const [f] = errorOrValue(sent);
       if (f) return Left(atStep(f));
     }
   }
   return Right(undefined);
 }
 
-function placeOf({ key, epoch, by, number }: Numbered): KeyPlace {
+function placeOf({ key, epoch, by, number }: VersionedValue): KeyPlace {
   return { key, epoch, by, number };
 }
 
-function atStep(f: Fault): Fault {
+function atStep(f: OperationError): OperationError {
   return { ...f, step: 'replicate' };
 }
 
 /** Brings voters up to date until a round finds that they lack nothing, since keys may be committed anew meanwhile; after so many rounds the last one counts. */
-export async function bringAllUpToDate(
-  p: ReplicateParts,
+export async function syncReplicas(
+  p: ReplicaSyncDependencies,
   voters: readonly Voter[],
   rounds = ROUNDS,
-): Promise<Outcome<void>> {
+): Promise<Result<void>> {
   let lacked = 0;
   for (const voter of voters) {
-    const [f, count] = open(await bringUpToDate(p, voter));
+    const [f, count] = errorOrValue(await syncReplica(p, voter));
     if (f) return Left(f);
     lacked += count;
   }
-  return lacked === 0 || rounds <= 1 ? Right(undefined) : bringAllUpToDate(p, voters, rounds - 1);
+  return lacked === 0 || rounds <= 1 ? Right(undefined) : syncReplicas(p, voters, rounds - 1);
 }
--- a/src/control/consensus/voter-request.ts
+++ b/src/control/consensus/voter-request.ts
@@ -1,22 +1,22 @@
 import { Left } from 'purify-ts';
-import { Exchange, noConnection } from '../../shared/transport/connections';
-import { Outcome } from '../../shared/errors/errors';
-import { askPacked } from '../../shared/transport/compressed-requests';
+import { PeerChannel, notConnected } from '../../shared/transport/connections';
+import { Result } from '../../shared/errors/errors';
+import { requestCompressed } from '../../shared/transport/compressed-requests';
 import { Voter } from '../../shared/state/words';
 
 /** What may carry whole values or long differences. */
 const LONG_ASKS = new Set(['accept', 'accept-delta', 'learn']);
 
 /** Asks another voter over its connection; what is long goes compressed. */
-export async function askOther(
-  exchange: Exchange | undefined,
+export async function requestOtherVoter(
+  exchange: PeerChannel | undefined,
   voter: Voter,
   type: string,
   body: unknown,
   within: number,
-): Promise<Outcome<unknown>> {
-  if (!exchange) return Left(noConnection(type, voter.at));
+): Promise<Result<unknown>> {
+  if (!exchange) return Left(notConnected(type, voter.at));
   return LONG_ASKS.has(type)
-    ? askPacked(exchange, type, body as object, within)
-    : exchange.ask(type, body, within);
+    ? requestCompressed(exchange, type, body as object, within)
+    : exchange.request(type, body, within);
 }
--- a/src/control/controller-interface.ts
+++ b/src/control/controller-interface.ts
@@ -1,55 +1,61 @@
 import { Hello } from '../shared/transport/connections';
-import { Outcome } from '../shared/errors/errors';
+import { Result } from '../shared/errors/errors';
 import { Metrics } from '../shared/observability/metrics';
-import { Bounds } from '../shared/settings/time-limits';
+import { TimeLimits } from '../shared/settings/time-limits';
 import { Settings } from '../shared/settings/settings';
 import { Waker } from '../shared/concurrency/waker';
-import { Numbered, Place, Voter, Voters } from '../shared/state/words';
-import { Changed } from './configuration/change-coordinator';
-import { Leases } from './leases/lease-registry';
-import { Membership } from './membership/voter-liveness';
+import { VersionedValue, Version, Voter, VoterSet } from '../shared/state/words';
+import { ChangeResult } from './configuration/change-coordinator';
+import { LeaseRegistry } from './leases/lease-registry';
+import { VoterLiveness } from './membership/voter-liveness';
 import { Operation } from './configuration/operations';
-import { Owner } from './consensus/key-owner';
-import { RosterEdge } from './membership/voter-set-controller';
-import { Slots } from './storage/control-store';
-import { Votes } from './storage/idempotency-votes';
+import { KeyOwner } from './consensus/key-owner';
+import { MembershipRequests } from './membership/voter-set-controller';
+import { ControlStore } from './storage/control-store';
+import { IdempotencyVotes } from './storage/idempotency-votes';
 
 /** The part of the view of the voters that the rest of a controller goes by. */
 type View = Pick<
-  Membership,
-  'live' | 'isUp' | 'isEmptied' | 'isLeaving' | 'hasMajority' | 'leaving' | 'jointForMs'
+  VoterLiveness,
+  | 'liveAddresses'
+  | 'isUp'
+  | 'hasOtherDisk'
+  | 'isLeaving'
+  | 'hasQuorum'
+  | 'isSelfLeaving'
+  | 'jointForMs'
 >;
 
 /** A running controller. */
 export interface Controller extends View {
   name: string;
-  by: string;
+  ownerId: string;
   hello: Hello;
   settings: Settings;
-  bounds: Bounds;
-  slots: Slots;
-  leases: Leases;
-  votes: Votes;
-  owner: Owner;
-  roster: RosterEdge;
+  timeLimits: TimeLimits;
+  store: ControlStore;
+  leases: LeaseRegistry;
+  votes: IdempotencyVotes;
+  keyOwner: KeyOwner;
+  membershipRequests: MembershipRequests;
   /** Makes a waker that wakes when a peer has come or gone, or the voters have changed. */
   addWaker(): Waker;
   metrics: Metrics;
-  edges: object[];
-  voters(): Voters | undefined;
-  chosen(key: string): boolean;
-  change(op: Operation): Promise<Outcome<Changed>>;
+  handlers: object[];
+  voters(): VoterSet | undefined;
+  isPreferredOwner(key: string): boolean;
+  change(op: Operation): Promise<Result<ChangeResult>>;
   /** Has a key's owner commit its value anew. */
-  settle(key: string): Promise<Outcome<unknown>>;
-  found(without: string[]): Promise<Outcome<Voters>>;
-  effect(key: string, p: Place, within: number): Promise<boolean>;
-  value<T>(key: string): { place: Numbered; value: T } | undefined;
+  recommit(key: string): Promise<Result<unknown>>;
+  bootstrap(without: string[]): Promise<Result<VoterSet>>;
+  awaitEffect(key: string, p: Version, within: number): Promise<boolean>;
+  committedValue<T>(key: string): { place: VersionedValue; value: T } | undefined;
   /** What is committed of a key, never older than what was acknowledged before the call. */
-  newest(key: string): Promise<Outcome<Numbered | undefined>>;
-  heardLive(key: string): boolean;
-  askVoter(v: Voter, type: string, body: unknown, within: number): Promise<Outcome<unknown>>;
+  readLinearizable(key: string): Promise<Result<VersionedValue | undefined>>;
+  wasLearnedLive(key: string): boolean;
+  requestVoter(v: Voter, type: string, body: unknown, within: number): Promise<Result<unknown>>;
   /** Leaves the voters; comes back when this controller may end. */
-  leave(): Promise<unknown>;
+  drain(): Promise<unknown>;
   stop(): Promise<void>;
-  stopped(): boolean;
+  isStopped(): boolean;
 }
--- a/src/control/controller.ts
+++ b/src/control/controller.ts
@@ -1,39 +1,56 @@
 import { Left, Right } from 'purify-ts';
-import { dispatch, Handled } from '../shared/transport/handlers';
-import { open, Outcome } from '../shared/errors/errors';
-import { rendezvous } from '../shared/util/lib';
+import { dispatch, HandlerResult } from '../shared/transport/handlers';
+import { errorOrValue, Result } from '../shared/errors/errors';
+import { rankByRendezvousHash } from '../shared/util/lib';
 import { helloOf } from '../shared/transport/hello';
 import { makeMetrics, Metrics, timedDisk } from '../shared/observability/metrics';
-import { PackedEdge } from '../shared/transport/compressed-requests';
-import { Listening, Ports } from '../shared/ports/ports';
-import { boundsOf } from '../shared/settings/time-limits';
+import { CompressedRequestHandlers } from '../shared/transport/compressed-requests';
+import { Listener, Ports } from '../shared/ports/ports';
+import { timeLimitsOf } from '../shared/settings/time-limits';
 import { Settings } from '../shared/settings/settings';
-import { Exchange, HelloEdge, holdAll, noConnection } from '../shared/transport/connections';
+import {
+  PeerChannel,
+  HelloHandlers,
+  makeConnectionPool,
+  notConnected,
+} from '../shared/transport/connections';
 import { withTimeout } from '../shared/concurrency/timeout';
-import { makeWakers } from '../shared/concurrency/waker';
-import { allVoters, atOf, KEYS, Numbered, Voter, Voters } from '../shared/state/words';
-import { logChange, makeMajorityLog } from './change-log';
+import { makeWakerGroup } from '../shared/concurrency/waker';
+import {
+  allVoters,
+  addressOf,
+  CONTROL_KEYS,
+  VersionedValue,
+  Voter,
+  VoterSet,
+} from '../shared/state/words';
+import { logChange, makeQuorumLog } from './change-log';
 import { acceptConnections } from './connection-acceptor';
-import { learnedOf } from './storage/register-state';
-import { askOther } from './consensus/voter-request';
-import { makeChanges } from './configuration/change-coordinator';
+import { learnedValues } from './storage/register-state';
+import { requestOtherVoter } from './consensus/voter-request';
+import { makeChangeCoordinator } from './configuration/change-coordinator';
 import { Controller } from './controller-interface';
-import { makeEffects } from './configuration/change-effects';
-import { DocumentReader } from './configuration/deployment-change';
-import { makeFounding } from './membership/bootstrap';
-import { makeKeeper } from './consensus/key-maintenance';
-import { leaveVoters } from './membership/graceful-leave';
-import { Leases } from './leases/lease-registry';
-import { makeMembership } from './membership/voter-liveness';
-import { ControlEdge } from './peer-handlers';
-import { ReadEdge, ReadParts, readNewest, readSettled } from './consensus/linearizable-read';
-import { Acceptor, Reach } from './consensus/acceptor';
-import { makeOwner } from './consensus/key-owner';
-import { ReplicaEdge } from './consensus/replica-sync';
-import { RosterEdge } from './membership/voter-set-controller';
-import { tellSeeds } from './membership/seed-announcer';
-import { openSlots, Slots } from './storage/control-store';
-import { KeptVotes, readVotes, Votes } from './storage/idempotency-votes';
+import { makeChangeEffects } from './configuration/change-effects';
+import { DocumentParser } from './configuration/deployment-change';
+import { makeBootstrap } from './membership/bootstrap';
+import { makeKeyMaintenance } from './consensus/key-maintenance';
+import { leaveGracefully } from './membership/graceful-leave';
+import { LeaseRegistry } from './leases/lease-registry';
+import { makeVoterLiveness } from './membership/voter-liveness';
+import { PeerHandlers } from './peer-handlers';
+import {
+  ReadHandlers,
+  ReadDependencies,
+  readLinearizable,
+  readIfStable,
+} from './consensus/linearizable-read';
+import { Acceptor, VoterTransport } from './consensus/acceptor';
+import { makeKeyOwner } from './consensus/key-owner';
+import { ReplicaHandlers } from './consensus/replica-sync';
+import { MembershipRequests } from './membership/voter-set-controller';
+import { announceToSeeds } from './membership/seed-announcer';
+import { openControlStore, ControlStore } from './storage/control-store';
+import { StoredVotes, readStoredVotes, IdempotencyVotes } from './storage/idempotency-votes';
 
 export type { Controller } from './controller-interface';
 
@@ -41,8 +58,8 @@
 export async function startController(
   given: Ports,
   settings: Settings,
-  reader?: DocumentReader,
-): Promise<Outcome<Controller>> {
+  reader?: DocumentParser,
+): Promise<Result<Controller>> {
   const metrics = makeMetrics();
   const synced = metrics.times(
     'plumhollow_controller_sync_ms',
@@ -50,45 +67,48 @@
     settings.changeBoundMs,
   );
   const ports: Ports = { ...given, disk: timedDisk(given.disk, given.clock, synced) };
-  const [f, kept] = open(await readVotes(ports));
+  const [f, kept] = errorOrValue(await readStoredVotes(ports));
   if (f) return Left(f);
-  const [g, slots] = open(await openSlots(ports, 1 << 20, kept, boundsOf(settings).ask));
+  const [g, slots] = errorOrValue(
+    await openControlStore(ports, 1 << 20, kept, timeLimitsOf(settings).requestTimeoutMs),
+  );
   return g ? Left(g) : runController(ports, settings, slots, kept, metrics, reader);
 }
 
 async function runController(
   ports: Ports,
   settings: Settings,
-  slots: Slots,
-  kept: KeptVotes,
+  slots: ControlStore,
+  kept: StoredVotes,
   metrics: Metrics,
-  reader?: DocumentReader,
-): Promise<Outcome<Controller>> {
-  const bounds = boundsOf(settings);
-  const hello = helloOf(settings, 'controller', slots.disk);
+  reader?: DocumentParser,
+): Promise<Result<Controller>> {
+  const bounds = timeLimitsOf(settings);
+  const hello = helloOf(settings, 'controller', slots.diskId);
   const heard = new Set<string>();
-  const by = `${settings.name}.${ports.dice.id().slice(0, 8)}`;
+  const by = `${settings.name}.${ports.random.uuid().slice(0, 8)}`;
   const effectTook = metrics.times(
     'plumhollow_controller_change_to_effect_ms',
     "from a change's arrival at its owner to its effect everywhere",
     settings.changeBoundMs,
   );
-  const { add: addWaker, wake } = makeWakers(ports.clock);
+  const { add: addWaker, wake } = makeWakerGroup(ports.clock);
   let hints: string[] = [];
   let stopped = false;
 
-  function voters(): Voters | undefined {
-    const known = slots.cells.get(KEYS.voters)?.learned?.value ?? slots.founding();
-    return (known as Voters | undefined) ?? undefined;
+  function voters(): VoterSet | undefined {
+    const known =
+      slots.registers.get(CONTROL_KEYS.voters)?.learned?.value ?? slots.bootstrapVoterSet();
+    return (known as VoterSet | undefined) ?? undefined;
   }
 
-  function learned(n: Numbered, before?: Numbered): void {
+  function learned(n: VersionedValue, before?: VersionedValue): void {
     heard.add(n.key);
-    if (!n.key.startsWith(KEYS.duty)) leases.push(n, n.by === by);
-    if (n.by !== by) owner.passed(n.key, n.epoch);
-    logChange(ports.log, n, before);
-    if (n.key !== KEYS.voters) return;
-    membership.noteVoters(n.value as Voters);
+    if (!n.key.startsWith(CONTROL_KEYS.duty)) leases.publish(n, n.by === by);
+    if (n.by !== by) owner.noteNewerEpoch(n.key, n.epoch);
+    logChange(ports.logger, n, before);
+    if (n.key !== CONTROL_KEYS.voters) return;
+    membership.noteVoters(n.value as VoterSet);
     reachAll();
     wake();
   }
@@ -98,122 +118,147 @@
     type: string,
     body: unknown,
     within: number,
-  ): Promise<Outcome<unknown>> {
-    if (!membership.isSelf(v)) return askOther(up(v.at), v, type, body, within);
+  ): Promise<Result<unknown>> {
+    if (!membership.isSelf(v)) return requestOtherVoter(up(v.at), v, type, body, within);
     return withTimeout(ports.clock, within, type, settings.name, local(type, body));
   }
 
-  function askShortly(v: Voter, type: string, body: unknown): Promise<Outcome<unknown>> {
-    return askVoter(v, type, body, bounds.ask);
+  function askShortly(v: Voter, type: string, body: unknown): Promise<Result<unknown>> {
+    return askVoter(v, type, body, bounds.requestTimeoutMs);
   }
 
-  function local(type: string, body: unknown): Handled {
+  function local(type: string, body: unknown): HandlerResult {
     return dispatch(edges, type, body, undefined, settings.name);
   }
 
-  function learnHere(n: Numbered): Promise<unknown> {
+  function learnHere(n: VersionedValue): Promise<unknown> {
     return acceptor.learn({ change: n });
   }
-  const reach: Reach = { by, within: bounds.ask, voters, ask: askVoter, learned, learnHere };
+  const reach: VoterTransport = {
+    ownerId: by,
+    timeoutMs: bounds.requestTimeoutMs,
+    voters,
+    request: askVoter,
+    onLearned: learned,
+    learnLocally: learnHere,
+  };
   const acceptor = new Acceptor(slots, reach, ports);
-  function learn(m: { change: Numbered }): Promise<Outcome<unknown>> {
-    return withTimeout(ports.clock, bounds.ask, 'learn', settings.name, acceptor.learn(m));
+  function learn(m: { change: VersionedValue }): Promise<Result<unknown>> {
+    return withTimeout(
+      ports.clock,
+      bounds.requestTimeoutMs,
+      'learn',
+      settings.name,
+      acceptor.learn(m),
+    );
   }
-  const leases = new Leases(slots, ports, bounds, voters);
-  const owner = makeOwner(slots, reach);
-  const votes = new Votes(slots, ports, voters, settings.onceKeepMs);
-  await votes.begin(kept, bounds.ask);
-  const self: Voter = { disk: slots.disk, at: settings.wire };
-  const membership = makeMembership({ clock: ports.clock, self, voters, up, saidLeaving });
-  const { isUp, isEmptied, isLeaving, live, hasMajority } = membership;
-  const roster = new RosterEdge(ports, bounds, voters, joined, membership.leaving);
+  const leases = new LeaseRegistry(slots, ports, bounds, voters);
+  const owner = makeKeyOwner(slots, reach);
+  const votes = new IdempotencyVotes(slots, ports, voters, settings.onceKeepMs);
+  await votes.start(kept, bounds.requestTimeoutMs);
+  const self: Voter = { disk: slots.diskId, at: settings.wire };
+  const membership = makeVoterLiveness({
+    clock: ports.clock,
+    self,
+    voters,
+    channelTo: up,
+    announcedLeave: saidLeaving,
+  });
+  const {
+    isUp,
+    hasOtherDisk: isEmptied,
+    isLeaving,
+    liveAddresses: live,
+    hasQuorum: hasMajority,
+  } = membership;
+  const roster = new MembershipRequests(ports, bounds, voters, joined, membership.isSelfLeaving);
   function saidLeaving(disk: string, upSince: number | undefined): boolean {
     return roster.isLeaving(disk, upSince);
   }
-  const changes = makeChanges({
+  const changes = makeChangeCoordinator({
     clock: ports.clock,
-    dice: ports.dice,
+    random: ports.random,
     settings,
-    bounds,
-    owner,
-    reader,
+    timeLimits: bounds,
+    keyOwner: owner,
+    parser: reader,
     voters,
-    live,
-    up,
-    local,
-    readSettled: readSettledHere,
+    liveAddresses: live,
+    channelTo: up,
+    dispatchLocally: local,
+    readIfStable: readSettledHere,
   });
-  const peers = new ControlEdge({
-    by,
-    slots,
-    mayFound: settings.bootstrap,
+  const peers = new PeerHandlers({
+    ownerId: by,
+    store: slots,
+    mayBootstrap: settings.bootstrap,
     voters,
-    changeHere: changes.here,
-    isUnderWay: changes.isUnderWay,
-    committed,
-    hinted,
+    changeAsOwner: changes.changeAsOwner,
+    isInProgress: changes.isInProgress,
+    committedValues: committed,
+    onCoreHint: hinted,
     isUp,
     wake,
   });
-  const { effect, change } = makeEffects({
+  const { awaitEffect: effect, change } = makeChangeEffects({
     clock: ports.clock,
     settings,
-    bounds,
+    timeLimits: bounds,
     voters,
-    askVoter,
+    requestVoter: askVoter,
     commit: changes.commit,
-    effectTook,
+    observeEffectMs: effectTook,
   });
-  const reads: ReadParts = {
-    slots,
-    owner,
+  const reads: ReadDependencies = {
+    store: slots,
+    keyOwner: owner,
     voters,
-    askVoter: askShortly,
-    ofOwner: changes.ofOwner,
-    learnHere,
+    requestVoter: askShortly,
+    requestOwner: changes.requestOwner,
+    learnLocally: learnHere,
   };
   const edges: object[] = [
-    new HelloEdge(hello),
+    new HelloHandlers(hello),
     acceptor,
     leases,
     votes,
     roster,
     peers,
-    new ReadEdge(reads),
-    new ReplicaEdge(slots),
+    new ReadHandlers(reads),
+    new ReplicaHandlers(slots),
   ];
-  edges.push(new PackedEdge(edges));
-  const helds = holdAll(ports, {
+  edges.push(new CompressedRequestHandlers(edges));
+  const helds = makeConnectionPool(ports, {
     hello,
-    edges,
-    within: bounds.dial,
-    pause: bounds.pause,
+    handlers: edges,
+    timeoutMs: bounds.connectTimeoutMs,
+    retryPauseMs: bounds.retryPauseMs,
     onUp,
     onDown: wake,
   });
-  const founding = makeFounding({
+  const founding = makeBootstrap({
     settings,
-    bounds,
+    timeLimits: bounds,
     clock: ports.clock,
-    slots,
+    store: slots,
     voters,
     who,
-    askVoter: askShortly,
-    commitFounding,
+    requestVoter: askShortly,
+    commitBootstrap: commitFounding,
   });
 
-  async function commitFounding(v: Voters): Promise<void> {
-    function make(now: Numbered | undefined): Outcome<unknown> {
+  async function commitFounding(v: VoterSet): Promise<void> {
+    function make(now: VersionedValue | undefined): Result<unknown> {
       return Right(now?.value ?? v);
     }
-    if (chosen(KEYS.voters)) await owner.change(KEYS.voters, make);
+    if (chosen(CONTROL_KEYS.voters)) await owner.change(CONTROL_KEYS.voters, make);
   }
 
-  function up(at: string): Exchange | undefined {
-    return helds.up(at);
+  function up(at: string): PeerChannel | undefined {
+    return helds.channelTo(at);
   }
 
-  function onUp(ex: Exchange): void {
+  function onUp(ex: PeerChannel): void {
     membership.noteUp(ex.peer);
     wake();
   }
@@ -229,19 +274,19 @@
   }
 
   function chosen(key: string): boolean {
-    return rendezvous(key, live())[0] === settings.wire;
+    return rankByRendezvousHash(key, live())[0] === settings.wire;
   }
 
-  function readSettledHere(key: string): Promise<Outcome<Numbered | undefined>> {
-    return readSettled(reads, key);
+  function readSettledHere(key: string): Promise<Result<VersionedValue | undefined>> {
+    return readIfStable(reads, key);
   }
 
-  function newest(key: string): Promise<Outcome<Numbered | undefined>> {
-    return readNewest(reads, key);
+  function newest(key: string): Promise<Result<VersionedValue | undefined>> {
+    return readLinearizable(reads, key);
   }
 
-  function committed(): Numbered[] {
-    return learnedOf(slots.cells);
+  function committed(): VersionedValue[] {
+    return learnedValues(slots.registers);
   }
   function isOther(at: string): boolean {
     return at !== settings.wire;
@@ -251,28 +296,28 @@
   function reachAll(): void {
     const v = voters();
     const core = v
-      ? [...allVoters(v), ...roster.joiners()].map(atOf)
+      ? [...allVoters(v), ...roster.candidates()].map(addressOf)
       : [...settings.founders, ...settings.seeds, ...hints];
-    helds.want(core.filter(isOther));
+    helds.setPeers(core.filter(isOther));
   }
 
-  async function who(at: string): Promise<Outcome<unknown>> {
-    return up(at)?.ask('who', {}, bounds.ask) ?? Left(noConnection('who', at));
+  async function who(at: string): Promise<Result<unknown>> {
+    return up(at)?.request('who', {}, bounds.requestTimeoutMs) ?? Left(notConnected('who', at));
   }
-  const always = [KEYS.engines, reader ? KEYS.deployment : KEYS.intents];
-  const keeper = makeKeeper({
-    wire: settings.wire,
-    always,
-    keptAlone: reader ? undefined : KEYS.engines,
-    slots,
-    owner,
-    bounds,
-    helds,
-    live,
-    hasMajority,
-    committed,
+  const always = [CONTROL_KEYS.engines, reader ? CONTROL_KEYS.deployment : CONTROL_KEYS.intents];
+  const keeper = makeKeyMaintenance({
+    selfAddress: settings.wire,
+    alwaysOwnedKeys: always,
+    keyKeptWithoutQuorum: reader ? undefined : CONTROL_KEYS.engines,
+    store: slots,
+    keyOwner: owner,
+    timeLimits: bounds,
+    connections: helds,
+    liveAddresses: live,
+    hasQuorum: hasMajority,
+    committedValues: committed,
     learn,
-    forget,
+    onCaughtUp: forget,
   });
 
   function forget(key: string): void {
@@ -281,32 +326,35 @@
 
   async function tend(): Promise<void> {
     const tending = addWaker();
-    const noteMajority = makeMajorityLog(ports.log, ports.clock, settings.wire);
+    const noteMajority = makeQuorumLog(ports.logger, ports.clock, settings.wire);
     while (!stopped) {
       noteMajority(hasMajority());
-      keeper.tendDisk();
+      keeper.retryFailedDisk();
       await keeper.catchUp();
-      if (!voters()) await founding.foundByItself();
-      if (voters()) await founding.spread();
+      if (!voters()) await founding.bootstrapIfReady();
+      if (voters()) await founding.announce();
       reachAll();
-      if (voters()) await keeper.tendKeys();
-      await tending.wait(bounds.renew * (0.8 + 0.4 * ports.dice.next()), bounds.pause * 0.1);
+      if (voters()) await keeper.acquireAssignedKeys();
+      await tending.wait(
+        bounds.leaseRenewalMs * (0.8 + 0.4 * ports.random.next()),
+        bounds.retryPauseMs * 0.1,
+      );
     }
   }
 
-  const [g, listening] = open(
+  const [g, listening] = errorOrValue(
     await acceptConnections({
       ports,
-      at: settings.wire,
-      edges,
-      silence: bounds.silence,
-      stopped: isStopped,
+      address: settings.wire,
+      handlers: edges,
+      idleTimeoutMs: bounds.idleChannelTimeoutMs,
+      isStopped: isStopped,
     }),
   );
   if (g) return Left(g);
 
-  function value<T>(key: string): { place: Numbered; value: T } | undefined {
-    const n = slots.cells.get(key)?.learned;
+  function value<T>(key: string): { place: VersionedValue; value: T } | undefined {
+    const n = slots.registers.get(key)?.learned;
     return n && { place: n, value: n.value as T };
   }
 
@@ -315,21 +363,21 @@
   }
 
   function joiners(): Voter[] {
-    return roster.joiners();
+    return roster.candidates();
   }
 
   function leave(): Promise<unknown> {
-    const { clock, log } = ports;
-    return leaveVoters({
+    const { clock, logger: log } = ports;
+    return leaveGracefully({
       clock,
-      log,
-      bounds,
-      slots,
+      logger: log,
+      timeLimits: bounds,
+      store: slots,
       self,
-      membership,
+      liveness: membership,
       voters,
-      joiners,
-      askVoter: askShortly,
+      candidates: joiners,
+      requestVoter: askShortly,
       wake,
     });
   }
@@ -338,7 +386,7 @@
     stopped = true;
     wake();
     helds.stop();
-    await (listening as Listening).close();
+    await (listening as Listener).close();
   }
 
   function isStopped(): boolean {
@@ -347,53 +395,53 @@
 
   reachAll();
   void tend();
-  void tellSeeds({
+  void announceToSeeds({
     ports,
     settings,
-    bounds,
+    timeLimits: bounds,
     hello,
-    edges,
-    helds,
+    handlers: edges,
+    connections: helds,
     voters,
-    hasMajority,
-    committed,
+    hasQuorum: hasMajority,
+    committedValues: committed,
     learn,
-    forget,
-    stopped: isStopped,
+    onCaughtUp: forget,
+    isStopped: isStopped,
   });
   return Right({
     name: settings.name,
-    by,
+    ownerId: by,
     hello,
     settings,
-    bounds,
-    slots,
+    timeLimits: bounds,
+    store: slots,
     leases,
     votes,
-    owner,
-    roster,
+    keyOwner: owner,
+    membershipRequests: roster,
     addWaker,
     metrics,
-    edges,
+    handlers: edges,
     voters,
-    live,
+    liveAddresses: live,
     isUp,
-    isEmptied,
+    hasOtherDisk: isEmptied,
     isLeaving,
-    leaving: membership.leaving,
+    isSelfLeaving: membership.isSelfLeaving,
     jointForMs: membership.jointForMs,
-    chosen,
+    isPreferredOwner: chosen,
     change,
-    settle: changes.settle,
-    found: founding.found,
-    effect,
-    value,
-    newest,
-    heardLive,
-    hasMajority,
-    askVoter,
-    leave,
+    recommit: changes.recommit,
+    bootstrap: founding.bootstrap,
+    awaitEffect: effect,
+    committedValue: value,
+    readLinearizable: newest,
+    wasLearnedLive: heardLive,
+    hasQuorum: hasMajority,
+    requestVoter: askVoter,
+    drain: leave,
     stop,
-    stopped: isStopped,
+    isStopped,
   });
 }
--- a/src/control/leases/change-sender.ts
+++ b/src/control/leases/change-sender.ts
@@ -1,34 +1,34 @@
 import {
   AppliedEntry,
   ChangeMessage,
-  ChangesAnswer,
+  ChangesReply,
   isCurrent,
-  isReached,
+  isAtLeast,
   targetOf,
 } from '../../shared/replication/change-message';
-import { Exchange } from '../../shared/transport/connections';
-import { placeOf } from '../../shared/replication/delta';
-import { open } from '../../shared/errors/errors';
-import { Log } from '../../shared/ports/ports';
-import { Numbered, Place } from '../../shared/state/words';
+import { PeerChannel } from '../../shared/transport/connections';
+import { versionOf } from '../../shared/replication/delta';
+import { errorOrValue } from '../../shared/errors/errors';
+import { Logger } from '../../shared/ports/ports';
+import { VersionedValue, Version } from '../../shared/state/words';
 
 /** What sending changes to one follower needs. */
-export interface NewsSenderParts {
-  exchange: Exchange;
+export interface ChangeSenderDependencies {
+  channel: PeerChannel;
   name: string;
   /** How long an answer may take. */
-  within: number;
-  log: Log;
+  timeoutMs: number;
+  logger: Logger;
   /** How far the follower has applied each key, as far as is known here. */
-  applied: Map<string, Place>;
-  newest(key: string): Numbered | undefined;
-  messageFor(change: Numbered, held: Place | undefined): ChangeMessage;
+  applied: Map<string, Version>;
+  newest(key: string): VersionedValue | undefined;
+  messageFor(change: VersionedValue, held: Version | undefined): ChangeMessage;
   /** Called when more is known to be applied. */
   onApplied(): void;
 }
 
 /** Sends changes to one follower. */
-export interface NewsSender {
+export interface ChangeSender {
   /** Has the newest version of a key sent. */
   send(key: string): void;
   /** Has the newest version of a key sent unless the follower says that it has it already. */
@@ -40,15 +40,15 @@
  * behind is sent one difference to the newest version, however many versions there were in between. What is long is
  * offered: the follower fetches it at its own pace, and other keys go ahead meanwhile.
  */
-export function makeNewsSender(parts: NewsSenderParts): NewsSender {
+export function makeChangeSender(parts: ChangeSenderDependencies): ChangeSender {
   const { applied } = parts;
   const pending = new Set<string>();
   /** For each key that was offered last, the version that the follower held then. */
-  const offeredTo = new Map<string, Place | undefined>();
+  const offeredTo = new Map<string, Version | undefined>();
   const confirming = new Set<string>();
   let sending = false;
 
-  function isLacking(change: Numbered | undefined): change is Numbered {
+  function isLacking(change: VersionedValue | undefined): change is VersionedValue {
     return change !== undefined && !isCurrent(applied.get(change.key), change);
   }
 
@@ -73,7 +73,7 @@
     return messages;
   }
 
-  function messageFor(change: Numbered): ChangeMessage {
+  function messageFor(change: VersionedValue): ChangeMessage {
     const held = applied.get(change.key);
     const message = parts.messageFor(change, held);
     if (message.kind === 'offer') offeredTo.set(change.key, held);
@@ -91,29 +91,31 @@
   async function sendPending(): Promise<boolean> {
     const messages = takePending();
     if (messages.length === 0) return true;
-    const [fault, answer] = open(await parts.exchange.ask('changes', messages, parts.within));
+    const [fault, answer] = errorOrValue(
+      await parts.channel.request('changes', messages, parts.timeoutMs),
+    );
     if (fault) {
-      parts.log.warn({ step: 'send changes', peer: parts.name }, fault.why);
+      parts.logger.warn({ step: 'send changes', peer: parts.name }, fault.reason);
       return false;
     }
     for (const message of messages) if (message.kind !== 'offer') noteApplied(targetOf(message));
     const bases = new Map(messages.map(baseOf));
-    for (const entry of (answer as ChangesAnswer).lacking) noteLacking(entry, bases);
+    for (const entry of (answer as ChangesReply).lacking) noteLacking(entry, bases);
     parts.onApplied();
     return true;
   }
 
-  function noteApplied(target: Place & { key: string }): void {
-    if (!isReached(applied.get(target.key), target)) applied.set(target.key, placeOf(target));
+  function noteApplied(target: Version & { key: string }): void {
+    if (!isAtLeast(applied.get(target.key), target)) applied.set(target.key, versionOf(target));
   }
 
   /** Has a key sent again: as a difference to what the follower holds, or whole where such a difference was what it could not read. */
   function noteLacking(
     [key, epoch, by, number]: AppliedEntry,
-    bases: Map<string, Place | undefined>,
+    bases: Map<string, Version | undefined>,
   ): void {
     const held = { epoch, by, number };
-    if (isReached(bases.get(key), held)) applied.delete(key);
+    if (isAtLeast(bases.get(key), held)) applied.delete(key);
     else applied.set(key, held);
     pending.add(key);
   }
@@ -126,8 +128,8 @@
     const change = parts.newest(key);
     if (!isLacking(change)) return;
     confirming.add(key);
-    const asked = { key, ...placeOf(change) };
-    const [fault, has] = open(await parts.exchange.ask('has', asked, parts.within));
+    const asked = { key, ...versionOf(change) };
+    const [fault, has] = errorOrValue(await parts.channel.request('has', asked, parts.timeoutMs));
     confirming.delete(key);
     if (fault || has !== true) return send(key);
     noteApplied(asked);
@@ -138,11 +140,11 @@
   return { send, confirm };
 }
 
-function baseOf(message: ChangeMessage): [string, Place | undefined] {
+function baseOf(message: ChangeMessage): [string, Version | undefined] {
   return [targetOf(message).key, baseIn(message)];
 }
 
-function baseIn(message: ChangeMessage): Place | undefined {
+function baseIn(message: ChangeMessage): Version | undefined {
   if (message.kind === 'delta') return message.delta.base;
   return message.kind === 'compressed-delta' ? message.base : undefined;
 }
--- a/src/control/leases/follower-lag.ts
+++ b/src/control/leases/follower-lag.ts
@@ -1,7 +1,7 @@
 /**
  * How far followers are behind what is learned here.
  */
-import { Numbered, Place } from '../../shared/state/words';
+import { VersionedValue, Version } from '../../shared/state/words';
 
 /** Versions of a key of which the time is kept. */
 const KEPT_VERSIONS = 128;
@@ -9,9 +9,9 @@
 /** When versions were learned here. */
 export interface FollowerLag {
   /** Takes note of a version as it is learned. */
-  note(change: Numbered): void;
+  note(change: VersionedValue): void;
   /** For how long a follower has lacked a later version than the one that it holds, in ms. */
-  lagMs(key: string, held: Place | undefined): number;
+  lagMs(key: string, held: Version | undefined): number;
 }
 
 interface LearnedAt {
@@ -23,7 +23,7 @@
 export function makeFollowerLag(now: () => number): FollowerLag {
   const byKey = new Map<string, LearnedAt[]>();
 
-  function note({ key, number }: Numbered): void {
+  function note({ key, number }: VersionedValue): void {
     const versions = byKey.get(key) ?? [];
     byKey.set(key, versions);
     if (number <= (versions.at(-1)?.number ?? 0)) return;
@@ -31,7 +31,7 @@
     if (versions.length > KEPT_VERSIONS) versions.shift();
   }
 
-  function lagMs(key: string, held: Place | undefined): number {
+  function lagMs(key: string, held: Version | undefined): number {
     function isLater(version: LearnedAt): boolean {
       return version.number > (held?.number ?? 0);
     }
@@ -43,7 +43,7 @@
 }
 
 /** The longest lags of routers by key, as figures for collectors. */
-export function lagRows(keys: Iterable<string>, lagOf: (key: string) => number): string[] {
+export function lagMetricRows(keys: Iterable<string>, lagOf: (key: string) => number): string[] {
   const rows: string[] = [];
   for (const key of keys)
     rows.push(`plumhollow_controller_router_lag_ms{key="${key}"} ${Math.round(lagOf(key))}`);
--- a/src/control/leases/lease-registry.ts
+++ b/src/control/leases/lease-registry.ts
@@ -5,57 +5,64 @@
   appliedEntries,
   ChangeMessage,
   isCurrent,
-  isReached,
+  isAtLeast,
 } from '../../shared/replication/change-message';
-import { field, Handled, message } from '../../shared/transport/handlers';
-import { bad } from '../../shared/errors/errors';
-import { PieceAsk } from '../../shared/replication/chunk-fetcher';
+import { bodyField, HandlerResult, messageHandler } from '../../shared/transport/handlers';
+import { failure } from '../../shared/errors/errors';
+import { ChunkRequest } from '../../shared/replication/chunk-fetcher';
 import { Ports } from '../../shared/ports/ports';
-import { Bounds } from '../../shared/settings/time-limits';
-import { Exchange } from '../../shared/transport/connections';
-import { comparePlaces, KEYS, Member, Numbered, Place, Voters } from '../../shared/state/words';
-import { FollowerLag, lagRows, makeFollowerLag } from './follower-lag';
-import { makeNewsSender, NewsSender } from './change-sender';
-import { Slots } from '../storage/control-store';
+import { TimeLimits } from '../../shared/settings/time-limits';
+import { PeerChannel } from '../../shared/transport/connections';
+import {
+  compareVersions,
+  CONTROL_KEYS,
+  Member,
+  VersionedValue,
+  Version,
+  VoterSet,
+} from '../../shared/state/words';
+import { FollowerLag, lagMetricRows, makeFollowerLag } from './follower-lag';
+import { makeChangeSender, ChangeSender } from './change-sender';
+import { ControlStore } from '../storage/control-store';
 import { makeVersionHistory } from './version-history';
 
 /** A follower's ask for a lease: who it is, and how far it has applied each key: whole, or what changed since its last ask on this stream. */
-export class LeaseAsk {
-  @field('object') member!: Member;
-  @field('list', false) has?: AppliedEntry[];
-  @field('list', false) changed?: AppliedEntry[];
+export class LeaseRequest {
+  @bodyField('object') member!: Member;
+  @bodyField('list', false) has?: AppliedEntry[];
+  @bodyField('list', false) changed?: AppliedEntry[];
   /** Whether members may be told as who joined and who left. */
-  @field('boolean', false) deltas?: boolean;
+  @bodyField('boolean', false) deltas?: boolean;
   /** Whether the node fetches what it lacks; otherwise the answer brings it whole. */
-  @field('boolean', false) fetches?: boolean;
+  @bodyField('boolean', false) fetches?: boolean;
   /** Whether the node fetches in pieces what is long. */
-  @field('boolean', false) pieces?: boolean;
+  @bodyField('boolean', false) pieces?: boolean;
 }
 
 /** A node's ask for the newest versions of some keys, with the versions that it holds. */
-export class FetchAsk {
-  @field('list') held!: AppliedEntry[];
+export class FetchRequest {
+  @bodyField('list') held!: AppliedEntry[];
   /** Whether the node fetches in pieces what is long. */
-  @field('boolean', false) pieces?: boolean;
+  @bodyField('boolean', false) pieces?: boolean;
 }
 
-class EffectAsk {
-  @field('string') key!: string;
-  @field('number') epoch!: number;
-  @field('string') by!: string;
-  @field('number') number!: number;
-  @field('number') within!: number;
+class EffectRequest {
+  @bodyField('string') key!: string;
+  @bodyField('number') epoch!: number;
+  @bodyField('string') by!: string;
+  @bodyField('number') number!: number;
+  @bodyField('number') within!: number;
 }
 
 interface Holder {
   member: Member;
   until: number;
-  has: Map<string, Place>;
-  ex: Exchange;
+  has: Map<string, Version>;
+  ex: PeerChannel;
   /** The count of keys learned here that `has` covers. */
   upTo: number;
-  sender: NewsSender;
-  told?: { voters: Voters; view: View };
+  sender: ChangeSender;
+  told?: { voters: VoterSet; view: View };
 }
 
 /** The members at one time; it stands for as long as nobody joins, leaves, or could have let a lease end. */
@@ -64,13 +71,13 @@
   until: number;
 }
 
-function covers(has: Map<string, Place>, n: Place & { key: string }): boolean {
+function covers(has: Map<string, Version>, n: Version & { key: string }): boolean {
   return isCurrent(has.get(n.key), n);
 }
 
 /** Who holds which duty is no concern of followers, and changes often. */
 function isForFollowers(key: string): boolean {
-  return !key.startsWith(KEYS.duty);
+  return !key.startsWith(CONTROL_KEYS.duty);
 }
 
 function lifeOf(m: Member): string {
@@ -97,7 +104,7 @@
 }
 
 /** Leases that nodes hold at this controller, and the news they are sent. */
-export class Leases {
+export class LeaseRegistry {
   private readonly holders = new Map<string, Holder>();
   private readonly waiters = new Set<() => void>();
   private readonly history = makeVersionHistory();
@@ -108,10 +115,10 @@
   private view: View = { list: [], until: -Infinity };
 
   constructor(
-    private readonly slots: Slots,
+    private readonly slots: ControlStore,
     private readonly ports: Ports,
-    private readonly bounds: Bounds,
-    private readonly voters: () => Voters | undefined,
+    private readonly bounds: TimeLimits,
+    private readonly voters: () => VoterSet | undefined,
   ) {
     this.startedAt = ports.clock.now();
     this.lag = makeFollowerLag(ports.clock.now);
@@ -132,7 +139,7 @@
       if (h.until > now) {
         list.push(h.member);
         until = Math.min(until, h.until);
-      } else if (h.until + this.bounds.lease * 10 < now) this.holders.delete(life);
+      } else if (h.until + this.bounds.leaseMs * 10 < now) this.holders.delete(life);
     }
     list.sort(byName);
     if (isDeepStrictEqual(list, this.view.list)) this.view.until = until;
@@ -141,16 +148,16 @@
   }
 
   /** How far each live router has applied a key. */
-  applied(key: string): { name: string; place?: Place }[] {
+  appliedVersions(key: string): { name: string; place?: Version }[] {
     const now = this.ports.clock.now();
-    const out: { name: string; place?: Place }[] = [];
+    const out: { name: string; place?: Version }[] = [];
     for (const h of this.holders.values())
       if (h.until > now && h.member.role === 'router')
         out.push({ name: h.member.name, place: h.has.get(key) });
     return out.sort(byName);
   }
 
-  private note(n: Numbered): void {
+  private note(n: VersionedValue): void {
     this.history.note(n);
     this.lag.note(n);
   }
@@ -167,53 +174,65 @@
 
   /** The lags of routers, as figures for collectors. */
   lagRows(): string[] {
-    const keys = [...this.slots.cells.keys()].filter(isForFollowers);
-    return lagRows(keys, this.routerLagMs.bind(this));
+    const keys = [...this.slots.registers.keys()].filter(isForFollowers);
+    return lagMetricRows(keys, this.routerLagMs.bind(this));
   }
 
   /** Logs that a node has lacked a key for over half of the bound of changes. */
-  private logLag(name: string, missing: readonly Numbered[], has: Map<string, Place>): void {
+  private logLag(
+    name: string,
+    missing: readonly VersionedValue[],
+    has: Map<string, Version>,
+  ): void {
     for (const { key } of missing) {
       const lagMs = Math.round(this.lag.lagMs(key, has.get(key)));
-      if (lagMs > this.bounds.lagLogged)
-        this.ports.log.warn({ step: 'follower behind', peer: name, lagMs }, `it lacks ${key}`);
+      if (lagMs > this.bounds.lagLogThresholdMs)
+        this.ports.logger.warn({ step: 'follower behind', peer: name, lagMs }, `it lacks ${key}`);
     }
   }
 
   /** What is learned here of some keys, or of all, and told to followers. */
-  private learned(keys: Iterable<string> = this.slots.cells.keys()): Numbered[] {
-    const out: Numbered[] = [];
+  private learned(keys: Iterable<string> = this.slots.registers.keys()): VersionedValue[] {
+    const out: VersionedValue[] = [];
     for (const k of keys) {
-      const n = this.slots.cells.get(k)?.learned;
+      const n = this.slots.registers.get(k)?.learned;
       if (n && isForFollowers(k)) out.push(n);
     }
     return out;
   }
 
   /** What a node lacks of all that is learned here, or of what was learned after a count up to which it lacks nothing. */
-  private missing(has: Map<string, Place>, upTo: number | undefined): Numbered[] {
-    const out: Numbered[] = [];
-    for (const n of this.learned(upTo === undefined ? undefined : this.slots.learned.after(upTo)))
+  private missing(has: Map<string, Version>, upTo: number | undefined): VersionedValue[] {
+    const out: VersionedValue[] = [];
+    for (const n of this.learned(
+      upTo === undefined ? undefined : this.slots.learnedKeys.after(upTo),
+    ))
       if (!covers(has, n)) out.push(n);
     return out;
   }
 
   /** Grants or renews a lease, only to a node that has applied all that is known here. */
-  @message('claim', LeaseAsk)
-  async lease(m: LeaseAsk, ex: Exchange): Handled {
+  @messageHandler('claim', LeaseRequest)
+  async lease(m: LeaseRequest, ex: PeerChannel): HandlerResult {
     const voters = this.voters();
-    if (!voters) return bad('claim', m.member.name, 'not founded', 'refused', 'not-founded');
+    if (!voters) return failure('claim', m.member.name, 'not founded', 'refused', 'not-founded');
     const life = lifeOf(m.member);
     const before = this.holders.get(life);
     const same = m.has === undefined;
     if (same && before?.ex !== ex)
-      return bad('claim', m.member.name, 'no claim on this stream to go by', 'refused', 'tell-all');
-    const has = same ? before!.has : new Map<string, Place>();
+      return failure(
+        'claim',
+        m.member.name,
+        'no claim on this stream to go by',
+        'refused',
+        'tell-all',
+      );
+    const has = same ? before!.has : new Map<string, Version>();
     for (const [key, epoch, by, number] of m.has ?? m.changed ?? [])
       has.set(key, { epoch, by, number });
-    const upTo = this.slots.learned.count();
+    const upTo = this.slots.learnedKeys.count();
     const missing = this.missing(has, same ? before!.upTo : undefined);
-    const disk = this.slots.disk;
+    const disk = this.slots.diskId;
     this.logLag(m.member.name, missing, has);
     if (missing.length > 0 && m.fetches) {
       const lacking = appliedEntries(missing);
@@ -225,7 +244,7 @@
     if (!before || before.until <= now || before.member !== member) this.view.until = -Infinity;
     const holder: Holder = {
       member,
-      until: now + this.bounds.leaseHeld,
+      until: now + this.bounds.leaseExpiryMs,
       has,
       ex,
       upTo,
@@ -246,8 +265,8 @@
   }
 
   /** Ends a lease at once, when a node leaves by itself. */
-  @message('leave', LeaseAsk)
-  async leave(m: LeaseAsk): Handled {
+  @messageHandler('leave', LeaseRequest)
+  async leave(m: LeaseRequest): HandlerResult {
     this.holders.delete(lifeOf(m.member));
     this.view.until = -Infinity;
     this.poke();
@@ -255,42 +274,52 @@
   }
 
   /** Gives the newest versions of some keys, as differences to the versions that the asker holds. */
-  @message('fetch-changes', FetchAsk)
-  async fetch(m: FetchAsk): Handled {
+  @messageHandler('fetch-changes', FetchRequest)
+  async fetch(m: FetchRequest): HandlerResult {
     const out: ChangeMessage[] = [];
     for (const [key, epoch, by, number] of m.held) {
-      const held: Place = { epoch, by, number };
+      const held: Version = { epoch, by, number };
       const newest = this.newest(key);
-      if (newest && !isReached(held, newest))
+      if (newest && !isAtLeast(held, newest))
         out.push(this.history.messageFor(newest, held, m.pieces === true));
     }
     return Right(out);
   }
 
   /** Gives one piece of a change that this or another controller offered. */
-  @message('change-piece', PieceAsk)
-  async piece(m: PieceAsk): Handled {
-    const bytes = this.history.piece(m);
+  @messageHandler('change-piece', ChunkRequest)
+  async piece(m: ChunkRequest): HandlerResult {
+    const bytes = this.history.chunk(m);
     return bytes
       ? Right(bytes)
-      : bad('change piece', this.slots.disk, `${m.key} is not to be had`, 'refused', 'not-known');
+      : failure(
+          'change piece',
+          this.slots.diskId,
+          `${m.key} is not to be had`,
+          'refused',
+          'not-known',
+        );
   }
 
-  private newest(key: string): Numbered | undefined {
-    return isForFollowers(key) ? this.slots.cells.get(key)?.learned : undefined;
+  private newest(key: string): VersionedValue | undefined {
+    return isForFollowers(key) ? this.slots.registers.get(key)?.learned : undefined;
   }
 
-  private senderFor(exchange: Exchange, ask: LeaseAsk, applied: Map<string, Place>): NewsSender {
+  private senderFor(
+    exchange: PeerChannel,
+    ask: LeaseRequest,
+    applied: Map<string, Version>,
+  ): ChangeSender {
     const { history } = this;
-    function messageFor(change: Numbered, held: Place | undefined): ChangeMessage {
+    function messageFor(change: VersionedValue, held: Version | undefined): ChangeMessage {
       return history.messageFor(change, held, ask.pieces === true);
     }
-    return makeNewsSender({
-      exchange,
+    return makeChangeSender({
+      channel: exchange,
       name: ask.member.name,
       applied,
-      within: this.bounds.ask,
-      log: this.ports.log,
+      timeoutMs: this.bounds.requestTimeoutMs,
+      logger: this.ports.logger,
       newest: this.newest.bind(this),
       messageFor,
       onApplied: this.poke.bind(this),
@@ -298,7 +327,7 @@
   }
 
   /** Takes note of a change that is learned here; its owner sends it to the followers, the others leave that to the followers' next renewals. */
-  push(n: Numbered, own = true): void {
+  publish(n: VersionedValue, own = true): void {
     this.poke();
     this.note(n);
     if (own) for (const h of this.holders.values()) h.sender.send(n.key);
@@ -311,18 +340,22 @@
   }
 
   /** Tells every follower something that is no change. */
-  tell(type: string, body: unknown): void {
-    for (const h of this.holders.values()) h.ex.tell(type, body);
+  notifyAll(type: string, body: unknown): void {
+    for (const h of this.holders.values()) h.ex.notify(type, body);
   }
 
   private poke(): void {
     for (const w of [...this.waiters]) w();
   }
 
-  private inEffect(m: EffectAsk): boolean {
+  private inEffect(m: EffectRequest): boolean {
     const now = this.ports.clock.now();
-    const learned = this.slots.cells.get(m.key)?.learned;
-    if (!learned || comparePlaces(learned, m) < 0 || now < this.startedAt + this.bounds.leaseHeld)
+    const learned = this.slots.registers.get(m.key)?.learned;
+    if (
+      !learned ||
+      compareVersions(learned, m) < 0 ||
+      now < this.startedAt + this.bounds.leaseExpiryMs
+    )
       return false;
     for (const h of this.holders.values())
       if (h.member.role === 'router' && h.until > now && !covers(h.has, m)) return false;
@@ -332,16 +365,16 @@
   private nextEnd(): number {
     const now = this.ports.clock.now();
     let end =
-      now < this.startedAt + this.bounds.leaseHeld
-        ? this.startedAt + this.bounds.leaseHeld
-        : now + this.bounds.lease;
+      now < this.startedAt + this.bounds.leaseExpiryMs
+        ? this.startedAt + this.bounds.leaseExpiryMs
+        : now + this.bounds.leaseMs;
     for (const h of this.holders.values()) if (h.until > now) end = Math.min(end, h.until);
     return Math.max(1, end - now);
   }
 
   /** Comes back when every router with a live lease has the change, or its lease has ended. */
-  @message('effect', EffectAsk)
-  async effect(m: EffectAsk): Handled {
+  @messageHandler('effect', EffectRequest)
+  async effect(m: EffectRequest): HandlerResult {
     const until = this.ports.clock.now() + m.within;
     this.awaited.set(m.key, (this.awaited.get(m.key) ?? 0) + 1);
     this.confirmAll(m.key);
@@ -352,25 +385,25 @@
     return inEffect;
   }
 
-  private async awaitEffect(m: EffectAsk, until: number): Handled {
+  private async awaitEffect(m: EffectRequest, until: number): HandlerResult {
     while (!this.inEffect(m)) {
       if (this.ports.clock.now() >= until)
         return Left({
           step: 'effect',
-          peer: this.slots.disk,
-          why: 'not all have it yet',
-          sort: 'unknown',
+          peer: this.slots.diskId,
+          reason: 'not all have it yet',
+          certainty: 'unknown',
           code: 'pending',
         });
       await this.next(Math.min(this.nextEnd(), until - this.ports.clock.now()));
     }
-    return Right({ disk: this.slots.disk });
+    return Right({ disk: this.slots.diskId });
   }
 
   private next(within: number): Promise<void> {
     const { waiters, ports } = this;
     function wait(done: () => void): void {
-      const off = ports.clock.timer(Math.max(1, within), go);
+      const off = ports.clock.setTimer(Math.max(1, within), go);
       function go(): void {
         off();
         waiters.delete(go);
--- a/src/control/leases/version-history.ts
+++ b/src/control/leases/version-history.ts
@@ -4,20 +4,20 @@
   deltaMessage,
   InlineChange,
   offerOf,
-  wholeMessage,
+  fullChangeMessage,
 } from '../../shared/replication/change-message';
-import { makeDelta, placeOf } from '../../shared/replication/delta';
-import { PIECE_BYTES, PieceAsk } from '../../shared/replication/chunk-fetcher';
-import { Numbered, Place } from '../../shared/state/words';
+import { makeDelta, versionOf } from '../../shared/replication/delta';
+import { CHUNK_BYTES, ChunkRequest } from '../../shared/replication/chunk-fetcher';
+import { VersionedValue, Version } from '../../shared/state/words';
 
 /** The versions of each key that were committed here lately, for differences to what other nodes hold. */
 export interface VersionHistory {
   /** Takes note of a version that is committed. */
-  note(change: Numbered): void;
+  note(change: VersionedValue): void;
   /** The message that brings a node from the version that it holds to `change`; only a node that fetches pieces is offered what is long. */
-  messageFor(change: Numbered, held: Place | undefined, pieces: boolean): ChangeMessage;
+  messageFor(change: VersionedValue, held: Version | undefined, pieces: boolean): ChangeMessage;
   /** One piece of an offered change; nothing where its versions are not known here any more, or gave other bytes. */
-  piece(ask: PieceAsk): Uint8Array | undefined;
+  chunk(ask: ChunkRequest): Uint8Array | undefined;
 }
 
 /** Versions kept of each key; they share what did not change. */
@@ -27,8 +27,8 @@
 const KEPT_OFFERS = 32;
 
 interface Versions {
-  list: Numbered[];
-  newest: Numbered;
+  list: VersionedValue[];
+  newest: VersionedValue;
   messages: Map<string, InlineChange>;
 }
 
@@ -39,7 +39,7 @@
   /** The bytes of offers by their sum; nothing for a sum that the versions here do not give. */
   const offered = new Map<string, Uint8Array | undefined>();
 
-  function note(change: Numbered): void {
+  function note(change: VersionedValue): void {
     forgetUnknown();
     const versions = byKey.get(change.key);
     if (!versions) {
@@ -56,21 +56,21 @@
   }
 
   /** The version of a number, under the place that a node knows it by: a later owner may have committed it anew. */
-  function versionAt(versions: Versions, place: Place | undefined): Numbered | undefined {
+  function versionAt(versions: Versions, place: Version | undefined): VersionedValue | undefined {
     if (!place) return undefined;
-    function isAt(version: Numbered): boolean {
+    function isAt(version: VersionedValue): boolean {
       return version.number === place!.number;
     }
     const version = versions.list.findLast(isAt);
-    return version && { ...version, ...placeOf(place) };
+    return version && { ...version, ...versionOf(place) };
   }
 
-  function makeMessage(versions: Versions, change: Numbered, held?: Place): InlineChange {
+  function makeMessage(versions: Versions, change: VersionedValue, held?: Version): InlineChange {
     const delta = makeDelta(versionAt(versions, held), change);
-    return delta ? deltaMessage(delta) : wholeMessage(change);
+    return delta ? deltaMessage(delta) : fullChangeMessage(change);
   }
 
-  function inlineFor(versions: Versions, change: Numbered, held?: Place): InlineChange {
+  function inlineFor(versions: Versions, change: VersionedValue, held?: Version): InlineChange {
     if (versions.newest !== change) {
       versions.newest = change;
       versions.messages.clear();
@@ -84,7 +84,11 @@
     return message;
   }
 
-  function messageFor(change: Numbered, held: Place | undefined, pieces: boolean): ChangeMessage {
+  function messageFor(
+    change: VersionedValue,
+    held: Version | undefined,
+    pieces: boolean,
+  ): ChangeMessage {
     if (!byKey.has(change.key)) note(change);
     const versions = byKey.get(change.key)!;
     const message = inlineFor(versions, change, held);
@@ -96,17 +100,17 @@
   function withoutCompressedDelta(
     message: InlineChange,
     versions: Versions,
-    change: Numbered,
-    held: Place | undefined,
+    change: VersionedValue,
+    held: Version | undefined,
   ): InlineChange {
     if (message.kind !== 'compressed-delta') return message;
     const delta = makeDelta(versionAt(versions, held), change);
-    return delta ? { kind: 'delta', delta } : wholeMessage(change);
+    return delta ? { kind: 'delta', delta } : fullChangeMessage(change);
   }
 
   function offerWhereLong(message: InlineChange): ChangeMessage {
     if (message.kind === 'whole' || message.kind === 'delta') return message;
-    if (message.bytes.length <= PIECE_BYTES) return message;
+    if (message.bytes.length <= CHUNK_BYTES) return message;
     const offer = offers.get(message) ?? offerOf(message);
     offers.set(message, offer);
     keep(offer.sum, message.bytes);
@@ -123,7 +127,7 @@
   }
 
   /** Makes the bytes of a change that another controller offered, from the versions that are known here. */
-  function makeOffered(ask: PieceAsk): Uint8Array | undefined {
+  function makeOffered(ask: ChunkRequest): Uint8Array | undefined {
     const versions = byKey.get(ask.key);
     const change = versions && versionAt(versions, ask.place);
     if (!change || (ask.base && !versionAt(versions, ask.base))) return undefined;
@@ -131,11 +135,11 @@
     return offered.get(ask.sum);
   }
 
-  function piece(ask: PieceAsk): Uint8Array | undefined {
+  function piece(ask: ChunkRequest): Uint8Array | undefined {
     const bytes = offered.has(ask.sum) ? offered.get(ask.sum) : makeOffered(ask);
     keep(ask.sum, bytes);
-    return bytes && new Uint8Array(bytes.subarray(ask.start, ask.start + PIECE_BYTES));
+    return bytes && new Uint8Array(bytes.subarray(ask.start, ask.start + CHUNK_BYTES));
   }
 
-  return { note, messageFor, piece };
+  return { note, messageFor, chunk: piece };
 }
--- a/src/control/membership/bootstrap.ts
+++ b/src/control/membership/bootstrap.ts
@@ -1,13 +1,13 @@
 import { Left, Right } from 'purify-ts';
-import { bad, open, Outcome } from '../../shared/errors/errors';
+import { failure, errorOrValue, Result } from '../../shared/errors/errors';
 import { Clock } from '../../shared/ports/ports';
-import { Bounds } from '../../shared/settings/time-limits';
+import { TimeLimits } from '../../shared/settings/time-limits';
 import { Settings } from '../../shared/settings/settings';
-import { isVoter, KEYS, Voter, Voters } from '../../shared/state/words';
-import { Slots } from '../storage/control-store';
+import { isVoter, CONTROL_KEYS, Voter, VoterSet } from '../../shared/state/words';
+import { ControlStore } from '../storage/control-store';
 
 /** How the disk of a founder is named that was not there. */
-export const ABSENT = 'absent ';
+export const ABSENT_DISK_PREFIX = 'absent ';
 
 interface Who {
   disk: string;
@@ -15,42 +15,42 @@
   mayFound: boolean;
 }
 
-interface Parts {
+interface BootstrapDependencies {
   settings: Settings;
-  bounds: Bounds;
+  timeLimits: TimeLimits;
   clock: Clock;
-  slots: Slots;
-  voters(): Voters | undefined;
-  who(at: string): Promise<Outcome<unknown>>;
-  askVoter(v: Voter, type: string, body: unknown): Promise<Outcome<unknown>>;
+  store: ControlStore;
+  voters(): VoterSet | undefined;
+  who(at: string): Promise<Result<unknown>>;
+  requestVoter(v: Voter, type: string, body: unknown): Promise<Result<unknown>>;
   /** Commits the founders as the voters, where this controller owns that key. */
-  commitFounding(v: Voters): Promise<void>;
+  commitBootstrap(v: VoterSet): Promise<void>;
 }
 
 /** The founding of a blank fleet. */
-export interface Founding {
+export interface Bootstrap {
   /** Founds without the founders that are named as absent; refused where that is unsafe. */
-  found(without: string[]): Promise<Outcome<Voters>>;
+  bootstrap(without: string[]): Promise<Result<VoterSet>>;
   /** Founds where this start may, and it is this founder's turn. */
-  foundByItself(): Promise<void>;
+  bootstrapIfReady(): Promise<void>;
   /** Tells the other founders what was founded, until the voters are committed. */
-  spread(): Promise<void>;
+  announce(): Promise<void>;
 }
 
 /** Makes the founding of one controller. */
-export function makeFounding(p: Parts): Founding {
-  const { settings, slots, voters } = p;
+export function makeBootstrap(p: BootstrapDependencies): Bootstrap {
+  const { settings, store: slots, voters } = p;
   const founders = [...settings.founders].sort();
   let majoritySince: number | undefined;
 
-  async function found(without: string[]): Promise<Outcome<Voters>> {
+  async function found(without: string[]): Promise<Result<VoterSet>> {
     const stood = voters();
     if (stood)
-      return isVoter(stood, slots.disk)
+      return isVoter(stood, slots.diskId)
         ? Right(stood)
-        : bad(
+        : failure(
             'found',
-            slots.disk,
+            slots.diskId,
             'a fleet is founded, and this disk is not of it',
             'refused',
             'not-blank',
@@ -58,10 +58,10 @@
     function absent(at: string): boolean {
       return without.includes(at);
     }
-    if (slots.spoilt)
-      return bad('found', slots.disk, 'this disk was of a fleet', 'refused', 'not-blank');
+    if (slots.isCorrupt)
+      return failure('found', slots.diskId, 'this disk was of a fleet', 'refused', 'not-blank');
     if (absent(settings.wire) || founders.filter(absent).length * 2 >= founders.length)
-      return bad(
+      return failure(
         'found',
         settings.name,
         'a majority of the founders must be here',
@@ -71,31 +71,33 @@
     const set: Voter[] = [];
     for (const at of founders) {
       if (at === settings.wire) {
-        set.push({ disk: slots.disk, at });
+        set.push({ disk: slots.diskId, at });
         continue;
       }
-      const [g, w] = open(await p.who(at));
+      const [g, w] = errorOrValue(await p.who(at));
       const r = w as Who | undefined;
       if (absent(at) && r && (r.mayFound || !r.blank))
-        return bad('found', at, 'is named as absent, and is here', 'refused', 'conflict');
-      if (!absent(at) && g) return Left({ ...g, sort: 'refused' });
-      if (r && !r.blank) return bad('found', at, 'is not blank', 'refused', 'not-blank');
-      set.push({ disk: r && !absent(at) ? r.disk : `${ABSENT}${at}`, at });
+        return failure('found', at, 'is named as absent, and is here', 'refused', 'conflict');
+      if (!absent(at) && g) return Left({ ...g, certainty: 'refused' });
+      if (r && !r.blank) return failure('found', at, 'is not blank', 'refused', 'not-blank');
+      set.push({ disk: r && !absent(at) ? r.disk : `${ABSENT_DISK_PREFIX}${at}`, at });
     }
-    const [h] = open(
+    const [h] = errorOrValue(
       voters()
-        ? bad<void>('found', settings.name, 'another came first', 'refused', 'conflict')
-        : await slots.found({ now: set }),
+        ? failure<void>('found', settings.name, 'another came first', 'refused', 'conflict')
+        : await slots.recordBootstrap({ now: set }),
     );
     return h ? Left(h) : Right({ now: set });
   }
 
   async function foundByItself(): Promise<void> {
-    if (!settings.bootstrap || slots.spoilt || !founders.includes(settings.wire)) return;
+    if (!settings.bootstrap || slots.isCorrupt || !founders.includes(settings.wire)) return;
     const here: string[] = [];
     async function look(at: string): Promise<boolean> {
       const [f, w] =
-        at === settings.wire ? [undefined, { blank: true, mayFound: true }] : open(await p.who(at));
+        at === settings.wire
+          ? [undefined, { blank: true, mayFound: true }]
+          : errorOrValue(await p.who(at));
       if (!f && (w as Who).mayFound) here.push(at);
       return f !== undefined || (w as Who).blank;
     }
@@ -109,7 +111,7 @@
     if (here[0] !== settings.wire || majoritySince === undefined) return;
     if (
       here.length < founders.length &&
-      (settings.foundBy === 'all' || p.clock.now() - majoritySince < p.bounds.foundWait)
+      (settings.foundBy === 'all' || p.clock.now() - majoritySince < p.timeLimits.bootstrapWaitMs)
     )
       return;
     function isAway(at: string): boolean {
@@ -119,14 +121,14 @@
   }
 
   async function spread(): Promise<void> {
-    const v = slots.founding() as Voters | undefined;
-    if (!v || slots.cells.get(KEYS.voters)?.learned) return;
+    const v = slots.bootstrapVoterSet() as VoterSet | undefined;
+    if (!v || slots.registers.get(CONTROL_KEYS.voters)?.learned) return;
     async function tell(x: Voter): Promise<void> {
-      if (x.disk !== slots.disk) await p.askVoter(x, 'found', v);
+      if (x.disk !== slots.diskId) await p.requestVoter(x, 'found', v);
     }
     await Promise.all(v.now.map(tell));
-    await p.commitFounding(v);
+    await p.commitBootstrap(v);
   }
 
-  return { found, foundByItself, spread };
+  return { bootstrap: found, bootstrapIfReady: foundByItself, announce: spread };
 }
--- a/src/control/membership/graceful-leave.ts
+++ b/src/control/membership/graceful-leave.ts
@@ -1,11 +1,11 @@
-import { open, Outcome } from '../../shared/errors/errors';
-import { Clock, Log } from '../../shared/ports/ports';
-import { Bounds } from '../../shared/settings/time-limits';
-import { allVoters, isQuorum, isVoter, Voter, Voters } from '../../shared/state/words';
-import { Membership } from './voter-liveness';
-import { bringUpToDate } from '../consensus/replica-sync';
+import { errorOrValue, Result } from '../../shared/errors/errors';
+import { Clock, Logger } from '../../shared/ports/ports';
+import { TimeLimits } from '../../shared/settings/time-limits';
+import { allVoters, isQuorum, isVoter, Voter, VoterSet } from '../../shared/state/words';
+import { VoterLiveness } from './voter-liveness';
+import { syncReplica } from '../consensus/replica-sync';
 import { LeaveReply } from './voter-set-controller';
-import { Slots } from '../storage/control-store';
+import { ControlStore } from '../storage/control-store';
 
 /** Why a controller that was told to end may go: it did not vote, another has its place, the others have all that it has and are a majority, all others leave as well, or its time is over. */
 export type LeaveReason = 'not-voting' | 'replaced' | 'covered' | 'all-leave' | 'grace-over';
@@ -14,36 +14,36 @@
 const LOOK = 0.5;
 
 /** What leaving needs of its controller. */
-export interface LeaveParts {
+export interface LeaveDependencies {
   clock: Clock;
-  log: Log;
-  bounds: Bounds;
-  slots: Slots;
+  logger: Logger;
+  timeLimits: TimeLimits;
+  store: ControlStore;
   self: Voter;
-  membership: Membership;
-  voters(): Voters | undefined;
+  liveness: VoterLiveness;
+  voters(): VoterSet | undefined;
   /** Controllers that would vote. */
-  joiners(): Voter[];
-  askVoter(v: Voter, type: string, body: unknown): Promise<Outcome<unknown>>;
+  candidates(): Voter[];
+  requestVoter(v: Voter, type: string, body: unknown): Promise<Result<unknown>>;
   /** Has the loops of this controller look at the voters anew. */
   wake(): void;
 }
 
 /** Leaves the voters: hands this controller's keys over at once, and comes back when its disk is needed no longer, or its time is nearly over. Until then it votes on. */
-export async function leaveVoters(p: LeaveParts): Promise<LeaveReason> {
+export async function leaveGracefully(p: LeaveDependencies): Promise<LeaveReason> {
   const began = p.clock.now();
   const wasVoter = isVoter(p.voters(), p.self.disk);
   const granted = new Set<string>();
   let isLate = false;
-  p.membership.beginLeave();
+  p.liveness.beginLeave();
   p.wake();
   const reason = await Promise.race([untilFree(), untilLate()]);
   const tookMs = p.clock.now() - began;
-  p.log.notice({ step: 'leave', peer: p.self.at, reason, tookMs }, `leaves as ${reason}`);
+  p.logger.notice({ step: 'leave', peer: p.self.at, reason, tookMs }, `leaves as ${reason}`);
   return reason;
 
   async function untilLate(): Promise<LeaveReason> {
-    await p.clock.sleep(p.bounds.leave);
+    await p.clock.sleep(p.timeLimits.leaveTimeoutMs);
     isLate = true;
     return 'grace-over';
   }
@@ -53,7 +53,7 @@
       await announce();
       const free = await reasonToGo();
       if (free) return free;
-      await p.clock.sleep(p.bounds.pause * LOOK);
+      await p.clock.sleep(p.timeLimits.retryPauseMs * LOOK);
     }
     return 'grace-over';
   }
@@ -64,24 +64,24 @@
   }
 
   function isOther(x: Voter): boolean {
-    return !p.membership.isSelf(x);
+    return !p.liveness.isSelf(x);
   }
 
   /** Tells the other voters, again and again, since one whose connection came up anew takes it for a return; notes who stays while this one goes. */
   async function announce(): Promise<void> {
     async function tell(x: Voter): Promise<void> {
-      const [f, r] = open(await p.askVoter(x, 'core-leave', p.self));
+      const [f, r] = errorOrValue(await p.requestVoter(x, 'core-leave', p.self));
       if (!f && (r as LeaveReply).stays !== false) granted.add(x.disk);
     }
-    await Promise.all(others().filter(p.membership.isUp).map(tell));
+    await Promise.all(others().filter(p.liveness.isUp).map(tell));
   }
 
   async function reasonToGo(): Promise<LeaveReason | undefined> {
     const v = p.voters();
     if (!v || !wasVoter) return 'not-voting';
-    if (others().every(p.membership.isLeaving)) return 'all-leave';
+    if (others().every(p.liveness.isLeaving)) return 'all-leave';
     const isReplaced = !isVoter(v, p.self.disk);
-    if (!isReplaced && (v.next || p.joiners().some(p.membership.isUp))) return undefined;
+    if (!isReplaced && (v.next || p.candidates().some(p.liveness.isUp))) return undefined;
     const live = others().filter(isStaying);
     const copies = await upToDate(live);
     if (isReplaced) return isQuorum(v, copies) ? 'replaced' : undefined;
@@ -90,15 +90,15 @@
 
   /** Whether a voter is here for good: one that leaves as well counts where it let this one go first. */
   function isStaying(x: Voter): boolean {
-    if (!p.membership.isUp(x)) return false;
-    return granted.has(x.disk) || !p.membership.isLeaving(x);
+    if (!p.liveness.isUp(x)) return false;
+    return granted.has(x.disk) || !p.liveness.isLeaving(x);
   }
 
   /** The disks that have learned, by their own word, all that this one has. */
   async function upToDate(live: readonly Voter[]): Promise<Set<string>> {
     const disks = new Set<string>();
     async function bring(x: Voter): Promise<void> {
-      if ((await bringUpToDate(p, x)).isRight() && granted.has(x.disk)) disks.add(x.disk);
+      if ((await syncReplica(p, x)).isRight() && granted.has(x.disk)) disks.add(x.disk);
     }
     await Promise.all(live.map(bring));
     return disks;
--- a/src/control/membership/seed-announcer.ts
+++ b/src/control/membership/seed-announcer.ts
@@ -1,59 +1,59 @@
-import { askOnce, Hello, Holds } from '../../shared/transport/connections';
-import { open, Outcome } from '../../shared/errors/errors';
+import { requestOnce, Hello, ConnectionPool } from '../../shared/transport/connections';
+import { errorOrValue, Result } from '../../shared/errors/errors';
 import { appliedEntries } from '../../shared/replication/change-message';
 import { Ports } from '../../shared/ports/ports';
-import { Bounds } from '../../shared/settings/time-limits';
+import { TimeLimits } from '../../shared/settings/time-limits';
 import { Settings } from '../../shared/settings/settings';
-import { allVoters, Numbered, Voters } from '../../shared/state/words';
+import { allVoters, VersionedValue, VoterSet } from '../../shared/state/words';
 
 /** What telling the seeds needs of its controller. */
-export interface SeedParts {
+export interface SeedAnnouncerDependencies {
   ports: Ports;
   settings: Settings;
-  bounds: Bounds;
+  timeLimits: TimeLimits;
   hello: Hello;
-  edges: readonly object[];
-  helds: Holds;
-  voters(): Voters | undefined;
-  hasMajority(): boolean;
-  committed(): Numbered[];
-  learn(m: { change: Numbered }): Promise<Outcome<unknown>>;
+  handlers: readonly object[];
+  connections: ConnectionPool;
+  voters(): VoterSet | undefined;
+  hasQuorum(): boolean;
+  committedValues(): VersionedValue[];
+  learn(m: { change: VersionedValue }): Promise<Result<unknown>>;
   /** Notes that a change was not heard as it was made. */
-  forget(key: string): void;
-  stopped(): boolean;
+  onCaughtUp(key: string): void;
+  isStopped(): boolean;
 }
 
 /** Tells the seeds that are not of the core where it is: they are asked first, and may be machines that know of nobody. A node that has lost the core asks them. */
-export async function tellSeeds(p: SeedParts): Promise<void> {
-  while (!p.stopped()) {
+export async function announceToSeeds(p: SeedAnnouncerDependencies): Promise<void> {
+  while (!p.isStopped()) {
     for (const at of p.settings.seeds.filter(isOther)) await tellSeed(at);
-    await p.ports.clock.sleep(p.bounds.lease * (0.8 + 0.4 * p.ports.dice.next()));
+    await p.ports.clock.sleep(p.timeLimits.leaseMs * (0.8 + 0.4 * p.ports.random.next()));
   }
 
   function isOther(at: string): boolean {
-    return at !== p.settings.wire && !p.helds.up(at);
+    return at !== p.settings.wire && !p.connections.channelTo(at);
   }
 
   async function tellSeed(at: string): Promise<void> {
     const v = p.voters();
     if (!v) return;
-    if (!p.hasMajority()) await take(await ask(at, 'missing', appliedEntries(p.committed())));
+    if (!p.hasQuorum()) await take(await ask(at, 'missing', appliedEntries(p.committedValues())));
     else if (!allVoters(v).some(isAt)) await ask(at, 'here', v);
     function isAt(x: { at: string }): boolean {
       return x.at === at;
     }
   }
 
-  function ask(at: string, type: string, body: unknown): Promise<Outcome<unknown>> {
-    return askOnce(p.ports, p.hello, p.edges, at, type, body, p.bounds.dial);
+  function ask(at: string, type: string, body: unknown): Promise<Result<unknown>> {
+    return requestOnce(p.ports, p.hello, p.handlers, at, type, body, p.timeLimits.connectTimeoutMs);
   }
 
-  async function take(o: Outcome<unknown>): Promise<void> {
-    const [f, list] = open(o);
+  async function take(o: Result<unknown>): Promise<void> {
+    const [f, list] = errorOrValue(o);
     if (f) return;
-    for (const n of list as Numbered[]) {
+    for (const n of list as VersionedValue[]) {
       await p.learn({ change: n });
-      p.forget(n.key);
+      p.onCaughtUp(n.key);
     }
   }
 }
--- a/src/control/membership/voter-liveness.ts
+++ b/src/control/membership/voter-liveness.ts
@@ -1,43 +1,43 @@
-import { Exchange } from '../../shared/transport/connections';
+import { PeerChannel } from '../../shared/transport/connections';
 import { Clock } from '../../shared/ports/ports';
-import { allVoters, atOf, isQuorum, Voter, Voters } from '../../shared/state/words';
+import { allVoters, addressOf, isQuorum, Voter, VoterSet } from '../../shared/state/words';
 
 /** What the view of the voters is made of. */
-export interface MembershipParts {
+export interface VoterLivenessDependencies {
   clock: Clock;
   /** This controller's own place among the voters. */
   self: Voter;
-  voters(): Voters | undefined;
+  voters(): VoterSet | undefined;
   /** The connection to a controller, while it is up. */
-  up(at: string): Exchange | undefined;
+  channelTo(at: string): PeerChannel | undefined;
   /** Whether a disk said that it leaves, and has not come back since a time. */
-  saidLeaving(disk: string, upSince: number | undefined): boolean;
+  announcedLeave(disk: string, upSince: number | undefined): boolean;
 }
 
 /** How the voters stand, as this controller sees them. */
-export interface Membership {
+export interface VoterLiveness {
   isSelf(x: Voter): boolean;
   /** Whether a voter is up with its own disk; an emptied one at its address is not that voter. */
   isUp(x: Voter): boolean;
   /** Whether a voter's machine is there with another disk, so that its own is gone. */
-  isEmptied(x: Voter): boolean;
+  hasOtherDisk(x: Voter): boolean;
   isLeaving(x: Voter): boolean;
   /** The addresses of the voters that are up and stay. */
-  live(): string[];
-  hasMajority(): boolean;
+  liveAddresses(): string[];
+  hasQuorum(): boolean;
   /** Notes that the connection to a controller has come up. */
   noteUp(at: string): void;
   /** Notes that this controller leaves. */
   beginLeave(): void;
-  leaving(): boolean;
+  isSelfLeaving(): boolean;
   /** Notes the voters that were learned. */
-  noteVoters(v: Voters): void;
+  noteVoters(v: VoterSet): void;
   /** For how many ms a joint set has been known here; 0 where none stands. */
   jointForMs(): number;
 }
 
 /** Makes the view of the voters. */
-export function makeMembership(p: MembershipParts): Membership {
+export function makeVoterLiveness(p: VoterLivenessDependencies): VoterLiveness {
   const upSince = new Map<string, number>();
   let isEnding = false;
   let jointSince: number | undefined;
@@ -48,17 +48,17 @@
 
   function isUp(x: Voter): boolean {
     if (isSelf(x)) return true;
-    const exchange = p.up(x.at);
+    const exchange = p.channelTo(x.at);
     return exchange !== undefined && (exchange.hello?.disk ?? x.disk) === x.disk;
   }
 
   function isEmptied(x: Voter): boolean {
-    const disk = p.up(x.at)?.hello?.disk;
+    const disk = p.channelTo(x.at)?.hello?.disk;
     return disk !== undefined && disk !== x.disk;
   }
 
   function isLeaving(x: Voter): boolean {
-    return isSelf(x) ? isEnding : p.saidLeaving(x.disk, upSince.get(x.at));
+    return isSelf(x) ? isEnding : p.announcedLeave(x.disk, upSince.get(x.at));
   }
 
   function isHere(x: Voter): boolean {
@@ -67,7 +67,7 @@
 
   function live(): string[] {
     const v = p.voters();
-    return v ? allVoters(v).filter(isHere).map(atOf) : [];
+    return v ? allVoters(v).filter(isHere).map(addressOf) : [];
   }
 
   function hasMajority(): boolean {
@@ -87,7 +87,7 @@
     return isEnding;
   }
 
-  function noteVoters(v: Voters): void {
+  function noteVoters(v: VoterSet): void {
     jointSince = v.next && (jointSince ?? p.clock.now());
   }
 
@@ -98,13 +98,13 @@
   return {
     isSelf,
     isUp,
-    isEmptied,
+    hasOtherDisk: isEmptied,
     isLeaving,
-    live,
-    hasMajority,
+    liveAddresses: live,
+    hasQuorum: hasMajority,
     noteUp,
     beginLeave,
-    leaving,
+    isSelfLeaving: leaving,
     noteVoters,
     jointForMs,
   };
--- a/src/control/membership/voter-set-controller.ts
+++ b/src/control/membership/voter-set-controller.ts
@@ -1,18 +1,30 @@
 import { Right } from 'purify-ts';
-import { field, Handled, message } from '../../shared/transport/handlers';
-import { open } from '../../shared/errors/errors';
+import { bodyField, HandlerResult, messageHandler } from '../../shared/transport/handlers';
+import { errorOrValue } from '../../shared/errors/errors';
 import { Ports } from '../../shared/ports/ports';
-import { Bounds } from '../../shared/settings/time-limits';
-import { allVoters, atOf, isVoter, KEYS, Voter, Voters } from '../../shared/state/words';
+import { TimeLimits } from '../../shared/settings/time-limits';
+import {
+  allVoters,
+  addressOf,
+  isVoter,
+  CONTROL_KEYS,
+  Voter,
+  VoterSet,
+} from '../../shared/state/words';
 import { Controller } from '../controller';
-import { makeJointProgress, moveVoters, NEWCOMER_UNFIT, returnVoters } from './reconfiguration';
+import {
+  makeReconfigurationProgress,
+  changeVoterSet,
+  NEW_VOTER_UNWRITABLE,
+  revertVoterSet,
+} from './reconfiguration';
 
 /** How a voter's machine stands: there with its disk, away, away for good while, leaving by its own word, or there with another disk. */
-export type Standing = 'here' | 'away' | 'lost' | 'leaving' | 'emptied';
+export type VoterHealth = 'here' | 'away' | 'lost' | 'leaving' | 'emptied';
 
-class JoinAsk {
-  @field('string') disk!: string;
-  @field('string') at!: string;
+class JoinRequest {
+  @bodyField('string') disk!: string;
+  @bodyField('string') at!: string;
 }
 
 /** The answer to a controller that leaves: whether the one that answers stays until that one is back or replaced. */
@@ -21,33 +33,35 @@
 }
 
 /** What controllers say of themselves: that they would vote, and that they leave. */
-export class RosterEdge {
+export class MembershipRequests {
   private readonly asked = new Map<string, Voter & { since: number; last: number }>();
   private readonly left = new Map<string, number>();
 
   constructor(
     private readonly ports: Ports,
-    private readonly bounds: Bounds,
-    private readonly voters: () => Voters | undefined,
+    private readonly bounds: TimeLimits,
+    private readonly voters: () => VoterSet | undefined,
     private readonly told: () => void,
     private readonly leaving: () => boolean,
   ) {}
 
   /** Hears from a quorum member that does not vote. */
-  @message('join', JoinAsk)
-  async join(m: JoinAsk): Handled {
+  @messageHandler('join', JoinRequest)
+  async join(m: JoinRequest): HandlerResult {
     const now = this.ports.clock.now();
     const before = this.asked.get(m.at);
     const fresh =
-      before === undefined || before.disk !== m.disk || before.last + this.bounds.repair < now;
+      before === undefined ||
+      before.disk !== m.disk ||
+      before.last + this.bounds.diskRepairMs < now;
     this.asked.set(m.at, { disk: m.disk, at: m.at, since: fresh ? now : before.since, last: now });
     if (fresh) this.told();
     return Right(true);
   }
 
   /** Hears from a controller that it ends; it says so again until it has ended. */
-  @message('core-leave', JoinAsk)
-  async leave(m: JoinAsk): Handled {
+  @messageHandler('core-leave', JoinRequest)
+  async leave(m: JoinRequest): HandlerResult {
     const isNews = !this.left.has(m.disk);
     this.left.set(m.disk, this.ports.clock.now());
     this.asked.delete(m.at);
@@ -56,16 +70,16 @@
   }
 
   /** Takes no notice of one that asked, until it asks again. */
-  forget(x: Voter): void {
+  discard(x: Voter): void {
     if (this.asked.get(x.at)?.disk === x.disk) this.asked.delete(x.at);
   }
 
   /** Those that asked lately and do not vote, the longest waiting first. */
-  joiners(): Voter[] {
+  candidates(): Voter[] {
     const now = this.ports.clock.now();
     const out: (Voter & { since: number })[] = [];
     for (const x of this.asked.values())
-      if (x.last + this.bounds.repair > now && !isVoter(this.voters(), x.disk)) out.push(x);
+      if (x.last + this.bounds.diskRepairMs > now && !isVoter(this.voters(), x.disk)) out.push(x);
     return out.sort(bySince).map(plain);
   }
 
@@ -86,10 +100,10 @@
 }
 
 /** The voter set that should stand next, or nothing where the one that stands is right: a machine with another disk takes its own place at once; others take the places of those that are lost or leave; up to `target`, in odd numbers. */
-export function nextSet(
+export function planVoterSet(
   now: readonly Voter[],
   joiners: readonly Voter[],
-  standing: (v: Voter) => Standing,
+  standing: (v: Voter) => VoterHealth,
   target: number,
 ): Voter[] | undefined {
   const spare = [...joiners];
@@ -146,31 +160,39 @@
 }
 
 /** Asks the voters to take this disk in, for as long as it is a quorum member's that does not vote. */
-export async function askToJoin(c: Controller, ports: Ports): Promise<void> {
+export async function requestMembership(c: Controller, ports: Ports): Promise<void> {
   const waker = c.addWaker();
-  while (!c.stopped()) {
+  while (!c.isStopped()) {
     const v = c.voters();
-    const self: Voter = { disk: c.slots.disk, at: c.settings.wire };
-    const wants = c.settings.quorumMember && c.slots.fit() && c.votes.fit() && !c.isLeaving(self);
+    const self: Voter = { disk: c.store.diskId, at: c.settings.wire };
+    const wants =
+      c.settings.quorumMember && c.store.isWritable() && c.votes.isWritable() && !c.isLeaving(self);
     if (wants && v && !isVoter(v, self.disk))
-      for (const x of allVoters(v)) void c.askVoter(x, 'join', self, c.bounds.ask);
-    await waker.wait(c.bounds.renew * (0.8 + 0.4 * ports.dice.next()), c.bounds.pause * 0.1);
+      for (const x of allVoters(v))
+        void c.requestVoter(x, 'join', self, c.timeLimits.requestTimeoutMs);
+    await waker.wait(
+      c.timeLimits.leaseRenewalMs * (0.8 + 0.4 * ports.random.next()),
+      c.timeLimits.retryPauseMs * 0.1,
+    );
   }
 }
 
 /** Has the voter set follow the machines, while this node owns it; a joint set that another left is brought to its end, or back where its newcomers are gone. */
-export async function followMachines(c: Controller, ports: Ports): Promise<void> {
+export async function maintainVoterSet(c: Controller, ports: Ports): Promise<void> {
   const waker = c.addWaker();
   const awaySince = new Map<string, number>();
-  const progress = makeJointProgress();
-  while (!c.stopped()) {
-    await waker.wait(c.bounds.renew * (0.8 + 0.4 * ports.dice.next()), c.bounds.pause * 0.1);
+  const progress = makeReconfigurationProgress();
+  while (!c.isStopped()) {
+    await waker.wait(
+      c.timeLimits.leaseRenewalMs * (0.8 + 0.4 * ports.random.next()),
+      c.timeLimits.retryPauseMs * 0.1,
+    );
     const v = c.voters();
     if (!v) continue;
     note(v);
-    if (!c.chosen(KEYS.voters) || !c.hasMajority()) continue;
-    const [f] = open(await c.owner.own(KEYS.voters));
-    const stood = c.value<Voters>(KEYS.voters);
+    if (!c.isPreferredOwner(CONTROL_KEYS.voters) || !c.hasQuorum()) continue;
+    const [f] = errorOrValue(await c.keyOwner.acquire(CONTROL_KEYS.voters));
+    const stood = c.committedValue<VoterSet>(CONTROL_KEYS.voters);
     if (f || !stood) continue;
     const { now, next } = stood.value;
     const fresh = next?.filter(isNewcomer) ?? [];
@@ -178,42 +200,48 @@
       return !isVoter({ now }, x.disk);
     }
     if (next && fresh.some(isAway)) {
-      if (fresh.some(isOver)) await returnVoters(c, stood);
+      if (fresh.some(isOver)) await revertVoterSet(c, stood);
       continue;
     }
     const set =
-      next ?? nextSet(now, c.roster.joiners().filter(isUp), standing, c.settings.tolerated * 2 + 1);
+      next ??
+      planVoterSet(
+        now,
+        c.membershipRequests.candidates().filter(isUp),
+        standing,
+        c.settings.tolerated * 2 + 1,
+      );
     if (!set || !(await othersAgree(now, set))) continue;
-    ports.log.warn(
+    ports.logger.warn(
       { step: 'follow machines', peer: c.name },
-      `voters ${now.map(atOf).join(' ')} become ${set.map(atOf).join(' ')}`,
+      `voters ${now.map(addressOf).join(' ')} become ${set.map(addressOf).join(' ')}`,
     );
-    const [g] = open(await moveVoters(c, ports, set, isOverdue, progress));
+    const [g] = errorOrValue(await changeVoterSet(c, ports, set, isOverdue, progress));
     if (!g) {
       waker.wake();
       continue;
     }
-    ports.log.warn({ step: g.step, peer: g.peer }, g.why);
-    if (g.code === NEWCOMER_UNFIT) await refuse(set.filter(isNewcomer));
+    ports.logger.warn({ step: g.step, peer: g.peer }, g.reason);
+    if (g.code === NEW_VOTER_UNWRITABLE) await refuse(set.filter(isNewcomer));
   }
 
   /** Goes back from a joint set whose newcomers' disks take no writes; they ask again once they do. */
   async function refuse(newcomers: readonly Voter[]): Promise<void> {
     newcomers.forEach(forget);
-    const stood = c.value<Voters>(KEYS.voters);
-    if (stood?.value.next) await returnVoters(c, stood);
+    const stood = c.committedValue<VoterSet>(CONTROL_KEYS.voters);
+    if (stood?.value.next) await revertVoterSet(c, stood);
   }
 
   function forget(x: Voter): void {
-    c.roster.forget(x);
+    c.membershipRequests.discard(x);
   }
 
   /** Whether a joint set has stood for longer than the repair of a disk may take. */
   function isOverdue(): boolean {
-    return c.jointForMs() > c.bounds.repair;
+    return c.jointForMs() > c.timeLimits.diskRepairMs;
   }
 
-  function note(v: Voters): void {
+  function note(v: VoterSet): void {
     const t = ports.clock.now();
     for (const x of allVoters(v)) {
       if (c.isUp(x)) awaySince.delete(x.disk);
@@ -235,14 +263,14 @@
   }
 
   function isOver(x: Voter): boolean {
-    return c.isEmptied(x) || awayFor(x) > c.bounds.lost;
+    return c.hasOtherDisk(x) || awayFor(x) > c.timeLimits.voterLostAfterMs;
   }
 
-  function standing(x: Voter): Standing {
-    if (c.isEmptied(x)) return 'emptied';
+  function standing(x: Voter): VoterHealth {
+    if (c.hasOtherDisk(x)) return 'emptied';
     if (c.isLeaving(x)) return 'leaving';
     if (c.isUp(x)) return 'here';
-    return awayFor(x) > c.bounds.lost ? 'lost' : 'away';
+    return awayFor(x) > c.timeLimits.voterLostAfterMs ? 'lost' : 'away';
   }
 
   /** Whether the other voters miss those that only seem to be lost, too. */
@@ -253,7 +281,9 @@
     const dropped = now.filter(isDropped);
     if (dropped.length === 0) return true;
     for (const x of now.filter(isUp)) {
-      const [f, up] = open(await c.askVoter(x, 'sees', dropped, c.bounds.ask));
+      const [f, up] = errorOrValue(
+        await c.requestVoter(x, 'sees', dropped, c.timeLimits.requestTimeoutMs),
+      );
       if (!f && (up as boolean)) return false;
     }
     return true;
--- a/src/control/membership/voter-status.ts
+++ b/src/control/membership/voter-status.ts
@@ -1,7 +1,7 @@
-import { open } from '../../shared/errors/errors';
-import { allVoters, atOf, isQuorum, Voter, Voters } from '../../shared/state/words';
+import { errorOrValue } from '../../shared/errors/errors';
+import { allVoters, addressOf, isQuorum, Voter, VoterSet } from '../../shared/state/words';
 import { Controller } from '../controller-interface';
-import { progressOf } from '../consensus/replica-sync';
+import { readReplicaProgress } from '../consensus/replica-sync';
 
 /** How a voter's machine stands. */
 export type VoterState = 'here' | 'away' | 'leaving' | 'emptied';
@@ -31,7 +31,7 @@
 }
 
 /** Asks the voters how far they are, and tells whether they bear a loss. */
-export async function votersStatus(c: Controller): Promise<VotersStatus> {
+export async function readVoterStatus(c: Controller): Promise<VotersStatus> {
   const v = c.voters();
   if (!v) return { voters: [], bearsLoss: false, reasons: [{ reason: 'not-founded' }] };
   const voters = await Promise.all(allVoters(v).map(statusOf));
@@ -40,20 +40,22 @@
     voters,
     bearsLoss,
     reasons: bearsLoss ? [] : reasonsOf(v, voters),
-    joint: v.next && { next: v.next.map(atOf), sinceMs: c.jointForMs() },
+    joint: v.next && { next: v.next.map(addressOf), sinceMs: c.jointForMs() },
   };
 
   async function statusOf(x: Voter): Promise<VoterStatus> {
-    const [, progress] = open(await progressOf({ slots: c.slots, askVoter }, x));
+    const [, progress] = errorOrValue(
+      await readReplicaProgress({ store: c.store, requestVoter: askVoter }, x),
+    );
     return { at: x.at, disk: x.disk, state: stateOf(x), ...progress };
   }
 
-  function askVoter(x: Voter, type: string, body: unknown): ReturnType<Controller['askVoter']> {
-    return c.askVoter(x, type, body, c.bounds.ask);
+  function askVoter(x: Voter, type: string, body: unknown): ReturnType<Controller['requestVoter']> {
+    return c.requestVoter(x, type, body, c.timeLimits.requestTimeoutMs);
   }
 
   function stateOf(x: Voter): VoterState {
-    if (c.isEmptied(x)) return 'emptied';
+    if (c.hasOtherDisk(x)) return 'emptied';
     if (c.isLeaving(x)) return 'leaving';
     return c.isUp(x) ? 'here' : 'away';
   }
@@ -63,7 +65,7 @@
   return x.state === 'here' && x.behind === 0;
 }
 
-function bearsAny(v: Voters, voters: readonly VoterStatus[]): boolean {
+function bearsAny(v: VoterSet, voters: readonly VoterStatus[]): boolean {
   const whole = voters.filter(isWhole);
   return voters.every(mayGo);
   function mayGo(lost: VoterStatus): boolean {
@@ -74,7 +76,7 @@
   }
 }
 
-function reasonsOf(v: Voters, voters: readonly VoterStatus[]): VotersStatus['reasons'] {
+function reasonsOf(v: VoterSet, voters: readonly VoterStatus[]): VotersStatus['reasons'] {
   const reasons: VotersStatus['reasons'] = [];
   if (v.next) reasons.push({ reason: 'joint-set' });
   for (const { state, behind, at } of voters) {
@@ -89,7 +91,7 @@
 }
 
 /** The voters as rows for collectors. */
-export function voterRows(s: VotersStatus): string[] {
+export function voterMetricRows(s: VotersStatus): string[] {
   const rows = [
     `plumhollow_controller_bears_loss ${s.bearsLoss ? 1 : 0}`,
     `plumhollow_controller_joint_set_ms ${s.joint?.sinceMs ?? 0}`,
--- a/src/control/singletons/weights-rollout.ts
+++ b/src/control/singletons/weights-rollout.ts
@@ -1,11 +1,15 @@
-import { Dialect, EngineReport, OrderAnswer } from '../../shared/platform-adapter/platform-adapter';
-import { open } from '../../shared/errors/errors';
+import {
+  PlatformAdapter,
+  EngineReport,
+  OrderReply,
+} from '../../shared/platform-adapter/platform-adapter';
+import { errorOrValue } from '../../shared/errors/errors';
 import { Ports } from '../../shared/ports/ports';
 import { compareWeights, lacks, NamedWeights } from '../../shared/state/weights';
-import { askWorded } from '../../shared/platform-adapter/adapter-request';
-import { Engine, KEYS } from '../../shared/state/words';
+import { sendAdapterRequest } from '../../shared/platform-adapter/adapter-request';
+import { Engine, CONTROL_KEYS } from '../../shared/state/words';
 import { Controller } from '../controller';
-import { holdTerm } from './singleton-lease';
+import { makeSingletonLease } from './singleton-lease';
 
 /** Engines of a model that take up weights at once, as a share of them all. */
 const AT_ONCE = 0.25;
@@ -28,26 +32,26 @@
 }
 
 /** Brings all engines of each model to its named weights: a few at a time, each ordered once, under the fence of one duty for the whole fleet. */
-export async function rollOut(
+export async function runWeightsRollout(
   c: Controller,
   ports: Ports,
-  speak: Pick<Dialect['engines'], 'order' | 'report'>,
+  speak: Pick<PlatformAdapter['engines'], 'order' | 'report'>,
 ): Promise<void> {
-  const { clock, wire, log } = ports;
-  const { bounds } = c;
-  const term = holdTerm(c, ports, 'weights');
+  const { clock, network: wire, logger: log } = ports;
+  const { timeLimits: bounds } = c;
+  const term = makeSingletonLease(c, ports, 'weights');
   const known = new Map<string, string>();
   const since = new Map<string, { weights: string; at: number }>();
   const underWay = new Map<string, string>();
   const notBefore = new Map<string, { tries: number; at: number }>();
-  let usual = bounds.loadGuess;
+  let usual = bounds.initialWeightsLoadMs;
   let waiting: number | undefined;
   let passed = -Infinity;
   let inTouchSince = Infinity;
 
-  while (!c.stopped()) {
-    await clock.sleep(bounds.termFresh * 0.5);
-    term.watch();
+  while (!c.isStopped()) {
+    await clock.sleep(bounds.singletonFreshMs * 0.5);
+    term.observe();
     noteTouch();
     const next: Task[] = [];
     let any = false;
@@ -58,29 +62,33 @@
       if (all.length === 0) await endOlder(named);
     }
     waiting = any ? (waiting ?? clock.now()) : undefined;
-    if (waiting === undefined || (next.length === 0 && term.lasts())) continue;
-    if ((await term.fence(clock.now() - waiting)) !== undefined)
+    if (waiting === undefined || (next.length === 0 && term.isSafeFromTakeover())) continue;
+    if ((await term.acquireFencingToken(clock.now() - waiting)) !== undefined)
       for (const t of next) void bring(t);
   }
 
   /** Notes since when this node has taken its turns and seen a majority: what it hears meanwhile, it hears as it is made. */
   function noteTouch(): void {
     const now = clock.now();
-    if (now - passed > bounds.lease || !c.hasMajority()) inTouchSince = now;
+    if (now - passed > bounds.leaseMs || !c.hasQuorum()) inTouchSince = now;
     passed = now;
   }
 
   /** The named weights of each model, and since when they are named; where that is not known, half of the time is taken as gone. */
   function namedModels(): NamedWeights[] {
     const out: NamedWeights[] = [];
-    for (const key of c.slots.cells.keys()) {
-      const v = key.startsWith(KEYS.weights) ? c.value<NamedWeights>(key)?.value : undefined;
+    for (const key of c.store.registers.keys()) {
+      const v = key.startsWith(CONTROL_KEYS.weights)
+        ? c.committedValue<NamedWeights>(key)?.value
+        : undefined;
       if (!v) continue;
       const s = since.get(v.model);
       if (s?.weights !== v.weights)
         since.set(v.model, {
           weights: v.weights,
-          at: clock.now() - (clock.now() - inTouchSince > bounds.lease ? 0 : bounds.rollOut * 0.5),
+          at:
+            clock.now() -
+            (clock.now() - inTouchSince > bounds.leaseMs ? 0 : bounds.rolloutTargetMs * 0.5),
         });
       out.push(v);
     }
@@ -92,8 +100,8 @@
     const s = since.get(named.model)!;
     if (
       named.older.length === 0 ||
-      !c.owner.owns(KEYS.weights + named.model) ||
-      clock.now() - s.at < bounds.weightsStop
+      !c.keyOwner.owns(CONTROL_KEYS.weights + named.model) ||
+      clock.now() - s.at < bounds.oldWeightsRetireMs
     )
       return;
     s.at = clock.now();
@@ -102,7 +110,7 @@
 
   function enginesOf(model: string): Engine[] {
     const out: Engine[] = [];
-    for (const e of c.value<Engine[]>(KEYS.engines)?.value ?? [])
+    for (const e of c.committedValue<Engine[]>(CONTROL_KEYS.engines)?.value ?? [])
       if (!e.leaving && listedWeights(e, model) !== undefined) out.push(e);
     return out;
   }
@@ -131,8 +139,10 @@
   function atOnce(named: NamedWeights, left: number): number {
     const gone = clock.now() - since.get(named.model)!.at;
     const all = enginesOf(named.model).length;
-    const needed = Math.ceil((left * usual) / Math.max(usual, bounds.rollOut - gone - usual / 2));
-    const most = gone < bounds.weightsStop ? Math.ceil(all * AT_ONCE_LATE) : left;
+    const needed = Math.ceil(
+      (left * usual) / Math.max(usual, bounds.rolloutTargetMs - gone - usual / 2),
+    );
+    const most = gone < bounds.oldWeightsRetireMs ? Math.ceil(all * AT_ONCE_LATE) : left;
     return Math.max(1, Math.floor(all * AT_ONCE), Math.min(needed, most));
   }
 
@@ -151,22 +161,22 @@
     const { engine, model } = t;
     const began = clock.now();
     underWay.set(engine.id, model);
-    c.leases.tell('loading', { engines: [engine.id], within: bounds.loadMost });
-    await clock.sleep(bounds.termFresh * 0.25);
+    c.leases.notifyAll('loading', { engines: [engine.id], within: bounds.weightsLoadTimeoutMs });
+    await clock.sleep(bounds.singletonFreshMs * 0.25);
     const done = await orderAndLook(t);
     underWay.delete(engine.id);
     if (done) {
       usual += SMOOTH * (clock.now() - began - usual);
       notBefore.delete(engine.id);
       known.set(`${engine.id} ${model}`, t.named.weights);
-      c.leases.tell('loaded', { engine: engine.id, weights: { [model]: t.named.weights } });
+      c.leases.notifyAll('loaded', { engine: engine.id, weights: { [model]: t.named.weights } });
       return;
     }
-    c.leases.tell('loading', { engines: [engine.id], within: 0 });
+    c.leases.notifyAll('loading', { engines: [engine.id], within: 0 });
     const tries = (notBefore.get(engine.id)?.tries ?? 0) + 1;
     notBefore.set(engine.id, {
       tries,
-      at: clock.now() + bounds.reportAge * Math.min(8, 2 ** (tries - 1)),
+      at: clock.now() + bounds.engineReportMaxAgeMs * Math.min(8, 2 ** (tries - 1)),
     });
   }
 
@@ -175,16 +185,23 @@
     let silent = 0;
     while (sent !== 'holds' && sent !== 'not taken') {
       await clock.sleep(
-        Math.max(bounds.termFresh * 0.6, clock.now() - sent.at < usual * 0.5 ? usual * 0.5 : 0),
+        Math.max(
+          bounds.singletonFreshMs * 0.6,
+          clock.now() - sent.at < usual * 0.5 ? usual * 0.5 : 0,
+        ),
       );
       const r = await report(t);
       if (r === undefined) silent++;
       else silent = 0;
-      if (silent >= MOST_SILENT || clock.now() - sent.at > bounds.loadMost || !isListed(t))
+      if (
+        silent >= MOST_SILENT ||
+        clock.now() - sent.at > bounds.weightsLoadTimeoutMs ||
+        !isListed(t)
+      )
         return false;
       if (r === undefined) continue;
       if (has(r, t)) return true;
-      if (r.busy || clock.now() - sent.at < bounds.reportAge * 2) continue;
+      if (r.busy || clock.now() - sent.at < bounds.engineReportMaxAgeMs * 2) continue;
       if (sent.sure) return false;
       sent = await order(t, r.orders);
     }
@@ -196,33 +213,37 @@
     t: Task,
     expected: number | undefined,
   ): Promise<Sent | 'holds' | 'not taken'> {
-    const fence = await term.fence(0);
-    if (fence === undefined || !term.fresh()) return 'not taken';
+    const fence = await term.acquireFencingToken(0);
+    if (fence === undefined || !term.isFresh()) return 'not taken';
     const { engine, model, named } = t;
     const q = speak.order.ask({
       instance: engine.id,
       model,
       weights: named.weights,
       method: 'queue',
-      holder: c.by,
+      holder: c.ownerId,
       fence,
       expected,
     });
     const at = clock.now();
-    const [f, r] = open(await askWorded(wire, engine.at, q, bounds.order));
-    const answer: OrderAnswer = f ? 'unknown' : speak.order.read(r.status, r.body);
+    const [f, r] = errorOrValue(
+      await sendAdapterRequest(wire, engine.at, q, bounds.engineOrderTimeoutMs),
+    );
+    const answer: OrderReply = f ? 'unknown' : speak.order.read(r.status, r.body);
     log.info(
       { step: 'order weights', peer: engine.at },
-      `${engine.id} ${model} ${named.weights}: ${f ? f.why : answer}`,
+      `${engine.id} ${model} ${named.weights}: ${f ? f.reason : answer}`,
     );
-    if (f?.sort === 'refused') return 'not taken';
+    if (f?.certainty === 'refused') return 'not taken';
     if (answer === 'holds') return 'holds';
     if (answer === 'taken' || answer === 'busy') return { at, sure: true };
     return answer === 'unknown' ? { at, sure: false } : 'not taken';
   }
 
   async function report(t: Task): Promise<EngineReport | undefined> {
-    const [f, r] = open(await askWorded(wire, t.engine.at, speak.report.ask(), bounds.order));
+    const [f, r] = errorOrValue(
+      await sendAdapterRequest(wire, t.engine.at, speak.report.ask(), bounds.engineOrderTimeoutMs),
+    );
     const read = f ? undefined : speak.report.read(r.status, r.body);
     return read?.isRight() ? (read.extract() as EngineReport) : undefined;
   }
--- a/src/control/storage/frames.ts
+++ b/src/control/storage/frames.ts
@@ -1,7 +1,7 @@
 import { crc32 } from 'node:zlib';
 import { pack, unpack } from 'msgpackr';
-import { open } from '../../shared/errors/errors';
-import { guard } from '../../shared/util/lib';
+import { errorOrValue } from '../../shared/errors/errors';
+import { tryCatch } from '../../shared/util/lib';
 
 const HEAD = 12;
 const OLD_HEAD = 8;
@@ -10,7 +10,7 @@
  * The most that is written before it is synced, in bytes. A longer write reaches the file in several calls, which
  * a loss of power keeps or drops one by one; what is left then can not be told from synced bytes that changed.
  */
-export const MOST_UNSYNCED = 256 * 1024;
+export const MAX_UNSYNCED_BYTES = 256 * 1024;
 
 /** A part of a packed value that is too long for one frame; the last one completes it. */
 interface ValuePart {
@@ -19,20 +19,20 @@
 }
 
 /** Frames a value in one or more frames, to be written in order, each synced before the next. */
-export function framesOf(v: unknown): Uint8Array[] {
+export function encodeFrames(v: unknown): Uint8Array[] {
   const body = pack(v);
-  if (body.length <= MOST_UNSYNCED) return [frameBody(body)];
+  if (body.length <= MAX_UNSYNCED_BYTES) return [frameBody(body)];
   const frames: Uint8Array[] = [];
-  for (let at = 0; at < body.length; at += MOST_UNSYNCED) {
-    const end = Math.min(at + MOST_UNSYNCED, body.length);
+  for (let at = 0; at < body.length; at += MAX_UNSYNCED_BYTES) {
+    const end = Math.min(at + MAX_UNSYNCED_BYTES, body.length);
     const part: ValuePart = { part: body.subarray(at, end), isLast: end === body.length };
-    frames.push(frame(part));
+    frames.push(encodeFrame(part));
   }
   return frames;
 }
 
 /** Frames a value: its length, its checksum, a checksum of these two, and the packed value. */
-export function frame(v: unknown): Uint8Array {
+export function encodeFrame(v: unknown): Uint8Array {
   return frameBody(pack(v));
 }
 
@@ -46,11 +46,11 @@
 }
 
 /** What a file of frames holds; `torn` where its end was never whole, `spoilt` where whole bytes have changed since, `old` where version 0.1 wrote it. */
-export interface Unframed {
+export interface DecodedFrames {
   values: unknown[];
-  old?: boolean;
-  torn: boolean;
-  spoilt: boolean;
+  isLegacy?: boolean;
+  isTorn: boolean;
+  isCorrupt: boolean;
 }
 
 function isPart(v: unknown): v is ValuePart {
@@ -58,49 +58,49 @@
 }
 
 /** Joins the parts of long values; one that was never completed is torn at the end, and spoilt before it. */
-function joinParts(read: Unframed): Unframed {
+function joinParts(read: DecodedFrames): DecodedFrames {
   const values: unknown[] = [];
   let parts: Uint8Array[] = [];
   for (const v of read.values) {
-    if (!isPart(v) && parts.length > 0) return { values, torn: false, spoilt: true };
+    if (!isPart(v) && parts.length > 0) return { values, isTorn: false, isCorrupt: true };
     if (!isPart(v)) values.push(v);
     else parts.push(v.part);
     if (!isPart(v) || !v.isLast) continue;
     values.push(unpack(Buffer.concat(parts)));
     parts = [];
   }
-  return { ...read, values, torn: read.torn || (parts.length > 0 && !read.spoilt) };
+  return { ...read, values, isTorn: read.isTorn || (parts.length > 0 && !read.isCorrupt) };
 }
 
 /** Reads the values of a file up to the first that is not whole: missing or zero bytes at the end are torn, all else is spoilt. */
-export function unframe(bytes: Uint8Array | undefined): Unframed {
+export function decodeFrames(bytes: Uint8Array | undefined): DecodedFrames {
   return joinParts(unframeAll(bytes));
 }
 
-function unframeAll(bytes: Uint8Array | undefined): Unframed {
+function unframeAll(bytes: Uint8Array | undefined): DecodedFrames {
   const b = bytes ? Buffer.from(bytes.buffer, bytes.byteOffset, bytes.length) : Buffer.alloc(0);
   const values: unknown[] = [];
   const old = unframeOld(b);
-  if (old.length > 0) return { values: old, old: true, torn: false, spoilt: false };
+  if (old.length > 0) return { values: old, isLegacy: true, isTorn: false, isCorrupt: false };
   let at = 0;
   while (at < b.length) {
     const headed = at + HEAD <= b.length;
     const end = headed ? at + HEAD + b.readUInt32BE(at) : Infinity;
     const sound = headed && crc32(b.subarray(at, at + 8)) === b.readUInt32BE(at + 8);
-    if (!headed || (sound && end > b.length)) return { values, torn: true, spoilt: false };
+    if (!headed || (sound && end > b.length)) return { values, isTorn: true, isCorrupt: false };
     const body = b.subarray(at + HEAD, end);
-    const [f, v] = open(guard('unpack', 'disk', read));
+    const [f, v] = errorOrValue(tryCatch('unpack', 'disk', read));
     function read(): unknown {
       return sound && crc32(body) === b.readUInt32BE(at + 4) ? unpack(body) : undefined;
     }
     if (f || v === undefined) {
       const torn = isZero(b.subarray(Math.max(at, b.length - 8)));
-      return { values, torn, spoilt: !torn };
+      return { values, isTorn: torn, isCorrupt: !torn };
     }
     values.push(v);
     at = end;
   }
-  return { values, torn: false, spoilt: false };
+  return { values, isTorn: false, isCorrupt: false };
 }
 
 /** Reads the frames of version 0.1: a length, a checksum, and one line each. */
--- a/src/control/storage/idempotency-votes.ts
+++ b/src/control/storage/idempotency-votes.ts
@@ -1,11 +1,11 @@
 import { Left, Right } from 'purify-ts';
-import { field, Handled, message } from '../../shared/transport/handlers';
-import { bad, open, Outcome } from '../../shared/errors/errors';
+import { bodyField, HandlerResult, messageHandler } from '../../shared/transport/handlers';
+import { failure, errorOrValue, Result } from '../../shared/errors/errors';
 import { Ports } from '../../shared/ports/ports';
-import { isVoter, Voters } from '../../shared/state/words';
-import { frame, framesOf, Unframed, unframe } from './frames';
-import { Group, makeGroup, untilWritten } from './group-commit';
-import { Slots } from './control-store';
+import { isVoter, VoterSet } from '../../shared/state/words';
+import { encodeFrame, encodeFrames, DecodedFrames, decodeFrames } from './frames';
+import { GroupCommit, makeGroupCommit, awaitFirstWrite } from './group-commit';
+import { ControlStore } from './control-store';
 import { makeSyncedReader } from './synced-read';
 
 /** What became of the run that holds a key, as far as it was told. */
@@ -20,23 +20,23 @@
 
 const FILES = [0, 1, 2];
 
-class VoteAsk {
-  @field('string') key!: string;
-  @field('string') run!: string;
+class VoteRequest {
+  @bodyField('string') key!: string;
+  @bodyField('string') run!: string;
 }
 
-class HeldAsk {
-  @field('string') begins!: string;
-  @field('boolean', false) some?: boolean;
+class HeldVotesRequest {
+  @bodyField('string') begins!: string;
+  @bodyField('boolean', false) some?: boolean;
 }
 
 /** Votes that one message carries well. */
 const PILE = 500;
 
-class RunTell {
-  @field('string') key!: string;
-  @field('string') run!: string;
-  @field('string') state!: RunState | 'released';
+class RunNotice {
+  @bodyField('string') key!: string;
+  @bodyField('string') run!: string;
+  @bodyField('string') state!: RunState | 'released';
 }
 
 interface VoteLine {
@@ -45,15 +45,15 @@
 }
 
 /** What the three files held. */
-export interface KeptVotes {
+export interface StoredVotes {
   votes: Vote[];
-  file: number;
-  gen: number;
+  fileIndex: number;
+  generation: number;
   disk: string;
-  spoilt: boolean;
-  old?: boolean;
+  isCorrupt: boolean;
+  isLegacy?: boolean;
   /** Syncs the files that were read. */
-  sync(): Promise<Outcome<void>>;
+  sync(): Promise<Result<void>>;
 }
 
 /** A file of votes that was written whole: its head, and the batches behind it. */
@@ -65,9 +65,9 @@
 }
 
 /** Reads a file; none where it was never written whole, so that the files before it still hold all votes. */
-function fileOf(index: number, u: Unframed): VotesFile | undefined {
+function fileOf(index: number, u: DecodedFrames): VotesFile | undefined {
   const head = u.values[0] as { gen: number; disk: string } | undefined;
-  const batches = (u.old ? [u.values.slice(1)] : u.values.slice(1)) as VoteLine[][];
+  const batches = (u.isLegacy ? [u.values.slice(1)] : u.values.slice(1)) as VoteLine[][];
   return head && batches.length > 0 ? { index, ...head, batches } : undefined;
 }
 
@@ -80,16 +80,16 @@
 }
 
 /** Reads the files of votes, oldest first, and tells whether synced votes are gone. */
-export async function readVotes(ports: Ports): Promise<Outcome<KeptVotes>> {
+export async function readStoredVotes(ports: Ports): Promise<Result<StoredVotes>> {
   const found: VotesFile[] = [];
   const reader = makeSyncedReader(ports.disk);
   let spoilt = false;
   let begunBy: string | undefined;
   for (const index of FILES) {
-    const [f, bytes] = open(await reader.read(`votes-${index}`));
+    const [f, bytes] = errorOrValue(await reader.read(`votes-${index}`));
     if (f) return Left(f);
-    const u = unframe(bytes);
-    spoilt ||= u.spoilt;
+    const u = decodeFrames(bytes);
+    spoilt ||= u.isCorrupt;
     begunBy ??= (u.values[0] as { disk?: string } | undefined)?.disk;
     const file = fileOf(index, u);
     if (file) found.push(file);
@@ -106,34 +106,34 @@
   spoilt ||= found.length > 1 && last.gen - found[0].gen !== found.length - 1;
   return Right({
     votes: [...votes.values()],
-    file: last?.index ?? 0,
-    gen: last?.gen ?? 0,
+    fileIndex: last?.index ?? 0,
+    generation: last?.gen ?? 0,
     disk: last?.disk ?? begunBy ?? '',
-    spoilt,
-    old: last !== undefined && last.disk === undefined,
+    isCorrupt: spoilt,
+    isLegacy: last !== undefined && last.disk === undefined,
     sync: reader.sync,
   });
 }
 
 /** First-come votes for idempotency keys, synced before they are told; three files written in turn. */
-export class Votes {
+export class IdempotencyVotes {
   private now = new Map<string, Vote>();
   private before = new Map<string, Vote>();
   private file = 0;
   private gen = 0;
   private turnedAt: number;
   private torn = false;
-  private syncRead?: () => Promise<Outcome<void>>;
-  private readonly group: Group<object>;
+  private syncRead?: () => Promise<Result<void>>;
+  private readonly group: GroupCommit<object>;
 
   constructor(
-    private readonly slots: Slots,
+    private readonly slots: ControlStore,
     private readonly ports: Ports,
-    private readonly voters: () => Voters | undefined,
+    private readonly voters: () => VoterSet | undefined,
     private readonly keep: number,
   ) {
     this.turnedAt = ports.clock.now();
-    this.group = makeGroup(this.writeBatch.bind(this), this.isTorn.bind(this));
+    this.group = makeGroupCommit(this.writeBatch.bind(this), this.isTorn.bind(this));
   }
 
   private isTorn(): boolean {
@@ -141,14 +141,14 @@
   }
 
   /** Takes what this disk had kept and starts a new file, so that a torn tail is never written on; a disk that takes no write `within` a time is written as soon as it does. */
-  async begin(kept: KeptVotes, within = Infinity): Promise<void> {
-    if (kept.old || kept.disk === this.slots.disk)
+  async start(kept: StoredVotes, within = Infinity): Promise<void> {
+    if (kept.isLegacy || kept.disk === this.slots.diskId)
       for (const vote of kept.votes) this.now.set(vote.key, vote);
-    this.file = kept.file;
-    this.gen = kept.gen;
+    this.file = kept.fileIndex;
+    this.gen = kept.generation;
     this.torn = true;
     this.syncRead = kept.sync;
-    await untilWritten(this.ports, within, 'open votes', this.group.settled());
+    await awaitFirstWrite(this.ports, within, 'open votes', this.group.flush());
     if (this.torn && within !== Infinity) void this.writeUntilFit(within);
   }
 
@@ -156,22 +156,22 @@
   private async writeUntilFit(pause: number): Promise<void> {
     while (this.torn) {
       await this.ports.clock.sleep(pause);
-      await this.group.settled();
+      await this.group.flush();
     }
   }
 
   /** Whether this disk has taken a file of votes, and all that was written since. */
-  fit(): boolean {
+  isWritable(): boolean {
     return !this.torn;
   }
 
   /** Writes the next file: its head with the first of the carried votes, then the rest of them, each synced. */
-  private async turn(carried: Map<string, Vote>): Promise<Outcome<void>> {
+  private async turn(carried: Map<string, Vote>): Promise<Result<void>> {
     const synced = (await this.syncRead?.()) ?? Right(undefined);
     if (synced.isLeft()) return synced;
     const to = (this.file + 1) % FILES.length;
-    const head = frame({ gen: this.gen + 1, disk: this.slots.disk });
-    const [first, ...rest] = framesOf([...carried.values()].map(asLine));
+    const head = encodeFrame({ gen: this.gen + 1, disk: this.slots.diskId });
+    const [first, ...rest] = encodeFrames([...carried.values()].map(asLine));
     let written = await this.ports.disk.write(`votes-${to}`, Buffer.concat([head, first]));
     for (const bytes of rest)
       if (written.isRight()) written = await this.ports.disk.append(`votes-${to}`, bytes);
@@ -182,8 +182,8 @@
     return Right(undefined);
   }
 
-  private async append(lines: object[]): Promise<Outcome<void>> {
-    for (const bytes of framesOf(lines)) {
+  private async append(lines: object[]): Promise<Result<void>> {
+    for (const bytes of encodeFrames(lines)) {
       const o = await this.ports.disk.append(`votes-${this.file}`, bytes);
       if (o.isLeft()) return o;
     }
@@ -194,7 +194,7 @@
     return this.now.get(key) ?? this.before.get(key);
   }
 
-  private async writeBatch(lines: object[]): Promise<Outcome<void>> {
+  private async writeBatch(lines: object[]): Promise<Result<void>> {
     if (this.torn) {
       const o = await this.turn(new Map([...this.before, ...this.now]));
       this.torn = o.isLeft();
@@ -216,23 +216,23 @@
   }
 
   /** Gives this disk's vote to the first run that asks; later ones are told which run has it. */
-  @message('vote', VoteAsk)
-  async vote(m: VoteAsk): Handled {
-    if (!isVoter(this.voters(), this.slots.disk))
-      return bad('vote', this.slots.disk, 'not a voter', 'refused', 'no-voter');
+  @messageHandler('vote', VoteRequest)
+  async vote(m: VoteRequest): HandlerResult {
+    if (!isVoter(this.voters(), this.slots.diskId))
+      return failure('vote', this.slots.diskId, 'not a voter', 'refused', 'no-voter');
     const have = this.find(m.key);
     const vote: Vote = have ?? { key: m.key, run: m.run, state: 'running' };
     if (!have) this.now.set(m.key, vote);
-    const [f] = open(await (have ? this.group.settled() : this.group.add({ vote })));
-    if (f) return bad('vote', this.slots.disk, f.why, 'failed', f.code);
-    return Right({ disk: this.slots.disk, run: vote.run, state: vote.state });
+    const [f] = errorOrValue(await (have ? this.group.flush() : this.group.add({ vote })));
+    if (f) return failure('vote', this.slots.diskId, f.reason, 'failed', f.code);
+    return Right({ disk: this.slots.diskId, run: vote.run, state: vote.state });
   }
 
   /** Takes what became of a run; one that certainly never ran gives its key back. */
-  @message('run', RunTell)
-  async run(m: RunTell): Handled {
+  @messageHandler('run', RunNotice)
+  async run(m: RunNotice): HandlerResult {
     const have = this.find(m.key);
-    if (have && have.run !== m.run) return Right({ disk: this.slots.disk });
+    if (have && have.run !== m.run) return Right({ disk: this.slots.diskId });
     if (m.state === 'released') {
       this.now.delete(m.key);
       this.before.delete(m.key);
@@ -243,37 +243,37 @@
     return this.told({ vote });
   }
 
-  private async told(line: object): Handled {
-    const [f] = open(await this.group.add(line));
+  private async told(line: object): HandlerResult {
+    const [f] = errorOrValue(await this.group.add(line));
     return f
-      ? bad('note run', this.slots.disk, f.why, 'failed', f.code)
-      : Right({ disk: this.slots.disk });
+      ? failure('note run', this.slots.diskId, f.reason, 'failed', f.code)
+      : Right({ disk: this.slots.diskId });
   }
 
   /** Gives a pile of what a disk that is to become a voter must hold: the votes whose key begins so, and the names of the control keys; an asker who wants some only is told where there are more. */
-  @message('held', HeldAsk)
-  async held(m: HeldAsk): Handled {
+  @messageHandler('held', HeldVotesRequest)
+  async held(m: HeldVotesRequest): HandlerResult {
     const votes: Vote[] = [];
     for (const kept of [this.before, this.now])
       for (const v of kept.values()) if (v.key.startsWith(m.begins)) votes.push(v);
-    const keys = [...this.slots.cells.keys()];
+    const keys = [...this.slots.registers.keys()];
     return Right(
       m.some && votes.length > PILE
-        ? { disk: this.slots.disk, votes: [], keys, more: true }
-        : { disk: this.slots.disk, votes, keys },
+        ? { disk: this.slots.diskId, votes: [], keys, more: true }
+        : { disk: this.slots.diskId, votes, keys },
     );
   }
 
   /** Takes votes that the old set had given; those that stand here stay. */
-  @message('copy')
-  async copy(votes: Vote[]): Handled {
-    const writes: Promise<Outcome<void>>[] = [];
+  @messageHandler('copy')
+  async copy(votes: Vote[]): HandlerResult {
+    const writes: Promise<Result<void>>[] = [];
     for (const v of votes) {
       if (this.find(v.key)) continue;
       this.now.set(v.key, v);
       writes.push(this.group.add({ vote: v }));
     }
-    for (const o of await Promise.all([...writes, this.group.settled()])) if (o.isLeft()) return o;
-    return Right({ disk: this.slots.disk });
+    for (const o of await Promise.all([...writes, this.group.flush()])) if (o.isLeft()) return o;
+    return Right({ disk: this.slots.diskId });
   }
 }
--- a/src/control/storage/register-state.ts
+++ b/src/control/storage/register-state.ts
@@ -1,40 +1,40 @@
 import { Delta, makeDelta, readDelta } from '../../shared/replication/delta';
-import { comparePlaces, Numbered } from '../../shared/state/words';
+import { compareVersions, VersionedValue } from '../../shared/state/words';
 
 /** What a disk holds of one control key. */
-export interface Cell {
+export interface RegisterState {
   promised: { epoch: number; by: string };
-  accepted?: Numbered;
-  learned?: Numbered;
+  accepted?: VersionedValue;
+  learned?: VersionedValue;
 }
 
 /** One change of one key; `learned: true` is what was accepted. */
-export interface Line {
+export interface LogEntry {
   key: string;
   promised?: { epoch: number; by: string };
-  accepted?: Numbered;
-  learned?: Numbered | true;
+  accepted?: VersionedValue;
+  learned?: VersionedValue | true;
 }
 
 /** A line as the log stores it: a long value as its difference to what the key has learned by then. */
-export interface StoredLine {
+export interface StoredLogEntry {
   key: string;
   promised?: { epoch: number; by: string };
-  accepted?: Numbered;
+  accepted?: VersionedValue;
   acceptedDelta?: Delta;
-  learned?: Numbered | true;
+  learned?: VersionedValue | true;
   learnedDelta?: Delta;
 }
 
 /** A cell as a slot stores it: `learned: true` where that is what was accepted. */
-export interface StoredCell {
+export interface StoredRegisterState {
   promised: { epoch: number; by: string };
-  accepted?: Numbered;
-  learned?: Numbered | true;
+  accepted?: VersionedValue;
+  learned?: VersionedValue | true;
 }
 
 /** Applies one line to the cells. */
-export function applyLine(cells: Map<string, Cell>, l: Line): void {
+export function applyLogEntry(cells: Map<string, RegisterState>, l: LogEntry): void {
   const c = cells.get(l.key) ?? { promised: { epoch: 0, by: '' } };
   if (l.promised) c.promised = l.promised;
   if (l.accepted) c.accepted = l.accepted;
@@ -43,22 +43,28 @@
 }
 
 /** All values that are learned in some cells. */
-export function learnedOf(cells: ReadonlyMap<string, Cell>): Numbered[] {
-  const values: Numbered[] = [];
+export function learnedValues(cells: ReadonlyMap<string, RegisterState>): VersionedValue[] {
+  const values: VersionedValue[] = [];
   for (const cell of cells.values()) if (cell.learned) values.push(cell.learned);
   return values;
 }
 
 /** Copies cells, so that lines applied to the copy leave these as they are. */
-export function copyCells(cells: ReadonlyMap<string, Cell>): Map<string, Cell> {
-  const copy = new Map<string, Cell>();
+export function copyRegisters(
+  cells: ReadonlyMap<string, RegisterState>,
+): Map<string, RegisterState> {
+  const copy = new Map<string, RegisterState>();
   for (const [key, c] of cells) copy.set(key, { ...c });
   return copy;
 }
 
 /** The stored form of a line for a key that has learned `base` by then; `delta` is the difference of its accepted value, where that is known already. */
-export function storeLine(l: Line, base: Numbered | undefined, delta?: Delta): StoredLine {
-  const stored: StoredLine = { key: l.key };
+export function encodeLogEntry(
+  l: LogEntry,
+  base: VersionedValue | undefined,
+  delta?: Delta,
+): StoredLogEntry {
+  const stored: StoredLogEntry = { key: l.key };
   if (l.promised) stored.promised = l.promised;
   if (l.accepted) {
     const short = delta ?? makeDelta(base, l.accepted);
@@ -74,12 +80,15 @@
 }
 
 /** Whether a stored line needs what its key has learned before. */
-export function isDifference(s: StoredLine): boolean {
+export function isDifference(s: StoredLogEntry): boolean {
   return s.acceptedDelta !== undefined || s.learnedDelta !== undefined;
 }
 
 /** Reads a stored line over the cells as all lines before it left them; undefined where a difference does not fit. */
-export function restoreLine(cells: ReadonlyMap<string, Cell>, s: StoredLine): Line | undefined {
+export function decodeLogEntry(
+  cells: ReadonlyMap<string, RegisterState>,
+  s: StoredLogEntry,
+): LogEntry | undefined {
   const base = cells.get(s.key)?.learned;
   const accepted = s.acceptedDelta ? readDelta(base, s.acceptedDelta) : s.accepted;
   const learned = s.learnedDelta ? readDelta(base, s.learnedDelta) : s.learned;
@@ -88,12 +97,12 @@
 }
 
 /** The stored form of a cell. */
-export function storeCell(c: Cell): StoredCell {
-  const same = c.accepted && c.learned && comparePlaces(c.accepted, c.learned) === 0;
+export function encodeRegister(c: RegisterState): StoredRegisterState {
+  const same = c.accepted && c.learned && compareVersions(c.accepted, c.learned) === 0;
   return { ...c, learned: same ? true : c.learned };
 }
 
 /** Reads a stored cell. */
-export function restoreCell(s: StoredCell): Cell {
+export function decodeRegister(s: StoredRegisterState): RegisterState {
   return { ...s, learned: s.learned === true ? s.accepted : s.learned };
 }
--- a/src/control/storage/synced-read.ts
+++ b/src/control/storage/synced-read.ts
@@ -4,14 +4,14 @@
  */
 
 import { Left, Right } from 'purify-ts';
-import { open, Outcome } from '../../shared/errors/errors';
+import { errorOrValue, Result } from '../../shared/errors/errors';
 import { Disk } from '../../shared/ports/ports';
 
 /** Files that are read at a start, and synced after that. */
 export interface SyncedReader {
-  read(name: string): Promise<Outcome<Uint8Array | undefined>>;
+  read(name: string): Promise<Result<Uint8Array | undefined>>;
   /** Syncs each file that was read with content; goes on where it failed before. */
-  sync(): Promise<Outcome<void>>;
+  sync(): Promise<Result<void>>;
 }
 
 const NO_BYTES = new Uint8Array(0);
@@ -20,14 +20,14 @@
 export function makeSyncedReader(disk: Disk): SyncedReader {
   const unsynced = new Set<string>();
 
-  async function read(name: string): Promise<Outcome<Uint8Array | undefined>> {
-    const [fault, bytes] = open(await disk.read(name));
+  async function read(name: string): Promise<Result<Uint8Array | undefined>> {
+    const [fault, bytes] = errorOrValue(await disk.read(name));
     if (fault) return Left(fault);
     if (bytes && bytes.length > 0) unsynced.add(name);
     return Right(bytes);
   }
 
-  async function sync(): Promise<Outcome<void>> {
+  async function sync(): Promise<Result<void>> {
     for (const name of unsynced) {
       const synced = await disk.append(name, NO_BYTES);
       if (synced.isLeft()) return synced;
