--- a/src/data/api.ts
+++ b/src/data/api.ts
@@ -1,15 +1,21 @@
 import {
   EngineLine,
   generate,
-  GenerateAsk,
-  Generating,
-  splitParts,
+  GenerateRequest,
+  GenerationStream,
+  splitIntoBlocks,
   tokenise,
 } from '../shared/contracts/engine';
-import { giveFault, giveJson, handles, readAs, takeJson } from '../shared/transport/handlers';
-import { Fault, open } from '../shared/errors/errors';
-import { wholeHash } from '../shared/util/lib';
-import { Call } from '../shared/ports/ports';
+import {
+  sendError,
+  sendJson,
+  httpHandler,
+  parseBody,
+  readJsonBody,
+} from '../shared/transport/handlers';
+import { OperationError, errorOrValue } from '../shared/errors/errors';
+import { sha256Hex } from '../shared/util/lib';
+import { IncomingRequest } from '../shared/ports/ports';
 import { holdKey, tellRun, votersMark } from './once';
 import { Overlap, Placement } from './place';
 import { CallerAsk, CheckedAsk, isToken, tokensOf } from './caller-ask';
@@ -26,29 +32,35 @@
     return this.underWay;
   }
 
-  private refuse(call: Call, status: number, code: string, why: string, again?: number): undefined {
+  private refuse(
+    call: IncomingRequest,
+    status: number,
+    code: string,
+    why: string,
+    again?: number,
+  ): undefined {
     this.r.counts.refused++;
-    giveFault(call, status, 'refused', code, why, again);
+    sendError(call, status, 'refused', code, why, again);
     return undefined;
   }
 
-  private async check(call: Call): Promise<CheckedAsk | undefined> {
+  private async check(call: IncomingRequest): Promise<CheckedAsk | undefined> {
     const { r } = this;
-    const again = r.bounds.pause * 5;
+    const again = r.bounds.retryPauseMs * 5;
     if (r.draining()) return this.refuse(call, 503, 'draining', 'this router is leaving', again);
-    if (!r.follower.live())
+    if (!r.follower.hasLease())
       return this.refuse(call, 503, 'no-claim', 'this router holds no claim at the core', again);
     const bearer = /^Bearer (.+)$/.exec(call.headers.authorization ?? '')?.[1];
-    const tenant = bearer === undefined ? undefined : r.tenantOf(wholeHash(bearer));
+    const tenant = bearer === undefined ? undefined : r.tenantOf(sha256Hex(bearer));
     if (tenant === undefined)
       return this.refuse(call, 401, 'bad-key', 'the tenant key is not known');
-    const body = await takeJson(call, r.settings.bodyMostBytes);
+    const body = await readJsonBody(call, r.settings.bodyMostBytes);
     if (body === undefined) {
       r.counts.refused++;
       return undefined;
     }
-    const [f, a] = open(readAs(CallerAsk, body, 'generate', call.peer));
-    if (f) return this.refuse(call, 400, f.code!, f.why);
+    const [f, a] = errorOrValue(parseBody(CallerAsk, body, 'generate', call.peer));
+    if (f) return this.refuse(call, 400, f.code!, f.reason);
     const service = r.serviceOf(tenant, a.service, a.label);
     if (service === 'missing')
       return this.refuse(call, 404, 'no-service', 'no service or rule matches');
@@ -61,7 +73,7 @@
       return this.refuse(call, 400, 'bad-prompt', 'either prompt or tokens is needed');
     if (a.tokens && !a.tokens.every(isToken))
       return this.refuse(call, 400, 'bad-prompt', 'tokens must be whole numbers from 0');
-    const parts = splitParts(service.model, a.tokens ?? tokenise(a.prompt!));
+    const parts = splitIntoBlocks(service.model, a.tokens ?? tokenise(a.prompt!));
     if (parts.length === 0) return this.refuse(call, 400, 'bad-prompt', 'the prompt is empty');
     if ((a.deadlineMs ?? 1) <= 0 || (a.maxTokens ?? 1) <= 0)
       return this.refuse(call, 400, 'bad-bounds', 'deadlineMs and maxTokens must be above 0');
@@ -83,13 +95,13 @@
       maxTokens: Math.min(a.maxTokens ?? service.maxTokens, service.maxTokens),
       since: r.ports.clock.now(),
       until: r.ports.clock.now() + Math.min(a.deadlineMs ?? service.deadlineMs, service.deadlineMs),
-      key: service.mayRepeat ? undefined : wholeHash(JSON.stringify([tenant, key])).slice(0, 32),
+      key: service.mayRepeat ? undefined : sha256Hex(JSON.stringify([tenant, key])).slice(0, 32),
     };
   }
 
   /** Takes a prompt, places it, sends it on, and gives the pieces back. */
-  @handles('POST', '/v1/generate')
-  async generate(call: Call): Promise<void> {
+  @httpHandler('POST', '/v1/generate')
+  async generate(call: IncomingRequest): Promise<void> {
     this.r.counts.asked++;
     const c = await this.check(call);
     if (!c) return;
@@ -98,7 +110,7 @@
     this.underWay--;
   }
 
-  private async carry(call: Call, c: CheckedAsk): Promise<void> {
+  private async carry(call: IncomingRequest, c: CheckedAsk): Promise<void> {
     const { r } = this;
     const { clock } = r.ports;
     const run = r.runId();
@@ -109,22 +121,28 @@
       if (!once.won) {
         tellRun(r.follower, c.key, run, 'released');
         if (once.state === 'unreachable')
-          return this.refuse(call, 503, 'no-core', 'the core gave no vote', r.bounds.pause * 5);
+          return this.refuse(
+            call,
+            503,
+            'no-core',
+            'the core gave no vote',
+            r.bounds.retryPauseMs * 5,
+          );
         r.counts.unknown++;
-        return giveFault(
+        return sendError(
           call,
           409,
           'unknown',
           `key-${once.state}`,
           `this Idempotency-Key is taken: ${once.state}`,
-          once.state === 'running' ? r.bounds.lease : undefined,
+          once.state === 'running' ? r.bounds.leaseMs : undefined,
         );
       }
       set = once.set;
     }
     const avoid = new Set<string>();
     const urgent = c.service.urgency === 'high';
-    let last: Fault | undefined;
+    let last: OperationError | undefined;
     let sentOnce = false;
     let refusedBy = 'no-engine';
     for (let attempt = 0; attempt < 3; attempt++) {
@@ -141,8 +159,8 @@
         refusedBy = 'no-budget';
         break;
       }
-      if (call.gone.aborted || clock.now() >= c.until) break;
-      if (!r.follower.live() || r.saltOf(c.tenant) !== c.salt) {
+      if (call.aborted.aborted || clock.now() >= c.until) break;
+      if (!r.follower.hasLease() || r.saltOf(c.tenant) !== c.salt) {
         refusedBy = 'no-claim';
         break;
       }
@@ -160,52 +178,52 @@
         return;
       }
       last = o.fault;
-      if (o.fault && o.fault.sort !== 'refused' && !c.service.mayRepeat) {
+      if (o.fault && o.fault.certainty !== 'refused' && !c.service.mayRepeat) {
         if (c.key !== undefined) tellRun(r.follower, c.key, run, 'unknown');
         r.counts.unknown++;
-        return giveFault(
+        return sendError(
           call,
           502,
           'unknown',
           'leg-lost',
-          `${o.fault.step} at ${p.seen.engine.id}: ${o.fault.why}`,
+          `${o.fault.step} at ${p.seen.engine.id}: ${o.fault.reason}`,
         );
       }
       avoid.add(p.seen.engine.id);
       if (o.fault?.code?.startsWith('status-')) r.engines.turnedAway(p.seen);
     }
     if (c.key !== undefined) tellRun(r.follower, c.key, run, 'released');
-    if (last && last.sort !== 'refused') {
+    if (last && last.certainty !== 'refused') {
       r.counts.unknown++;
-      return giveFault(
+      return sendError(
         call,
         clock.now() >= c.until ? 504 : 502,
         'unknown',
         'leg-lost',
-        `${last.step}: ${last.why}`,
-        r.bounds.pause * 5,
+        `${last.step}: ${last.reason}`,
+        r.bounds.retryPauseMs * 5,
       );
     }
     return this.refuse(
       call,
       503,
       refusedBy,
-      last ? `${last.step}: ${last.why}` : 'no engine can take this now',
-      r.bounds.pause * 5,
+      last ? `${last.step}: ${last.reason}` : 'no engine can take this now',
+      r.bounds.retryPauseMs * 5,
     );
   }
 
   private async forward(
-    call: Call,
+    call: IncomingRequest,
     c: CheckedAsk,
     p: Placement,
     run: string,
     urgent: boolean,
-  ): Promise<{ done: boolean; fault?: Fault }> {
+  ): Promise<{ done: boolean; fault?: OperationError }> {
     const { r } = this;
     const { clock } = r.ports;
     const unread = tokensOf(c.parts.slice(p.expected));
-    const q: GenerateAsk = {
+    const q: GenerateRequest = {
       request: run,
       tenant: c.tenant,
       model: c.service.model,
@@ -228,44 +246,44 @@
       cut: new AbortController(),
     };
     r.underWay.add(attempt);
-    const [f, g] = open(
+    const [f, g] = errorOrValue(
       await generate(
         r.ports,
         p.seen.engine.at,
         q,
         Math.max(1, c.until - clock.now()),
-        AbortSignal.any([call.gone, attempt.cut.signal]),
+        AbortSignal.any([call.aborted, attempt.cut.signal]),
       ),
     );
     if (f) {
       r.underWay.delete(attempt);
       r.engines.ended(
         p.seen,
-        f.sort === 'refused' && f.code !== undefined && f.code.startsWith('status-'),
+        f.certainty === 'refused' && f.code !== undefined && f.code.startsWith('status-'),
       );
       return { done: false, fault: f };
     }
-    const [h, line] = open(await g.next());
+    const [h, line] = errorOrValue(await g.next());
     r.underWay.delete(attempt);
     if (h) {
       r.engines.ended(p.seen, false);
       return { done: false, fault: h };
     }
     r.firstTook(clock.now() - c.since);
-    call.head(200, { 'content-type': 'application/x-ndjson', 'x-engine': p.seen.engine.id });
+    call.writeHead(200, { 'content-type': 'application/x-ndjson', 'x-engine': p.seen.engine.id });
     const bad = await this.pieces(call, g, line, c, p, run);
     r.engines.ended(p.seen, bad === undefined || bad.code === 'caller-gone');
     return { done: true, fault: bad };
   }
 
   private async pieces(
-    call: Call,
-    g: Generating,
+    call: IncomingRequest,
+    g: GenerationStream,
     first: EngineLine,
     c: CheckedAsk,
     p: Placement,
     run: string,
-  ): Promise<Fault | undefined> {
+  ): Promise<OperationError | undefined> {
     const { r } = this;
     let line = first;
     let n = 0;
@@ -274,8 +292,8 @@
         return this.breakOff(call, g, {
           step: 'read piece',
           peer: p.seen.engine.id,
-          why: `a line of ${line.request}`,
-          sort: 'unknown',
+          reason: `a line of ${line.request}`,
+          certainty: 'unknown',
           code: 'foreign-line',
         });
       if (line.done === true) {
@@ -283,8 +301,8 @@
           return this.breakOff(call, g, {
             step: 'read piece',
             peer: p.seen.engine.id,
-            why: `count ${line.count} after ${n} pieces`,
-            sort: 'unknown',
+            reason: `count ${line.count} after ${n} pieces`,
+            certainty: 'unknown',
             code: 'bad-count',
           });
         this.note(c, p, line);
@@ -296,33 +314,33 @@
         return this.breakOff(call, g, {
           step: 'read piece',
           peer: p.seen.engine.id,
-          why: `piece ${line.n} where ${n} was due`,
-          sort: 'unknown',
+          reason: `piece ${line.n} where ${n} was due`,
+          certainty: 'unknown',
           code: 'bad-order',
         });
       n++;
-      if (!(await call.piece(JSON.stringify({ n: line.n, text: line.text }) + '\n'))) {
+      if (!(await call.write(JSON.stringify({ n: line.n, text: line.text }) + '\n'))) {
         g.cancel();
         return {
           step: 'give piece',
           peer: call.peer,
-          why: 'caller went away',
-          sort: 'unknown',
+          reason: 'caller went away',
+          certainty: 'unknown',
           code: 'caller-gone',
         };
       }
-      const [f, next] = open(await g.next());
+      const [f, next] = errorOrValue(await g.next());
       if (f) return this.breakOff(call, g, f);
       line = next;
     }
   }
 
-  private breakOff(call: Call, g: Generating, f: Fault): Fault {
+  private breakOff(call: IncomingRequest, g: GenerationStream, f: OperationError): OperationError {
     g.cancel();
     this.r.counts.unknown++;
     call.end(
       JSON.stringify({
-        error: { class: 'unknown', code: f.code ?? 'broken', message: f.why },
+        error: { class: 'unknown', code: f.code ?? 'broken', message: f.reason },
         incomplete: true,
       }) + '\n',
     );
@@ -354,24 +372,24 @@
   }
 
   /** Whether this router takes requests. */
-  @handles('GET', '/healthz')
-  async health(call: Call): Promise<void> {
-    const ok = this.r.follower.live() && !this.r.draining();
-    giveJson(call, ok ? 200 : 503, {
+  @httpHandler('GET', '/healthz')
+  async health(call: IncomingRequest): Promise<void> {
+    const ok = this.r.follower.hasLease() && !this.r.draining();
+    sendJson(call, ok ? 200 : 503, {
       ok,
-      lease: this.r.follower.live(),
+      lease: this.r.follower.hasLease(),
       draining: this.r.draining(),
     });
   }
 
   /** Figures in the text form that collectors read. */
-  @handles('GET', '/metrics')
-  async metrics(call: Call): Promise<void> {
+  @httpHandler('GET', '/metrics')
+  async metrics(call: IncomingRequest): Promise<void> {
     const rows: string[] = [];
     for (const [k, v] of Object.entries(this.r.counts))
       rows.push(`plumhollow_router_${k.replace(/[A-Z]/g, '_$&').toLowerCase()}_total ${v}`);
     rows.push(`plumhollow_router_under_way ${this.underWay}`);
-    call.head(200, { 'content-type': 'text/plain; version=0.0.4' });
+    call.writeHead(200, { 'content-type': 'text/plain; version=0.0.4' });
     call.end(await this.r.metrics.text(rows));
   }
 }
--- a/src/data/caller-ask.ts
+++ b/src/data/caller-ask.ts
@@ -1,15 +1,15 @@
-import { Part } from '../shared/contracts/engine';
-import { field } from '../shared/transport/handlers';
+import { PromptBlock } from '../shared/contracts/engine';
+import { bodyField } from '../shared/transport/handlers';
 import { Service } from '../shared/state/words';
 
 /** What a caller asks for, as its body says it. */
 export class CallerAsk {
-  @field('string', false) service?: string;
-  @field('string', false) label?: string;
-  @field('string', false) prompt?: string;
-  @field('list', false) tokens?: number[];
-  @field('number', false) maxTokens?: number;
-  @field('number', false) deadlineMs?: number;
+  @bodyField('string', false) service?: string;
+  @bodyField('string', false) label?: string;
+  @bodyField('string', false) prompt?: string;
+  @bodyField('list', false) tokens?: number[];
+  @bodyField('number', false) maxTokens?: number;
+  @bodyField('number', false) deadlineMs?: number;
 }
 
 /** A caller's request that was checked against keys, services and bounds. */
@@ -17,7 +17,7 @@
   tenant: string;
   salt: string;
   service: Service;
-  parts: Part[];
+  parts: PromptBlock[];
   maxTokens: number;
   since: number;
   until: number;
@@ -30,7 +30,7 @@
 }
 
 /** The tokens of all parts together. */
-export function tokensOf(parts: readonly Part[]): number {
+export function tokensOf(parts: readonly PromptBlock[]): number {
   let t = 0;
   for (const p of parts) t += p.size;
   return t;
--- a/src/data/engines.ts
+++ b/src/data/engines.ts
@@ -1,9 +1,9 @@
 import { EngineStatus, engineStatus } from '../shared/contracts/engine';
-import { open } from '../shared/errors/errors';
+import { errorOrValue } from '../shared/errors/errors';
 import { Follower } from '../shared/replication/follower';
 import { Ports } from '../shared/ports/ports';
-import { Bounds } from '../shared/settings/time-limits';
-import { Engine, KEYS } from '../shared/state/words';
+import { TimeLimits } from '../shared/settings/time-limits';
+import { Engine, CONTROL_KEYS } from '../shared/state/words';
 
 /** What this router knows of one engine's health and load. */
 export interface Seen {
@@ -44,13 +44,13 @@
 const FIRST_LINK_MS_PER_TOKEN = 0.05;
 
 /** Follows the engines: one task for each asks how it stands. */
-export function watchEngines(ports: Ports, bounds: Bounds, follower: Follower): Engines {
+export function watchEngines(ports: Ports, bounds: TimeLimits, follower: Follower): Engines {
   const seen = new Map<string, Seen>();
   const links = new Map<string, number>();
   let stopped = false;
 
   function renew(): void {
-    const list = follower.value<Engine[]>(KEYS.engines)?.value ?? [];
+    const list = follower.value<Engine[]>(CONTROL_KEYS.engines)?.value ?? [];
     const want = new Map<string, Engine>();
     for (const e of list) want.set(e.id, e);
     for (const [id, s] of seen) if (want.get(id)?.at !== s.engine.at) seen.delete(id);
@@ -82,13 +82,15 @@
   async function tend(s: Seen): Promise<void> {
     while (!stopped && seen.get(s.engine.id) === s) {
       await ask(s);
-      await ports.clock.sleep(bounds.status * 3 * (0.7 + 0.6 * ports.dice.next()));
+      await ports.clock.sleep(bounds.statusTimeoutMs * 3 * (0.7 + 0.6 * ports.random.next()));
     }
   }
 
   async function ask(s: Seen): Promise<void> {
     const asked = ports.clock.now();
-    const [f, st] = open(await engineStatus(ports.wire, s.engine.at, bounds.status));
+    const [f, st] = errorOrValue(
+      await engineStatus(ports.network, s.engine.at, bounds.statusTimeoutMs),
+    );
     if (f) {
       noteFault(s);
       return;
@@ -108,7 +110,8 @@
   function noteFault(s: Seen): void {
     s.faults++;
     if (s.faults >= FAULTS_TO_OPEN)
-      s.openUntil = ports.clock.now() + bounds.circuit * Math.min(8, s.faults - FAULTS_TO_OPEN + 1);
+      s.openUntil =
+        ports.clock.now() + bounds.circuitOpenMs * Math.min(8, s.faults - FAULTS_TO_OPEN + 1);
   }
 
   function ofModel(model: string): Seen[] {
@@ -118,12 +121,13 @@
   }
 
   function leaves(s: Seen): boolean {
-    return s.engine.leaving || follower.leaving(s.engine.id);
+    return s.engine.leaving || follower.isDraining(s.engine.id);
   }
 
   function fit(s: Seen): boolean {
     const now = ports.clock.now();
-    if (leaves(s) || !s.status || s.status.leaving || now - s.at > bounds.circuit * 4) return false;
+    if (leaves(s) || !s.status || s.status.leaving || now - s.at > bounds.circuitOpenMs * 4)
+      return false;
     if (now < s.turnedUntil) return false;
     if (s.openUntil === 0) return true;
     return now >= s.openUntil && !s.probing;
@@ -153,8 +157,8 @@
     s.turns++;
     s.turnedUntil =
       ports.clock.now() +
-      Math.min(bounds.circuit, bounds.status * 2 ** Math.min(8, s.turns - 1)) *
-        (0.7 + 0.6 * ports.dice.next());
+      Math.min(bounds.circuitOpenMs, bounds.statusTimeoutMs * 2 ** Math.min(8, s.turns - 1)) *
+        (0.7 + 0.6 * ports.random.next());
     void ask(s);
   }
 
--- a/src/data/gateway/choose.ts
+++ b/src/data/gateway/choose.ts
@@ -8,11 +8,11 @@
 } from '../../shared/state/deployment';
 import { helloOf } from '../../shared/transport/hello';
 import { Follower } from '../../shared/replication/follower';
-import { OverlapAnswer, WirePart } from '../../shared/contracts/indexer';
+import { OverlapReply, WireBlock } from '../../shared/contracts/indexer';
 import { Ports } from '../../shared/ports/ports';
 import { Settings } from '../../shared/settings/settings';
-import { boundsOf } from '../../shared/settings/time-limits';
-import { Engine, KEYS } from '../../shared/state/words';
+import { timeLimitsOf } from '../../shared/settings/time-limits';
+import { Engine, CONTROL_KEYS } from '../../shared/state/words';
 import { reachIndexers } from './indexers';
 import { makePlacement } from './placement';
 import { EngineSpot, NoPlace, PlaceAsk, Placed, StoreSpot } from './placement-types';
@@ -104,8 +104,8 @@
 
 /** Makes a chooser that reckons, for each engine, the time to a first event. */
 export function makeChooser(p: ChooserParts): Chooser {
-  const { clock, dice } = p.ports;
-  const bounds = boundsOf(p.settings);
+  const { clock, random: dice } = p.ports;
+  const bounds = timeLimitsOf(p.settings);
   const placement = makePlacement({
     now: clock.now,
     spread: dice.next,
@@ -119,7 +119,7 @@
   let byPool = new Map<string, Engine[]>();
 
   function engines(pool: string): Engine[] {
-    const list = p.follower.value<Engine[]>(KEYS.engines)?.value ?? [];
+    const list = p.follower.value<Engine[]>(CONTROL_KEYS.engines)?.value ?? [];
     if (list !== listed) renew(list);
     return byPool.get(pool) ?? [];
   }
@@ -153,7 +153,7 @@
     const weights = new Map<string, string>();
     let named = '';
     for (const e of engines(w.pool)) {
-      if (e.leaving || p.follower.leaving(e.id) || gone.has(e.id)) continue;
+      if (e.leaving || p.follower.isDraining(e.id) || gone.has(e.id)) continue;
       const x = expected(e, w.request.model);
       if (x === undefined || x.kind === 'loading') continue;
       if (x.kind === 'now') named = x.weights;
@@ -213,7 +213,7 @@
   async function choose(w: Wanted): Promise<Either<Refusal, Chosen>> {
     const s = spots(w);
     const ask = askOf(w, s.spots, s.named);
-    const kept = new Map<string, OverlapAnswer>();
+    const kept = new Map<string, OverlapReply>();
     const salts = placement.wantsIndex(ask);
     if (salts.length > 0)
       await Promise.all([indexers.renewLoads(w.route.aimMs * INDEX_WAIT), ...salts.map(overlap)]);
@@ -253,8 +253,8 @@
     return undefined;
   }
 
-  function wireParts(w: Wanted): WirePart[] {
-    const out: WirePart[] = [];
+  function wireParts(w: Wanted): WireBlock[] {
+    const out: WireBlock[] = [];
     for (const x of w.request.parts) out.push([x.hash, x.size]);
     return out;
   }
--- a/src/data/gateway/drain.ts
+++ b/src/data/gateway/drain.ts
@@ -1,8 +1,8 @@
 /** How a router leaves: what it still takes once it is told to end, and for how long it waits. */
 
-import { Clock, Log, RawListening } from '../../shared/ports/ports';
+import { Clock, Logger, RawListener } from '../../shared/ports/ports';
 import { Settings } from '../../shared/settings/settings';
-import { StallWatch } from '../../shared/observability/event-loop-stalls';
+import { StallMonitor } from '../../shared/observability/event-loop-stalls';
 import { InFlight } from './in-flight';
 
 /** How much of the grace a drain takes at the most. */
@@ -32,18 +32,18 @@
   /** Begins to leave. */
   begin(): void;
   /** Comes once nothing is in flight and nothing new comes, or at the end of the drain's time. */
-  run(server: RawListening): Promise<void>;
+  run(server: RawListener): Promise<void>;
   /** Ends the drain, and closes the server; what arrives meanwhile is refused. */
-  close(server: RawListening): Promise<void>;
+  close(server: RawListener): Promise<void>;
 }
 
 /** Makes the drain of a router that serves. Its time counts from when the signal may have been sent, which is before it is handled where the process was held up. */
 export function makeDrain(
   clock: Clock,
-  log: Log,
+  log: Logger,
   settings: Settings,
   requests: InFlight,
-  stalls: StallWatch,
+  stalls: StallMonitor,
 ): Drain {
   const endsAfterMs = settings.graceMs * DRAIN;
   let began: number | undefined;
@@ -72,7 +72,7 @@
     began ??= Math.max(stalls.earliest(), clock.now() - settings.graceMs * MOST_LATE);
   }
 
-  async function run(server: RawListening): Promise<void> {
+  async function run(server: RawListener): Promise<void> {
     begin();
     logStep(server, 'is told to end');
     await untilDrained(server);
@@ -82,26 +82,26 @@
   }
 
   /** Waits until nothing is in flight and nothing comes, also of what had arrived while this process was held up. */
-  async function untilDrained(server: RawListening): Promise<void> {
-    let seen = server.arrivals();
+  async function untilDrained(server: RawListener): Promise<void> {
+    let seen = server.arrivalCount();
     let quietSince = clock.now();
     while (leavingMs()! < endsAfterMs) {
       await clock.sleep(settings.contactMs * LOOK);
-      if (server.arrivals() !== seen) quietSince = clock.now();
-      seen = server.arrivals();
+      if (server.arrivalCount() !== seen) quietSince = clock.now();
+      seen = server.arrivalCount();
       const quietMs = clock.now() - quietSince;
       if (requests.count() > 0 || quietMs <= settings.contactMs * QUIET) continue;
       await server.readArrived();
-      if (server.arrivals() === seen) return;
+      if (server.arrivalCount() === seen) return;
     }
     await server.readArrived();
   }
 
-  async function close(server: RawListening): Promise<void> {
+  async function close(server: RawListener): Promise<void> {
     begin();
     over = true;
     const lingerMs = settings.transitMs * LINGER;
-    const cutOff = await server.settle(lingerMs, settings.graceMs * LAST_ANSWERS);
+    const cutOff = await server.closeGracefully(lingerMs, settings.graceMs * LAST_ANSWERS);
     for (const request of requests.all()) requests.cutOff(request, 'drain-ended', leavingMs());
     await server.close();
     logStep(server, 'has closed', { cutOff });
@@ -112,13 +112,13 @@
     for (const request of requests.all()) if (!request.answerBegan) request.abandonAttempt?.();
   }
 
-  function logStep(server: RawListening, what: string, more: object = {}): void {
+  function logStep(server: RawListener, what: string, more: object = {}): void {
     const fields = {
       step: 'drain',
       peer: settings.name,
       tookMs: Math.round(leavingMs()!),
       inFlight: requests.count(),
-      arrivals: server.arrivals(),
+      arrivals: server.arrivalCount(),
       ...more,
     };
     log.notice(fields, what);
--- a/src/data/gateway/forward.ts
+++ b/src/data/gateway/forward.ts
@@ -1,7 +1,7 @@
 import { CallerRequest, HttpRoute, TenantAccess } from '../../shared/state/deployment';
 import { RawHeaders, StreamEvent } from '../../shared/platform-adapter/platform-adapter';
-import { Fault, open } from '../../shared/errors/errors';
-import { HttpConnection, RawCall, RawReply } from '../../shared/ports/ports';
+import { OperationError, errorOrValue } from '../../shared/errors/errors';
+import { HttpConnection, RawIncomingRequest, RawHttpResponse } from '../../shared/ports/ports';
 import { AttemptEnd, Chosen, Load, Wanted } from './choose';
 import { RequestInFlight } from './in-flight';
 import { GatewayParts } from './parts';
@@ -47,7 +47,7 @@
 /** Sends a request to an engine and passes its answer back; `more` says whether another attempt may follow. */
 export async function forward(
   g: GatewayParts,
-  call: RawCall,
+  call: RawIncomingRequest,
   x: Taken,
   c: Chosen,
   connection: HttpConnection,
@@ -74,7 +74,9 @@
   );
   x.inFlight.abandonAttempt = connection.close;
   const watch = x.repeatable && more ? watchSilence(g, call, x, c) : undefined;
-  const [f, reply] = open(await connection.ask(worded, left, watch?.signal ?? call.gone));
+  const [f, reply] = errorOrValue(
+    await connection.request(worded, left, watch?.signal ?? call.aborted),
+  );
   if (f) {
     watch?.stop();
     return lost(call, x, load, f);
@@ -86,12 +88,12 @@
 }
 
 /** What became of an attempt that gave no whole answer. */
-function lost(call: RawCall, x: Taken, load: Load, f: Fault): Attempted {
-  if (call.gone.aborted) {
+function lost(call: RawIncomingRequest, x: Taken, load: Load, f: OperationError): Attempted {
+  if (call.aborted.aborted) {
     load.ended('caller-gone');
     return 'caller-gone';
   }
-  if (f.sort === 'refused') {
+  if (f.certainty === 'refused') {
     load.ended('not-run');
     return 'not-sent';
   }
@@ -102,7 +104,7 @@
 /** Watches an engine for as long as an attempt lasts: where it is silent on all its connections for an aim, it is asked whether it is still there; where it stays silent, it is taken for lost, but never while no other engine would take the request. */
 function watchSilence(
   g: GatewayParts,
-  call: RawCall,
+  call: RawIncomingRequest,
   x: Taken,
   c: Chosen,
 ): { signal: AbortSignal; stop(): void } {
@@ -112,12 +114,12 @@
   const most = Math.max(x.route.aimMs * SILENT.aim, x.route.gapAimMs * SILENT.gap);
   const gone = new AbortController();
   let stopped = false;
-  let off = clock.timer(soon, look);
+  let off = clock.setTimer(soon, look);
   function silent(): number {
     return clock.now() - Math.max(began, g.connections.heardAt(c.engine));
   }
   function look(): void {
-    if (silent() < soon) off = clock.timer(soon - silent(), look);
+    if (silent() < soon) off = clock.setTimer(soon - silent(), look);
     else void judge();
   }
   /** Asks in any case, so that bytes that arrived while the event loop was held up are read before it judges. */
@@ -129,25 +131,25 @@
     if (goes && silent() >= soon) {
       x.inFlight.silentEngines++;
       gone.abort();
-    } else off = clock.timer(soon, look);
+    } else off = clock.setTimer(soon, look);
   }
   function stop(): void {
     stopped = true;
     off();
   }
-  return { signal: AbortSignal.any([call.gone, gone.signal]), stop };
+  return { signal: AbortSignal.any([call.aborted, gone.signal]), stop };
 }
 
 async function takeAnswer(
   g: GatewayParts,
-  call: RawCall,
+  call: RawIncomingRequest,
   x: Taken,
   c: Chosen,
-  reply: RawReply,
+  reply: RawHttpResponse,
   load: Load,
   more: boolean,
 ): Promise<Attempted> {
-  const head = g.dialect.engines.head(reply.status, reply.fields);
+  const head = g.dialect.engines.head(reply.status, reply.headersByName);
   if (head.id !== x.request.id) {
     g.connections.garbles(c.engine);
     reply.cancel();
@@ -214,9 +216,9 @@
 }
 
 /** Reads an answer that nobody wants to its end, so that its connection can be used again. */
-async function readOut(reply: RawReply): Promise<void> {
+async function readOut(reply: RawHttpResponse): Promise<void> {
   for (;;) {
-    const [f, p] = open(await reply.next());
+    const [f, p] = errorOrValue(await reply.nextChunk());
     if (f || p === undefined) return;
   }
 }
@@ -224,10 +226,10 @@
 /** Passes an answer back as it comes; of a stream that may be taken up elsewhere, whole events only. */
 async function passBack(
   g: GatewayParts,
-  call: RawCall,
+  call: RawIncomingRequest,
   x: Taken,
   c: Chosen,
-  reply: RawReply,
+  reply: RawHttpResponse,
   load: Load,
 ): Promise<Attempted> {
   const cutter =
@@ -235,8 +237,8 @@
   const headers = g.dialect.engines.passBack(reply.headers);
   let any = false;
   for (;;) {
-    const [f, p] = open(await reply.next());
-    if (call.gone.aborted) {
+    const [f, p] = errorOrValue(await reply.nextChunk());
+    if (call.aborted.aborted) {
       reply.cancel();
       return 'caller-gone';
     }
@@ -252,7 +254,7 @@
     }
     if (bytes.length === 0) continue;
     giveHead(call, x, reply.status, headers);
-    if (await call.piece(bytes)) continue;
+    if (await call.write(bytes)) continue;
     reply.cancel();
     return 'caller-gone';
   }
@@ -277,12 +279,12 @@
 }
 
 /** Gives the head once; a stream that may be taken up elsewhere tells no length. */
-function giveHead(call: RawCall, x: Taken, status: number, headers: RawHeaders): void {
+function giveHead(call: RawIncomingRequest, x: Taken, status: number, headers: RawHeaders): void {
   if (x.inFlight.answerBegan) return;
   x.inFlight.answerBegan = true;
-  if (!x.route.resumable) return call.head(status, headers);
+  if (!x.route.resumable) return call.writeHead(status, headers);
   const out: RawHeaders = [];
   for (let i = 0; i < headers.length; i += 2)
     if (headers[i].toLowerCase() !== 'content-length') out.push(headers[i], headers[i + 1]);
-  call.head(status, out);
+  call.writeHead(status, out);
 }
--- a/src/data/gateway/gateway.ts
+++ b/src/data/gateway/gateway.ts
@@ -1,13 +1,13 @@
 import { Left, Right } from 'purify-ts';
 import { Deployment, DeploymentValue, PartStore, Pool } from '../../shared/state/deployment';
-import { Dialect } from '../../shared/platform-adapter/platform-adapter';
-import { bad, open, Outcome } from '../../shared/errors/errors';
+import { PlatformAdapter } from '../../shared/platform-adapter/platform-adapter';
+import { failure, errorOrValue, Result } from '../../shared/errors/errors';
 import { Follower } from '../../shared/replication/follower';
-import { HttpWire, Ports, RawCall, ServeLimits } from '../../shared/ports/ports';
+import { RawHttpNetwork, Ports, RawIncomingRequest, ServeLimits } from '../../shared/ports/ports';
 import { Settings } from '../../shared/settings/settings';
-import { watchStalls } from '../../shared/observability/event-loop-stalls';
+import { makeStallMonitor } from '../../shared/observability/event-loop-stalls';
 import { NamedWeights } from '../../shared/state/weights';
-import { Engine, KEYS, Numbered } from '../../shared/state/words';
+import { Engine, CONTROL_KEYS, VersionedValue } from '../../shared/state/words';
 import { makeRetryBudget } from './budget';
 import { makeChooser } from './choose';
 import { makeDrain } from './drain';
@@ -41,11 +41,11 @@
   ports: Ports,
   settings: Settings,
   follower: Follower,
-  dialect: Dialect,
+  dialect: PlatformAdapter,
   edges: object[] = [],
-): Promise<Outcome<Gateway>> {
-  if (!ports.http) return bad('start gateway', settings.http, 'no raw HTTP here');
-  const http: HttpWire = ports.http;
+): Promise<Result<Gateway>> {
+  if (!ports.rawHttp) return failure('start gateway', settings.http, 'no raw HTTP here');
+  const http: RawHttpNetwork = ports.rawHttp;
   const { clock } = ports;
   const counts: GatewayCounts = {
     asked: 0,
@@ -68,7 +68,7 @@
   /** The routers that are live, where a majority's leases tell them; otherwise the most that were ever told. */
   function routers(): number | undefined {
     const n = follower.members('router').length;
-    if (n > 0 && follower.live()) routersSeen = n;
+    if (n > 0 && follower.hasLease()) routersSeen = n;
     else if (n > (routersSeen ?? 0)) routersSeen = n;
     return routersSeen;
   }
@@ -86,9 +86,9 @@
   }
 
   function serves(): boolean {
-    if (!leased && follower.live()) leased = true;
-    if (settings.strict && !follower.live()) return false;
-    return leased && current !== undefined && follower.value(KEYS.engines) !== undefined;
+    if (!leased && follower.hasLease()) leased = true;
+    if (settings.strict && !follower.hasLease()) return false;
+    return leased && current !== undefined && follower.value(CONTROL_KEYS.engines) !== undefined;
   }
 
   /** What this router lacks to take requests. */
@@ -96,7 +96,7 @@
     const out: string[] = [];
     if (!leased) out.push('leases');
     if (current === undefined) out.push('deployment');
-    if (follower.value(KEYS.engines) === undefined) out.push('engines');
+    if (follower.value(CONTROL_KEYS.engines) === undefined) out.push('engines');
     return out;
   }
 
@@ -105,10 +105,10 @@
     if (isStartLogged) return;
     const fields = { step: 'start', peer: settings.name, tookMs: Math.round(clock.now() - began) };
     isStartLogged = serves();
-    if (isStartLogged) ports.log.notice(fields, 'takes requests');
+    if (isStartLogged) ports.logger.notice(fields, 'takes requests');
     else if (clock.now() - lackLoggedAt > settings.contactMs) {
       lackLoggedAt = clock.now();
-      ports.log.notice(fields, `takes no requests yet: lacks ${lacking().join(', ')}`);
+      ports.logger.notice(fields, `takes no requests yet: lacks ${lacking().join(', ')}`);
     }
   }
 
@@ -117,12 +117,12 @@
   }
 
   function stands(e: Engine): boolean {
-    return listed.has(e.id) && !follower.leaving(e.id);
+    return listed.has(e.id) && !follower.isDraining(e.id);
   }
 
-  const inFlight = trackInFlight(clock, ports.log, settings);
-  const stalls = watchStalls(clock, settings.contactMs * LOOK);
-  const draining = makeDrain(clock, ports.log, settings, inFlight, stalls);
+  const inFlight = trackInFlight(clock, ports.logger, settings);
+  const stalls = makeStallMonitor(clock, settings.contactMs * LOOK);
+  const draining = makeDrain(clock, ports.logger, settings, inFlight, stalls);
   const weights = makeWeightsBook(
     clock,
     settings.weightsBoundMs * OLDER,
@@ -156,33 +156,34 @@
     };
   }
 
-  async function taken(call: RawCall): Promise<void> {
+  async function taken(call: RawIncomingRequest): Promise<void> {
     const request = inFlight.began();
     await serveRequest(parts, call, request).catch(broke);
     await call.written;
     inFlight.ended(request);
     function broke(e: Error): void {
-      ports.log.error({ step: 'serve request', peer: call.peer }, e.stack ?? e.message);
-      call.breakOff();
+      ports.logger.error({ step: 'serve request', peer: call.peer }, e.stack ?? e.message);
+      call.destroy();
     }
   }
 
-  async function asked(call: RawCall): Promise<void> {
+  async function asked(call: RawIncomingRequest): Promise<void> {
     const is =
       call.method === 'GET' && call.target.split('?', 1)[0] === dialect.callers.readinessPath;
-    call.head(is ? (ready() ? 200 : 503) : 404, ['Content-Length', '0']);
+    call.writeHead(is ? (ready() ? 200 : 503) : 404, ['Content-Length', '0']);
     call.end();
   }
 
-  const [f, server] = open(await http.serve(settings.http, limits(), taken));
+  const [f, server] = errorOrValue(await http.serve(settings.http, limits(), taken));
   if (f) return Left(f);
-  const [h, readiness] = open(await http.serve(settings.readiness, limits(), asked));
+  const [h, readiness] = errorOrValue(await http.serve(settings.readiness, limits(), asked));
   if (h) return Left(h);
 
-  function changed(n: Numbered): void {
-    if (n.key === KEYS.engines) renewEngines(n.value as Engine[]);
-    if (n.key.startsWith(KEYS.weights)) weights.named(n.value as NamedWeights, follower.live());
-    if (n.key === KEYS.deployment) renew((n.value as DeploymentValue).doc);
+  function changed(n: VersionedValue): void {
+    if (n.key === CONTROL_KEYS.engines) renewEngines(n.value as Engine[]);
+    if (n.key.startsWith(CONTROL_KEYS.weights))
+      weights.named(n.value as NamedWeights, follower.hasLease());
+    if (n.key === CONTROL_KEYS.deployment) renew((n.value as DeploymentValue).doc);
   }
 
   function renewEngines(list: Engine[]): void {
@@ -201,18 +202,18 @@
   function renew(doc: unknown): void {
     const d = dialect.deployment(doc);
     if (d.isLeft())
-      return ports.log.error(
+      return ports.logger.error(
         { step: 'read deployment', peer: settings.name },
         (d.extract() as string[]).join('; '),
       );
     current = makeRouteTable(d.extract() as Deployment, current);
     connections.idleMs(current.limits.idleTimeoutMs);
-    server!.limit(limits());
+    server!.setLimits(limits());
   }
 
   async function drain(): Promise<void> {
     draining.begin();
-    server!.limit(limits());
+    server!.setLimits(limits());
     await draining.run(server!);
   }
 
@@ -228,11 +229,11 @@
     stalls.look();
     logStart();
     routers();
-    off = clock.timer(settings.contactMs * LOOK, look);
+    off = clock.setTimer(settings.contactMs * LOOK, look);
   }
 
   void follower.changes.observe(changed);
-  for (const n of follower.places()) changed(n);
-  let off = clock.timer(0, look);
+  for (const n of follower.appliedValues()) changed(n);
+  let off = clock.setTimer(0, look);
   return Right({ counts, ready, drain, stop });
 }
--- a/src/data/gateway/in-flight.ts
+++ b/src/data/gateway/in-flight.ts
@@ -1,6 +1,6 @@
 /** The requests that a router has taken and whose answers have not ended, and what is logged of those that are cut off. */
 
-import { Clock, Log } from '../../shared/ports/ports';
+import { Clock, Logger } from '../../shared/ports/ports';
 import { Settings } from '../../shared/settings/settings';
 
 /** A request on its way through a router. Times are of the clock port, in ms. */
@@ -47,7 +47,7 @@
 const MOST_LINES = 20;
 
 /** Makes the set of requests in flight. */
-export function trackInFlight(clock: Clock, log: Log, settings: Settings): InFlight {
+export function trackInFlight(clock: Clock, log: Logger, settings: Settings): InFlight {
   const requests = new Set<RequestInFlight>();
   let windowBegan = -Infinity;
   let lines = 0;
--- a/src/data/gateway/indexers.ts
+++ b/src/data/gateway/indexers.ts
@@ -1,25 +1,25 @@
-import { Hello, holdAll } from '../../shared/transport/connections';
-import { open } from '../../shared/errors/errors';
+import { Hello, makeConnectionPool } from '../../shared/transport/connections';
+import { errorOrValue } from '../../shared/errors/errors';
 import { Follower } from '../../shared/replication/follower';
-import { rendezvous } from '../../shared/util/lib';
+import { rankByRendezvousHash } from '../../shared/util/lib';
 import {
   EngineLoad,
-  LoadsAnswer,
-  OverlapAnswer,
-  OverlapAsk,
-  PlacedTell,
+  LoadReply,
+  OverlapReply,
+  OverlapRequest,
+  PlacementNotice,
 } from '../../shared/contracts/indexer';
 import { Ports } from '../../shared/ports/ports';
-import { Bounds } from '../../shared/settings/time-limits';
+import { TimeLimits } from '../../shared/settings/time-limits';
 import { Member } from '../../shared/state/words';
 import { Loads } from './loads';
 
 /** What a router says to indexers. */
 export interface Indexers {
   /** Asks how much of a prompt each source keeps; nothing where no indexer answers in time. */
-  overlap(q: OverlapAsk, withinMs: number): Promise<OverlapAnswer | undefined>;
+  overlap(q: OverlapRequest, withinMs: number): Promise<OverlapReply | undefined>;
   /** Tells all indexers of a request that was placed, and the board of what it adds to its engine. */
-  placed(p: PlacedTell): void;
+  placed(p: PlacementNotice): void;
   /** Brings what is known of other routers' loads up to now; waits no longer than that. */
   renewLoads(withinMs: number): Promise<void>;
   stop(): void;
@@ -35,13 +35,18 @@
 /** Keeps connections to indexers; tells one of them, the same for all routers, this router's loads, and takes those of the others. */
 export function reachIndexers(
   ports: Ports,
-  bounds: Bounds,
+  bounds: TimeLimits,
   follower: Follower,
   hello: Hello,
   loads: Loads,
   routers: () => number | undefined,
 ): Indexers {
-  const helds = holdAll(ports, { hello, edges: [], within: bounds.dial, pause: bounds.pause });
+  const helds = makeConnectionPool(ports, {
+    hello,
+    handlers: [],
+    timeoutMs: bounds.connectTimeoutMs,
+    retryPauseMs: bounds.retryPauseMs,
+  });
   const misses = new Map<string, { count: number; until: number }>();
   let zones = new Map<string, string>();
   let board: { connection: object; said: Map<string, string> } | undefined;
@@ -50,7 +55,7 @@
   function reach(): void {
     zones = new Map();
     for (const m of follower.members('indexer')) zones.set(m.at, m.zone);
-    helds.want(zones.keys());
+    helds.setPeers(zones.keys());
   }
 
   function changed(list: Member[]): void {
@@ -60,32 +65,35 @@
 
   /** Indexers in the order in which they are asked: those of the own zone first. */
   function inOrder(): string[] {
-    const order = rendezvous(hello.name, helds.ats());
+    const order = rankByRendezvousHash(hello.name, helds.peerAddresses());
     function byZone(a: string, b: string): number {
       return Number(zones.get(b) === hello.zone) - Number(zones.get(a) === hello.zone);
     }
     return order.sort(byZone);
   }
 
-  async function overlap(q: OverlapAsk, withinMs: number): Promise<OverlapAnswer | undefined> {
+  async function overlap(q: OverlapRequest, withinMs: number): Promise<OverlapReply | undefined> {
     for (const at of inOrder()) {
-      const ex = helds.up(at);
+      const ex = helds.channelTo(at);
       const m = misses.get(at);
       if (!ex || (m && m.count >= MISSES && ports.clock.now() < m.until)) continue;
-      const [f, answer] = open(await ex.ask('overlap', q, withinMs));
+      const [f, answer] = errorOrValue(await ex.request('overlap', q, withinMs));
       if (!f) {
         misses.delete(at);
-        return answer as OverlapAnswer;
+        return answer as OverlapReply;
       }
       if (f.code === 'not-ready') continue;
-      misses.set(at, { count: (m?.count ?? 0) + 1, until: ports.clock.now() + bounds.status });
+      misses.set(at, {
+        count: (m?.count ?? 0) + 1,
+        until: ports.clock.now() + bounds.statusTimeoutMs,
+      });
       return undefined;
     }
     return undefined;
   }
 
-  function placed(p: PlacedTell): void {
-    for (const at of helds.ats()) helds.up(at)?.tell('placed', p);
+  function placed(p: PlacementNotice): void {
+    for (const at of helds.peerAddresses()) helds.channelTo(at)?.notify('placed', p);
     void tell();
   }
 
@@ -95,8 +103,8 @@
 
   /** Tells the board what changed since the last tell on this connection. */
   async function tell(): Promise<void> {
-    for (const at of rendezvous('loads', helds.ats())) {
-      const ex = helds.up(at);
+    for (const at of rankByRendezvousHash('loads', helds.peerAddresses())) {
+      const ex = helds.channelTo(at);
       if (!ex) continue;
       const full = board?.connection !== ex.connection;
       if (full) board = { connection: ex.connection, said: new Map() };
@@ -110,14 +118,14 @@
       }
       for (const id of to.said.keys()) if (!now.has(id)) own.push([id, 0, 0]);
       to.said = now;
-      const [f, a] = open(await ex.ask('loads', { full, own }, bounds.status));
+      const [f, a] = errorOrValue(await ex.request('loads', { full, own }, bounds.statusTimeoutMs));
       if (board !== to) return;
       if (f) {
         board = undefined;
         loads.noBoard();
         return;
       }
-      const answer = a as LoadsAnswer;
+      const answer = a as LoadReply;
       loads.others(answer.others, answer.full);
       return;
     }
@@ -130,10 +138,10 @@
       reach();
       await tell();
       await ports.clock.sleep(
-        bounds.query *
+        bounds.indexQueryTimeoutMs *
           PACE *
           Math.max(1, (routers() ?? 1) / ROUTERS) *
-          (0.8 + 0.4 * ports.dice.next()),
+          (0.8 + 0.4 * ports.random.next()),
       );
     }
   }
@@ -143,7 +151,7 @@
     helds.stop();
   }
 
-  void follower.membership.observe(changed);
+  void follower.memberChanges.observe(changed);
   void tellOn();
   return { overlap, placed, renewLoads, stop };
 }
--- a/src/data/gateway/parts.ts
+++ b/src/data/gateway/parts.ts
@@ -1,4 +1,4 @@
-import { Dialect } from '../../shared/platform-adapter/platform-adapter';
+import { PlatformAdapter } from '../../shared/platform-adapter/platform-adapter';
 import { Ports } from '../../shared/ports/ports';
 import { Settings } from '../../shared/settings/settings';
 import { Engine } from '../../shared/state/words';
@@ -25,7 +25,7 @@
 export interface GatewayParts {
   ports: Ports;
   settings: Settings;
-  dialect: Dialect;
+  dialect: PlatformAdapter;
   chooser: Chooser;
   connections: EngineConnections;
   budget: RetryBudget;
--- a/src/data/gateway/placement-types.ts
+++ b/src/data/gateway/placement-types.ts
@@ -1,6 +1,6 @@
 import { Either } from 'purify-ts';
-import { Part } from '../../shared/contracts/engine';
-import { OverlapAnswer } from '../../shared/contracts/indexer';
+import { PromptBlock } from '../../shared/contracts/engine';
+import { OverlapReply } from '../../shared/contracts/indexer';
 import { Links } from './links';
 import { Loads } from './loads';
 import { Paces } from './pace';
@@ -43,7 +43,7 @@
   pool: PoolView;
   /** Stands for the wall and the weights that are named. */
   wall: string;
-  parts: readonly Part[];
+  parts: readonly PromptBlock[];
   tokensIn: number;
   tokensOut: number;
   /** Ms of its aim that are left, and of the time that it may take. */
@@ -87,7 +87,7 @@
   /** The salts under which an index is worth asking for this request. */
   wantsIndex(ask: PlaceAsk): string[];
   /** Places a request; `kept` is what an index answered by salt. */
-  place(ask: PlaceAsk, kept: ReadonlyMap<string, OverlapAnswer>): Either<NoPlace, Placed>;
+  place(ask: PlaceAsk, kept: ReadonlyMap<string, OverlapReply>): Either<NoPlace, Placed>;
   began(p: Placed): Underway;
   loads: Loads;
   paces: Paces;
--- a/src/data/gateway/placement.ts
+++ b/src/data/gateway/placement.ts
@@ -1,6 +1,6 @@
 import { Either, Left, Right } from 'purify-ts';
-import { Part } from '../../shared/contracts/engine';
-import { OverlapAnswer } from '../../shared/contracts/indexer';
+import { PromptBlock } from '../../shared/contracts/engine';
+import { OverlapReply } from '../../shared/contracts/indexer';
 import { Homes, makeHomes } from './homes';
 import { makeLinks, Side } from './links';
 import { Flight, makeLoads } from './loads';
@@ -61,7 +61,7 @@
   const tenants = new Map<string, number>();
   const way = ways.way ?? 'full';
 
-  function sharedOf(parts: readonly Part[]): number {
+  function sharedOf(parts: readonly PromptBlock[]): number {
     let t = 0;
     for (let i = 0; i < parts.length - 1; i++) t += parts[i].size;
     return t;
@@ -136,7 +136,7 @@
     return { here: by(HOME_KEEPS), there: by(recent.size < FEW ? 0 : GUESSED) };
   }
 
-  function told(kept: OverlapAnswer): (name: string) => KeptAt {
+  function told(kept: OverlapReply): (name: string) => KeptAt {
     const m = new Map<string, KeptAt>();
     for (const [source, k, coming] of kept) m.set(source, { kept: k, coming });
     function keptAt(name: string): KeptAt {
@@ -171,7 +171,7 @@
     return r.cost * (1 + SPREAD * ways.spread());
   }
 
-  function place(ask: PlaceAsk, kept: ReadonlyMap<string, OverlapAnswer>): Either<NoPlace, Placed> {
+  function place(ask: PlaceAsk, kept: ReadonlyMap<string, OverlapReply>): Either<NoPlace, Placed> {
     const names: string[] = [];
     for (const e of ask.pool.engines) if (!ask.avoid.has(e.id)) names.push(e.id);
     const fit = new Set(standings.able(names, ask.repeatable));
@@ -229,7 +229,7 @@
   }
 
   /** The prompt, with how much of what it shares was read before: as an index told, or all where none did. */
-  function promptOf(ask: PlaceAsk, answer: OverlapAnswer | undefined): Prompt {
+  function promptOf(ask: PlaceAsk, answer: OverlapReply | undefined): Prompt {
     const shared = sharedOf(ask.parts);
     let known = answer ? 0 : shared;
     for (const [, k, coming] of answer ?? []) known = Math.max(known, k + coming);
@@ -249,7 +249,7 @@
   function storeFor(
     ask: PlaceAsk,
     home: string,
-    answer: OverlapAnswer | undefined,
+    answer: OverlapReply | undefined,
   ): string | undefined {
     if (!answer || ask.pool.stores.length === 0) return undefined;
     const ranks = homes.ranks(home, ask.pool.stores.map(nameOf));
--- a/src/data/gateway/pools.ts
+++ b/src/data/gateway/pools.ts
@@ -1,6 +1,6 @@
 import { Left, Right } from 'purify-ts';
-import { makeFault, open, Outcome } from '../../shared/errors/errors';
-import { Clock, HttpConnection, HttpWire } from '../../shared/ports/ports';
+import { makeError, errorOrValue, Result } from '../../shared/errors/errors';
+import { Clock, HttpConnection, RawHttpNetwork } from '../../shared/ports/ports';
 import { Settings } from '../../shared/settings/settings';
 import { Engine } from '../../shared/state/words';
 
@@ -18,7 +18,7 @@
 /** Kept connections to engines; what was used last is used first. */
 export interface EngineConnections {
   /** Takes a connection to an engine; `most` is what the engine takes from all callers. */
-  take(e: Engine, most: number): Promise<Outcome<HttpConnection>>;
+  take(e: Engine, most: number): Promise<Result<HttpConnection>>;
   /** Takes back a connection that was not used. */
   giveBack(e: Engine, c: HttpConnection): void;
   /** Hears for how long an engine keeps an idle connection. */
@@ -50,7 +50,7 @@
 /** Makes the kept connections; `routers` tells how many routers share the engines. */
 export function keepConnections(
   clock: Clock,
-  http: HttpWire,
+  http: RawHttpNetwork,
   s: Settings,
   routers: () => number | undefined,
 ): EngineConnections {
@@ -74,32 +74,32 @@
     const now = clock.now();
     const fresh = now < k.freshUntil;
     function lasts(x: { c: HttpConnection; since: number }): boolean {
-      const ok = !fresh && x.c.fit() && now - x.since < lastsMs(k);
+      const ok = !fresh && x.c.isReusable() && now - x.since < lastsMs(k);
       if (!ok) x.c.close();
       return ok;
     }
     k.idle = k.idle.filter(lasts);
   }
 
-  async function take(e: Engine, most: number): Promise<Outcome<HttpConnection>> {
+  async function take(e: Engine, most: number): Promise<Result<HttpConnection>> {
     const k = at(e);
     trim(k);
     const kept = k.idle.pop();
     if (kept) return Right(kept.c);
     if (k.open >= Math.max(1, Math.floor((most * SHARE) / (routers() ?? 1))))
-      return Left(makeFault('connect', e.at, 'no connection is free', 'refused', 'no-connection'));
+      return Left(makeError('connect', e.at, 'no connection is free', 'refused', 'no-connection'));
     return connect(e, k);
   }
 
-  async function connect(e: Engine, k: Kept): Promise<Outcome<HttpConnection>> {
+  async function connect(e: Engine, k: Kept): Promise<Result<HttpConnection>> {
     k.open++;
-    const [f, c] = open(await http.connect(e.at, s.contactMs * CONNECT));
+    const [f, c] = errorOrValue(await http.connect(e.at, s.contactMs * CONNECT));
     if (f) {
       k.open--;
       return Left(f);
     }
     c.onIdle(idle);
-    void c.done.then(closed);
+    void c.closed.then(closed);
     function idle(): void {
       if (stopped || engines.get(e.id) !== k) c!.close();
       else k.idle.push({ c: c!, since: clock.now() });
@@ -114,7 +114,7 @@
   function reaches(e: Engine): Promise<boolean> {
     const k = at(e);
     async function reach(): Promise<boolean> {
-      const [f, c] = open(await connect(e, k));
+      const [f, c] = errorOrValue(await connect(e, k));
       k.reaching = undefined;
       if (f) closeIdle(k);
       else if (stopped || engines.get(e.id) !== k) c.close();
@@ -167,7 +167,7 @@
 
   function trimAll(): void {
     for (const k of engines.values()) trim(k);
-    off = clock.timer(s.contactMs * KEEP, trimAll);
+    off = clock.setTimer(s.contactMs * KEEP, trimAll);
   }
 
   function stop(): void {
@@ -176,6 +176,6 @@
     for (const [id, k] of engines) drop(id, k);
   }
 
-  let off = clock.timer(s.contactMs * KEEP, trimAll);
+  let off = clock.setTimer(s.contactMs * KEEP, trimAll);
   return { take, giveBack, told, heard, heardAt, reaches, garbles, renew, idleMs, stop };
 }
--- a/src/data/gateway/request.ts
+++ b/src/data/gateway/request.ts
@@ -1,6 +1,6 @@
-import { open } from '../../shared/errors/errors';
+import { errorOrValue } from '../../shared/errors/errors';
 import { CallerRequest, HttpRoute, TenantAccess } from '../../shared/state/deployment';
-import { HttpConnection, RawCall } from '../../shared/ports/ports';
+import { HttpConnection, RawIncomingRequest } from '../../shared/ports/ports';
 import { Chosen, Load, Refusal } from './choose';
 import { Attempted, forward, Taken, wantedOf } from './forward';
 import { CutOffCause, RequestInFlight } from './in-flight';
@@ -38,7 +38,7 @@
 /** Serves one request: read, allow, route, choose, forward, events back. */
 export async function serveRequest(
   g: GatewayParts,
-  call: RawCall,
+  call: RawIncomingRequest,
   inFlight: RequestInFlight,
 ): Promise<void> {
   g.counts.asked++;
@@ -56,7 +56,7 @@
 /** Reads a request and judges whether it is taken; nothing where it was answered already. */
 async function admit(
   g: GatewayParts,
-  call: RawCall,
+  call: RawIncomingRequest,
   inFlight: RequestInFlight,
 ): Promise<Taken | undefined> {
   const q = await read(g, call);
@@ -99,12 +99,12 @@
 }
 
 /** Sends a request to engines in turn until one has answered, or none may be tried any more. */
-async function attempt(g: GatewayParts, call: RawCall, x: Taken): Promise<AttemptsEnd> {
+async function attempt(g: GatewayParts, call: RawIncomingRequest, x: Taken): Promise<AttemptsEnd> {
   const { clock } = g.ports;
   const { maxAttempts } = x.route;
   const end: AttemptsEnd = { cause: 'attempts-used-up', refusal: unreachable(x.route) };
   for (let tried = 0; x.sent < maxAttempts && tried < maxAttempts * CONNECTS; tried++) {
-    if (call.gone.aborted || x.until - clock.now() < g.settings.transitMs * WORTH)
+    if (call.aborted.aborted || x.until - clock.now() < g.settings.transitMs * WORTH)
       return { ...end, cause: 'time-up' };
     if (g.draining.isOver()) return end;
     const wanted = wantedOf(x);
@@ -116,7 +116,7 @@
     x.avoid.add(c.engine.id);
     const connection = await connect(g, x, c, load);
     if (!connection) continue;
-    const isTimeUp = clock.now() >= x.until || call.gone.aborted;
+    const isTimeUp = clock.now() >= x.until || call.aborted.aborted;
     if (isTimeUp || (x.sent > 0 && !g.budget.spend(x.pool))) {
       load.ended('caller-gone');
       g.connections.giveBack(c.engine, connection);
@@ -142,7 +142,7 @@
   c: Chosen,
   load: Load,
 ): Promise<HttpConnection | undefined> {
-  const [f, connection] = open(await g.connections.take(c.engine, x.maxConnections));
+  const [f, connection] = errorOrValue(await g.connections.take(c.engine, x.maxConnections));
   if (f) {
     if (f.code === 'no-connection') load.turnedAway('not-run');
     load.ended('not-run');
@@ -165,12 +165,12 @@
 /** Ends a request whose attempts have ended. */
 function finish(
   g: GatewayParts,
-  call: RawCall,
+  call: RawIncomingRequest,
   x: Taken,
   { last, cause, refusal }: AttemptsEnd,
 ): void {
   if (last === 'answered') g.counts.done++;
-  else if (last === 'caller-gone' || call.gone.aborted) g.counts.callersGone++;
+  else if (last === 'caller-gone' || call.aborted.aborted) g.counts.callersGone++;
   else if (x.inFlight.answerBegan) breakOff(g, call, x.inFlight, cause);
   else if (x.doubted) {
     const isTimeUp = last === 'late' || g.ports.clock.now() >= x.until;
@@ -182,21 +182,21 @@
   return x.route.resumable && (!x.inFlight.answerBegan || x.lastEvent !== undefined);
 }
 
-async function read(g: GatewayParts, call: RawCall): Promise<Read | undefined> {
+async function read(g: GatewayParts, call: RawIncomingRequest): Promise<Read | undefined> {
   const limits = g.table()?.limits;
   if (limits && headerBytes(call) > limits.maxHeaderBytes)
     return answer(g, call, 431, 'the headers are too large');
-  const [f, body] = open(await call.body(limits?.maxBodyBytes ?? g.settings.bodyMostBytes));
+  const [f, body] = errorOrValue(await call.body(limits?.maxBodyBytes ?? g.settings.bodyMostBytes));
   if (f && !limits) return refuse(g, call, comeAgain(g, NO_DEPLOYMENT));
-  if (f) return answer(g, call, f.code === 'too-large' ? 413 : 400, f.why);
+  if (f) return answer(g, call, f.code === 'too-large' ? 413 : 400, f.reason);
   if (!g.table()) return refuse(g, call, comeAgain(g, NO_DEPLOYMENT));
-  const r = g.dialect.callers.read(call.method, call.target, call.fields);
+  const r = g.dialect.callers.read(call.method, call.target, call.headersByName);
   if (r.isLeft()) return answer(g, call, 400, r.extract() as string);
   return { request: r.extract() as CallerRequest, body };
 }
 
 /** Bytes of a request's head, its lines with their ends. */
-function headerBytes(call: RawCall): number {
+function headerBytes(call: RawIncomingRequest): number {
   let n = call.method.length + call.target.length + 12;
   for (const x of call.headers) n += x.length + 2;
   return n;
@@ -204,7 +204,7 @@
 
 function allow(
   g: GatewayParts,
-  call: RawCall,
+  call: RawIncomingRequest,
   table: RouteTable,
   q: CallerRequest,
 ): Allowed | undefined {
@@ -212,14 +212,14 @@
   if (!route) return answer(g, call, 404, 'no route');
   const tenant = q.credential === undefined ? undefined : table.tenantOf(q.credential);
   if (!route.public && !tenant) return answer(g, call, 401, 'the key is not known');
-  const pool = drawPool(route, g.ports.dice.next());
+  const pool = drawPool(route, g.ports.random.next());
   if (pool === undefined) return answer(g, call, 404, 'the route has no target');
   return { route, tenant, pool };
 }
 
-function say(call: RawCall, status: number, why: string, more: string[] = []): void {
+function say(call: RawIncomingRequest, status: number, why: string, more: string[] = []): void {
   const bytes = Buffer.from(JSON.stringify({ error: why }) + '\n');
-  call.head(status, [
+  call.writeHead(status, [
     'Content-Type',
     'application/json',
     'Content-Length',
@@ -229,14 +229,14 @@
   call.end(bytes);
 }
 
-function answer(g: GatewayParts, call: RawCall, status: number, why: string): undefined {
+function answer(g: GatewayParts, call: RawIncomingRequest, status: number, why: string): undefined {
   g.counts.refused++;
   say(call, status, why);
   return undefined;
 }
 
 /** Refuses what has not run and never will, with a time to come again. */
-function refuse(g: GatewayParts, call: RawCall, r: Refusal): undefined {
+function refuse(g: GatewayParts, call: RawIncomingRequest, r: Refusal): undefined {
   g.counts.refused++;
   say(call, r.status, r.why, ['Retry-After', (r.retryAfterMs / 1000).toFixed(3)]);
   return undefined;
@@ -253,18 +253,18 @@
 }
 
 /** Gives up what may have run. */
-function giveUp(g: GatewayParts, call: RawCall, status: number): void {
+function giveUp(g: GatewayParts, call: RawIncomingRequest, status: number): void {
   g.counts.unknown++;
   say(call, status, 'the engine was lost; the request may have run');
 }
 
 function breakOff(
   g: GatewayParts,
-  call: RawCall,
+  call: RawIncomingRequest,
   inFlight: RequestInFlight,
   cause: CutOffCause,
 ): void {
   g.counts.unknown++;
   g.inFlight.cutOff(inFlight, cause, g.draining.leavingMs());
-  call.breakOff();
+  call.destroy();
 }
--- a/src/data/gateway/weights.ts
+++ b/src/data/gateway/weights.ts
@@ -1,5 +1,5 @@
 import { Right } from 'purify-ts';
-import { field, Handled, message } from '../../shared/transport/handlers';
+import { bodyField, HandlerResult, messageHandler } from '../../shared/transport/handlers';
 import { Clock } from '../../shared/ports/ports';
 import { compareWeights, lacks, NamedWeights } from '../../shared/state/weights';
 import { Engine } from '../../shared/state/words';
@@ -100,13 +100,13 @@
 }
 
 class LoadingTold {
-  @field('list') engines!: string[];
-  @field('number') within!: number;
+  @bodyField('list') engines!: string[];
+  @bodyField('number') within!: number;
 }
 
 class LoadedTold {
-  @field('string') engine!: string;
-  @field('object') weights!: Record<string, string>;
+  @bodyField('string') engine!: string;
+  @bodyField('object') weights!: Record<string, string>;
 }
 
 /** What the core says of engines that take up weights, ahead of the list. */
@@ -114,15 +114,15 @@
   constructor(private readonly book: WeightsBook) {}
 
   /** Hears that engines are about to take up weights; within 0 they no longer are. */
-  @message('loading', LoadingTold)
-  async loading(m: LoadingTold): Handled {
+  @messageHandler('loading', LoadingTold)
+  async loading(m: LoadingTold): HandlerResult {
     this.book.loading(m.engines, m.within);
     return Right(true);
   }
 
   /** Hears that an engine has them. */
-  @message('loaded', LoadedTold)
-  async loaded(m: LoadedTold): Handled {
+  @messageHandler('loaded', LoadedTold)
+  async loaded(m: LoadedTold): HandlerResult {
     this.book.told(m.engine, m.weights);
     return Right(true);
   }
--- a/src/data/once.ts
+++ b/src/data/once.ts
@@ -61,5 +61,5 @@
   run: string,
   state: 'done' | 'unknown' | 'released',
 ): void {
-  follower.coreTell('run', { key, run, state });
+  follower.notifyCore('run', { key, run, state });
 }
--- a/src/data/parts.ts
+++ b/src/data/parts.ts
@@ -1,7 +1,7 @@
 import { Follower } from '../shared/replication/follower';
 import { Metrics } from '../shared/observability/metrics';
 import { Ports } from '../shared/ports/ports';
-import { Bounds } from '../shared/settings/time-limits';
+import { TimeLimits } from '../shared/settings/time-limits';
 import { Settings } from '../shared/settings/settings';
 import { Service } from '../shared/state/words';
 import { Engines, Seen } from './engines';
@@ -38,7 +38,7 @@
 export interface RouterParts {
   ports: Ports;
   settings: Settings;
-  bounds: Bounds;
+  bounds: TimeLimits;
   follower: Follower;
   engines: Engines;
   placer: Placer;
--- a/src/data/place.ts
+++ b/src/data/place.ts
@@ -1,11 +1,11 @@
-import { Part } from '../shared/contracts/engine';
-import { open } from '../shared/errors/errors';
+import { PromptBlock } from '../shared/contracts/engine';
+import { errorOrValue } from '../shared/errors/errors';
 import { Follower } from '../shared/replication/follower';
-import { rendezvous } from '../shared/util/lib';
+import { rankByRendezvousHash } from '../shared/util/lib';
 import { Ports } from '../shared/ports/ports';
-import { Bounds } from '../shared/settings/time-limits';
-import { Hello, holdAll } from '../shared/transport/connections';
-import { atOf, CacheStore, IntentsValue, KEYS, Member } from '../shared/state/words';
+import { TimeLimits } from '../shared/settings/time-limits';
+import { Hello, makeConnectionPool } from '../shared/transport/connections';
+import { addressOf, CacheStore, IntentsValue, CONTROL_KEYS, Member } from '../shared/state/words';
 import { Engines, Seen } from './engines';
 
 /** How much a doubted token counts of a sure one. */
@@ -35,7 +35,7 @@
 export interface Wanted {
   model: string;
   salt: string;
-  parts: Part[];
+  parts: PromptBlock[];
   urgent: boolean;
   weights: (s: Seen) => string | undefined;
   avoid: Set<string>;
@@ -57,7 +57,7 @@
     model: string,
     salt: string,
     weights: string,
-    parts: Part[],
+    parts: PromptBlock[],
   ): Promise<Overlap[] | undefined>;
   choose(w: Wanted, by: Map<string, Overlap[] | undefined>): Placement | undefined;
   tellReused(body: object): void;
@@ -68,17 +68,22 @@
 /** Makes the placer; it keeps a connection up to each indexer. */
 export function makePlacer(
   ports: Ports,
-  bounds: Bounds,
+  bounds: TimeLimits,
   follower: Follower,
   engines: Engines,
   hello: Hello,
   edges: object[],
   way: 'index' | 'affinity',
 ): Placer {
-  const helds = holdAll(ports, { hello, edges, within: bounds.dial, pause: bounds.pause });
+  const helds = makeConnectionPool(ports, {
+    hello,
+    handlers: edges,
+    timeoutMs: bounds.connectTimeoutMs,
+    retryPauseMs: bounds.retryPauseMs,
+  });
 
   function reach(members: Member[]): void {
-    helds.want(members.filter(isIndexer).map(atOf));
+    helds.setPeers(members.filter(isIndexer).map(addressOf));
   }
 
   function isIndexer(m: Member): boolean {
@@ -89,15 +94,17 @@
     model: string,
     salt: string,
     weights: string,
-    parts: Part[],
+    parts: PromptBlock[],
   ): Promise<Overlap[] | undefined> {
     if (way === 'affinity') return undefined;
     let tries = 0;
-    for (const at of rendezvous(hello.name, helds.ats())) {
-      const ex = helds.up(at);
+    for (const at of rankByRendezvousHash(hello.name, helds.peerAddresses())) {
+      const ex = helds.channelTo(at);
       if (!ex) continue;
       if (++tries > 2) break;
-      const [f, r] = open(await ex.ask('query', { model, salt, weights, parts }, bounds.query));
+      const [f, r] = errorOrValue(
+        await ex.request('query', { model, salt, weights, parts }, bounds.indexQueryTimeoutMs),
+      );
       if (!f) return r as Overlap[];
     }
     return undefined;
@@ -109,7 +116,7 @@
     return busy < (urgent ? st.batch + st.queue : st.batch + st.queue * PATIENT_QUEUE);
   }
 
-  function total(parts: readonly Part[], from = 0): number {
+  function total(parts: readonly PromptBlock[], from = 0): number {
     let t = 0;
     for (let i = from; i < parts.length; i++) t += parts[i].size;
     return t;
@@ -123,10 +130,10 @@
   }
 
   function stores(): CacheStore[] {
-    return follower.value<IntentsValue>(KEYS.intents)?.value.doc.cacheStores ?? [];
+    return follower.value<IntentsValue>(CONTROL_KEYS.intents)?.value.doc.cacheStores ?? [];
   }
 
-  function addressOf(source: string): string | undefined {
+  function sourceAddress(source: string): string | undefined {
     const e = engines.get(source);
     if (e) return engines.fit(e) ? e.engine.at : undefined;
     function named(s: CacheStore): boolean {
@@ -148,11 +155,11 @@
       if (weights !== undefined && !w.avoid.has(s.engine.id) && engines.fit(s) && room(s, w.urgent))
         able.push({ s, weights });
     }
-    const ranks = rendezvous(`${w.salt} ${prefix}`, able.map(idOf));
+    const ranks = rankByRendezvousHash(`${w.salt} ${prefix}`, able.map(idOf));
     for (const { s, weights } of able) {
       const known = by.get(weights);
       const cand = known ? byIndex(s, weights, known) : byAffinity(s, weights);
-      const cost = cand.cost * (1 + SPREAD * ports.dice.next());
+      const cost = cand.cost * (1 + SPREAD * ports.random.next());
       if (!best || cost < best.cost) best = { cost, p: cand.p };
     }
     return best?.p;
@@ -184,7 +191,7 @@
       };
       for (const o of known) {
         if (o.source === s.engine.id || o.parts <= own.parts) continue;
-        const at = addressOf(o.source);
+        const at = sourceAddress(o.source);
         if (!at) continue;
         const more = total(w.parts.slice(0, o.parts), own.parts);
         const link = engines.linkCost(o.source, s.engine.id);
@@ -207,12 +214,12 @@
     }
   }
 
-  function hashOf(p: Part): string {
+  function hashOf(p: PromptBlock): string {
     return p.hash;
   }
 
   function tellReused(body: object): void {
-    for (const at of helds.ats()) helds.up(at)?.tell('reused', body);
+    for (const at of helds.peerAddresses()) helds.channelTo(at)?.notify('reused', body);
   }
 
   return { overlaps, choose, tellReused, reach, stop: helds.stop };
--- a/src/data/router.ts
+++ b/src/data/router.ts
@@ -1,15 +1,22 @@
 import { Left, Right } from 'purify-ts';
-import { open, Outcome } from '../shared/errors/errors';
-import { takeCalls } from '../shared/transport/handlers';
-import { follow } from '../shared/replication/follower';
+import { errorOrValue, Result } from '../shared/errors/errors';
+import { makeRequestListener } from '../shared/transport/handlers';
+import { followCore } from '../shared/replication/follower';
 import { makeMetrics } from '../shared/observability/metrics';
 import { Ports, Connection } from '../shared/ports/ports';
-import { boundsOf } from '../shared/settings/time-limits';
+import { timeLimitsOf } from '../shared/settings/time-limits';
 import { Settings } from '../shared/settings/settings';
-import { converse, HelloEdge } from '../shared/transport/connections';
+import { openChannel, HelloHandlers } from '../shared/transport/connections';
 import { helloOf } from '../shared/transport/hello';
-import { IntentsValue, KEYS, Member, Numbered, Rule, Service } from '../shared/state/words';
-import { Dialect } from '../shared/platform-adapter/platform-adapter';
+import {
+  IntentsValue,
+  CONTROL_KEYS,
+  Member,
+  VersionedValue,
+  Rule,
+  Service,
+} from '../shared/state/words';
+import { PlatformAdapter } from '../shared/platform-adapter/platform-adapter';
 import { CallerApi } from './api';
 import { Seen, watchEngines } from './engines';
 import { startGateway } from './gateway/gateway';
@@ -42,7 +49,7 @@
     at: settings.wire,
     http: settings.http,
     zone: settings.zone,
-    life: ports.dice.id().slice(0, 8),
+    life: ports.random.uuid().slice(0, 8),
   };
 }
 
@@ -50,24 +57,24 @@
 export async function startDialectRouter(
   ports: Ports,
   settings: Settings,
-  dialect: Dialect,
-): Promise<Outcome<RunningRouter>> {
-  const bounds = boundsOf(settings);
+  dialect: PlatformAdapter,
+): Promise<Result<RunningRouter>> {
+  const bounds = timeLimitsOf(settings);
   const hello = helloOf(settings, 'router');
   const member = memberOf(ports, settings);
-  const edges: object[] = [new HelloEdge(hello)];
-  const follower = follow(ports, bounds, hello, member, settings.seeds, edges);
+  const edges: object[] = [new HelloHandlers(hello)];
+  const follower = followCore(ports, bounds, hello, member, settings.seeds, edges);
   function taken(s: Connection): void {
-    converse(ports, s, edges);
+    openChannel(ports, s, edges);
   }
-  const [f, wire] = open(await ports.wire.accept(settings.wire, taken));
+  const [f, wire] = errorOrValue(await ports.network.listen(settings.wire, taken));
   if (f) return Left(f);
-  const [h, gateway] = open(await startGateway(ports, settings, follower, dialect, edges));
+  const [h, gateway] = errorOrValue(await startGateway(ports, settings, follower, dialect, edges));
   if (h) return Left(h);
 
   async function stop(): Promise<void> {
     await gateway!.stop();
-    await follower.leave();
+    await follower.releaseLeases();
     follower.stop();
     await wire!.close();
   }
@@ -76,11 +83,11 @@
 }
 
 /** Starts a router: it follows the core, watches engines, and takes callers. */
-export async function startRouter(ports: Ports, settings: Settings): Promise<Outcome<Router>> {
-  const bounds = boundsOf(settings);
+export async function startRouter(ports: Ports, settings: Settings): Promise<Result<Router>> {
+  const bounds = timeLimitsOf(settings);
   const hello = helloOf(settings, 'router');
   const member = memberOf(ports, settings);
-  const edges: object[] = [new HelloEdge(hello)];
+  const edges: object[] = [new HelloHandlers(hello)];
   const counts: RouterCounts = {
     asked: 0,
     done: 0,
@@ -109,23 +116,23 @@
   const underWay = new Set<Attempt>();
   let runs = 0;
   let leaving = false;
-  const follower = follow(ports, bounds, hello, member, settings.seeds, edges);
+  const follower = followCore(ports, bounds, hello, member, settings.seeds, edges);
   const engines = watchEngines(ports, bounds, follower);
   const placer = makePlacer(ports, bounds, follower, engines, hello, edges, settings.placeBy);
 
-  function changed(n: Numbered): void {
-    if (n.key === KEYS.engines) engines.renew();
-    else if (n.key === KEYS.intents) renewIntents((n.value as IntentsValue).doc);
-    else if (n.key.startsWith(KEYS.tenantKeys))
+  function changed(n: VersionedValue): void {
+    if (n.key === CONTROL_KEYS.engines) engines.renew();
+    else if (n.key === CONTROL_KEYS.intents) renewIntents((n.value as IntentsValue).doc);
+    else if (n.key.startsWith(CONTROL_KEYS.tenantKeys))
       renewKeys(n.value as { tenant: string; keys: { hash: string }[] });
-    else if (n.key.startsWith(KEYS.weights)) noteOlder(n.key, n.value as NamedWeights);
+    else if (n.key.startsWith(CONTROL_KEYS.weights)) noteOlder(n.key, n.value as NamedWeights);
     cutAttempts();
   }
 
   function noteOlder(key: string, v: NamedWeights): void {
     for (const w of v.older)
       if (!olderSince.has(`${key} ${w}`))
-        olderSince.set(`${key} ${w}`, follower.live() ? ports.clock.now() : -Infinity);
+        olderSince.set(`${key} ${w}`, follower.hasLease() ? ports.clock.now() : -Infinity);
     for (const k of olderSince.keys())
       if (k.startsWith(`${key} `) && !v.older.includes(k.slice(key.length + 1)))
         olderSince.delete(k);
@@ -133,7 +140,7 @@
 
   function cutAttempts(): void {
     for (const l of underWay) {
-      const named = follower.value<NamedWeights>(KEYS.weights + l.model)?.value;
+      const named = follower.value<NamedWeights>(CONTROL_KEYS.weights + l.model)?.value;
       const ended =
         named !== undefined &&
         named.weights !== l.weights &&
@@ -147,7 +154,7 @@
   /** Cuts an attempt off that a leaving engine may not have begun: it has shown no turn since the attempt was sent on. */
   async function cutSilent(l: Attempt): Promise<void> {
     l.watched = true;
-    await ports.clock.sleep(bounds.leavingCut);
+    await ports.clock.sleep(bounds.drainingEngineCutMs);
     if (underWay.has(l) && l.seen.shownAt <= l.since) l.cut.abort();
   }
 
@@ -182,11 +189,11 @@
   }
 
   function saltOf(tenant: string): string | undefined {
-    return follower.value<IntentsValue>(KEYS.intents)?.value.salts[tenant];
+    return follower.value<IntentsValue>(CONTROL_KEYS.intents)?.value.salts[tenant];
   }
 
   function freshWeights(model: string): ReturnType<RouterParts['freshWeights']> {
-    const key = KEYS.weights + model;
+    const key = CONTROL_KEYS.weights + model;
     const named = follower.value<NamedWeights>(key)?.value;
     const all = new Set<string>();
     for (const s of engines.ofModel(model)) if (s.status) all.add(s.status.weights);
@@ -199,7 +206,9 @@
     }
     const ok = new Set(named.older.filter(stillOk));
     function stillOk(w: string): boolean {
-      return ports.clock.now() - (olderSince.get(`${key} ${w}`) ?? -Infinity) < bounds.weightsStop;
+      return (
+        ports.clock.now() - (olderSince.get(`${key} ${w}`) ?? -Infinity) < bounds.oldWeightsRetireMs
+      );
     }
     function old(s: Seen): string | undefined {
       const w = s.status?.weights;
@@ -235,8 +244,8 @@
   }
 
   void follower.changes.observe(changed);
-  void follower.advice.observe(cutAttempts);
-  void follower.membership.observe(placer.reach);
+  void follower.drainingNotices.observe(cutAttempts);
+  void follower.memberChanges.observe(placer.reach);
   const parts: RouterParts = {
     ports,
     settings,
@@ -258,27 +267,29 @@
     draining,
   };
   const api = new CallerApi(parts);
-  const [f, wire] = open(await ports.wire.accept(settings.wire, taken));
+  const [f, wire] = errorOrValue(await ports.network.listen(settings.wire, taken));
   if (f) return Left(f);
-  const [g, http] = open(await ports.wire.serve(settings.http, takeCalls([api], ports.log)));
+  const [g, http] = errorOrValue(
+    await ports.network.serveHttp(settings.http, makeRequestListener([api], ports.logger)),
+  );
   if (g) return Left(g);
 
   const listening = [wire, http];
 
   function taken(s: Connection): void {
-    converse(ports, s, edges);
+    openChannel(ports, s, edges);
   }
 
   async function drain(): Promise<void> {
     leaving = true;
-    const until = ports.clock.now() + bounds.drain;
+    const until = ports.clock.now() + bounds.drainTimeoutMs;
     while (api.busy() > 0 && ports.clock.now() < until)
-      await ports.clock.sleep(bounds.pause * 0.25);
+      await ports.clock.sleep(bounds.retryPauseMs * 0.25);
   }
 
   async function stop(): Promise<void> {
     leaving = true;
-    await follower.leave();
+    await follower.releaseLeases();
     follower.stop();
     engines.stop();
     placer.stop();
--- a/src/index/api.ts
+++ b/src/index/api.ts
@@ -1,14 +1,20 @@
-import { field, giveJson, handles, takeAs, takeCalls } from '../shared/transport/handlers';
-import { Outcome } from '../shared/errors/errors';
-import { Call, Listening, Ports } from '../shared/ports/ports';
+import {
+  bodyField,
+  sendJson,
+  httpHandler,
+  readBodyAs,
+  makeRequestListener,
+} from '../shared/transport/handlers';
+import { Result } from '../shared/errors/errors';
+import { IncomingRequest, Listener, Ports } from '../shared/ports/ports';
 import { Indexer } from './indexer';
 import { partsOf, QueryAsk } from './messages';
 
 class HashAsk {
-  @field('string') model!: string;
-  @field('string') salt!: string;
-  @field('string') weights!: string;
-  @field('list') hashes!: string[];
+  @bodyField('string') model!: string;
+  @bodyField('string') salt!: string;
+  @bodyField('string') weights!: string;
+  @bodyField('list') hashes!: string[];
 }
 
 /** The index's HTTP interface. */
@@ -16,22 +22,22 @@
   constructor(private readonly ix: Indexer) {}
 
   /** Tells per source how many tokens of a prompt match: text, token ids or parts. */
-  @handles('POST', '/query')
-  async query(call: Call): Promise<void> {
-    const q = await takeAs(call, QueryAsk, this.ix.settings.bodyMostBytes, 'query');
+  @httpHandler('POST', '/query')
+  async query(call: IncomingRequest): Promise<void> {
+    const q = await readBodyAs(call, QueryAsk, this.ix.settings.bodyMostBytes, 'query');
     if (!q) return;
-    giveJson(call, 200, { scores: this.ix.query(q), parts: partsOf(q).length });
+    sendJson(call, 200, { scores: this.ix.query(q), parts: partsOf(q).length });
   }
 
   /** The same for part hashes; sizes are those that the trees know. */
-  @handles('POST', '/query_by_hash')
-  async queryByHash(call: Call): Promise<void> {
-    const q = await takeAs(call, HashAsk, this.ix.settings.bodyMostBytes, 'query by hash');
+  @httpHandler('POST', '/query_by_hash')
+  async queryByHash(call: IncomingRequest): Promise<void> {
+    const q = await readBodyAs(call, HashAsk, this.ix.settings.bodyMostBytes, 'query by hash');
     if (!q) return;
     function part(hash: string): { hash: string; size: number } {
       return { hash, size: 0 };
     }
-    giveJson(call, 200, {
+    sendJson(call, 200, {
       scores: this.ix.query({
         model: q.model,
         salt: q.salt,
@@ -43,26 +49,26 @@
   }
 
   /** The whole of the trees as events. */
-  @handles('GET', '/dump')
-  async dump(call: Call): Promise<void> {
-    giveJson(call, 200, this.ix.dump());
+  @httpHandler('GET', '/dump')
+  async dump(call: IncomingRequest): Promise<void> {
+    sendJson(call, 200, this.ix.dump());
   }
 
   /** The listeners and where they stand. */
-  @handles('GET', '/listeners')
-  async listeners(call: Call): Promise<void> {
-    giveJson(call, 200, { gateOpen: this.ix.gateOpen(), listeners: this.ix.listeners() });
+  @httpHandler('GET', '/listeners')
+  async listeners(call: IncomingRequest): Promise<void> {
+    sendJson(call, 200, { gateOpen: this.ix.gateOpen(), listeners: this.ix.listeners() });
   }
 
   /** Whether the gate is open. */
-  @handles('GET', '/healthz')
-  async health(call: Call): Promise<void> {
-    giveJson(call, this.ix.gateOpen() ? 200 : 503, { ok: this.ix.gateOpen() });
+  @httpHandler('GET', '/healthz')
+  async health(call: IncomingRequest): Promise<void> {
+    sendJson(call, this.ix.gateOpen() ? 200 : 503, { ok: this.ix.gateOpen() });
   }
 
   /** Figures in the text form that collectors read. */
-  @handles('GET', '/metrics')
-  async metrics(call: Call): Promise<void> {
+  @httpHandler('GET', '/metrics')
+  async metrics(call: IncomingRequest): Promise<void> {
     const rows = [
       `plumhollow_index_parts ${this.ix.trees.size()}`,
       `plumhollow_index_evicted_total ${this.ix.trees.evicted()}`,
@@ -72,12 +78,15 @@
     const by = new Map<string, number>();
     for (const l of this.ix.listeners()) by.set(l.status, (by.get(l.status) ?? 0) + 1);
     for (const [k, v] of by) rows.push(`plumhollow_index_listeners{status="${k}"} ${v}`);
-    call.head(200, { 'content-type': 'text/plain; version=0.0.4' });
+    call.writeHead(200, { 'content-type': 'text/plain; version=0.0.4' });
     call.end(rows.join('\n') + '\n');
   }
 }
 
 /** Serves the index's HTTP interface. */
-export function serveIndex(ix: Indexer, ports: Ports): Promise<Outcome<Listening>> {
-  return ports.wire.serve(ix.settings.http, takeCalls([new IndexApi(ix)], ports.log));
+export function serveIndex(ix: Indexer, ports: Ports): Promise<Result<Listener>> {
+  return ports.network.serveHttp(
+    ix.settings.http,
+    makeRequestListener([new IndexApi(ix)], ports.logger),
+  );
 }
--- a/src/index/coming.ts
+++ b/src/index/coming.ts
@@ -1,4 +1,4 @@
-import { PlacedTell, WirePart } from '../shared/contracts/indexer';
+import { PlacementNotice, WireBlock } from '../shared/contracts/indexer';
 
 interface Note {
   until: number;
@@ -16,7 +16,7 @@
 /** Parts that are on their way to engines: requests that read them were placed there, and no event has told of them yet. */
 export interface Coming {
   /** Takes a router's note of a request that it placed. */
-  placed(router: object, p: PlacedTell, keeps: (part: WirePart) => boolean): void;
+  placed(router: object, p: PlacementNotice, keeps: (part: WireBlock) => boolean): void;
   /** The engines to which a part is on its way. */
   at(model: string, salt: string, hash: string): ReadonlyMap<string, unknown> | undefined;
   /** A part was told of. */
@@ -59,7 +59,7 @@
     }
   }
 
-  function placed(router: object, p: PlacedTell, keeps: (part: WirePart) => boolean): void {
+  function placed(router: object, p: PlacementNotice, keeps: (part: WireBlock) => boolean): void {
     for (const part of p.parts) {
       if (keeps(part)) continue;
       const key = keyOf(p.model, p.salt, part[0]);
--- a/src/index/gaps.ts
+++ b/src/index/gaps.ts
@@ -2,10 +2,10 @@
  * Fills gaps in a source's numbered batches of events from what other replicas heard.
  */
 
-import { Bounds } from '../shared/settings/time-limits';
-import { Holds } from '../shared/transport/connections';
+import { TimeLimits } from '../shared/settings/time-limits';
+import { ConnectionPool } from '../shared/transport/connections';
 import { EventBatch } from '../shared/contracts/engine';
-import { open } from '../shared/errors/errors';
+import { errorOrValue } from '../shared/errors/errors';
 import { Ports } from '../shared/ports/ports';
 import { Heard } from './listener';
 import { Repair } from './repair';
@@ -27,9 +27,9 @@
 /** What is needed of the indexer. */
 export interface GapParts {
   ports: Ports;
-  bounds: Bounds;
+  bounds: TimeLimits;
   trees: Trees;
-  peers: Holds;
+  peers: ConnectionPool;
   repair: Repair;
   counts: GapCounts;
   apply(source: string, epoch: string, b: EventBatch): void;
@@ -61,7 +61,10 @@
     if (lost > 0) {
       trees.doubt(source);
       repair.lost(source, lost);
-      ports.log.warn({ step: 'mend gap', peer: source }, `${lost} batches are lost after ${h.seq}`);
+      ports.logger.warn(
+        { step: 'mend gap', peer: source },
+        `${lost} batches are lost after ${h.seq}`,
+      );
     }
     for (const n of [...found.keys()].sort(byNumber)) apply(source, h.epoch, found.get(n)!);
     counts.repairedBatches += found.size;
@@ -78,11 +81,11 @@
     const missing = new Set<number>();
     for (let n = Math.max(h.seq + 1, next - MOST_MISSING); n < next; n++) missing.add(n);
     const found = new Map<number, EventBatch>();
-    for (const at of peers.ats()) {
+    for (const at of peers.peerAddresses()) {
       if (found.size === missing.size) break;
-      const ex = peers.up(at);
+      const ex = peers.channelTo(at);
       if (!ex) continue;
-      const [f, list] = open(await ex.ask('missed', ask, bounds.query));
+      const [f, list] = errorOrValue(await ex.request('missed', ask, bounds.indexQueryTimeoutMs));
       if (f) continue;
       for (const b of list as EventBatch[]) if (missing.has(b.seq)) found.set(b.seq, b);
     }
--- a/src/index/indexer.ts
+++ b/src/index/indexer.ts
@@ -1,14 +1,14 @@
 import { helloOf } from '../shared/transport/hello';
 import { Left, Right } from 'purify-ts';
-import { EventBatch, EventsAnswer } from '../shared/contracts/engine';
-import { open, Outcome } from '../shared/errors/errors';
-import { follow, Follower } from '../shared/replication/follower';
+import { EventBatch, EventsReply } from '../shared/contracts/engine';
+import { errorOrValue, Result } from '../shared/errors/errors';
+import { followCore, Follower } from '../shared/replication/follower';
 import { Ports, Connection } from '../shared/ports/ports';
-import { Bounds, boundsOf } from '../shared/settings/time-limits';
+import { TimeLimits, timeLimitsOf } from '../shared/settings/time-limits';
 import { Settings } from '../shared/settings/settings';
-import { converse, HelloEdge, holdAll } from '../shared/transport/connections';
-import { Dialect } from '../shared/platform-adapter/platform-adapter';
-import { atOf, Member } from '../shared/state/words';
+import { openChannel, HelloHandlers, makeConnectionPool } from '../shared/transport/connections';
+import { PlatformAdapter } from '../shared/platform-adapter/platform-adapter';
+import { addressOf, Member } from '../shared/state/words';
 import { Coming, makeComing, Unheard } from './coming';
 import { dumpOfPeer } from './dump';
 import { GapCounts, makeGaps } from './gaps';
@@ -60,11 +60,11 @@
 export async function startIndexer(
   ports: Ports,
   settings: Settings,
-  dialect?: Dialect,
+  dialect?: PlatformAdapter,
   edges: object[] = [],
   listens = true,
-): Promise<Outcome<Indexer>> {
-  const bounds: Bounds = boundsOf(settings);
+): Promise<Result<Indexer>> {
+  const bounds: TimeLimits = timeLimitsOf(settings);
   const hello = helloOf(settings, 'indexer');
   const member: Member = {
     name: settings.name,
@@ -72,15 +72,20 @@
     at: settings.wire,
     http: settings.http,
     zone: settings.zone,
-    life: ports.dice.id().slice(0, 8),
+    life: ports.random.uuid().slice(0, 8),
   };
   const trees = makeTrees(settings.indexMostParts);
   const heard = new Map<string, Heard>();
   const listeners = new Map<string, Listener>();
   const rings = new Map<string, BatchRing>();
-  const peers = holdAll(ports, { hello, edges, within: bounds.dial, pause: bounds.pause });
+  const peers = makeConnectionPool(ports, {
+    hello,
+    handlers: edges,
+    timeoutMs: bounds.connectTimeoutMs,
+    retryPauseMs: bounds.retryPauseMs,
+  });
   const turns = new Map<string, Promise<void>>();
-  const buffered: { id: string; r: EventsAnswer }[] = [];
+  const buffered: { id: string; r: EventsReply }[] = [];
   const counts: IndexCounts = {
     queries: 0,
     gaps: 0,
@@ -101,7 +106,7 @@
     Math.ceil(settings.indexMostParts * COMING_SHARE),
     unheard,
   );
-  const loads = makeLoads(ports.clock.now, bounds.loadsSilent);
+  const loads = makeLoads(ports.clock.now, bounds.loadReportExpiryMs);
   const repair = makeRepair({
     ports,
     bounds,
@@ -115,12 +120,12 @@
   });
   const gaps = makeGaps({ ports, bounds, trees, peers, repair, counts, apply: applyBatch });
   edges.push(
-    new HelloEdge(hello),
+    new HelloHandlers(hello),
     new IndexEdge({ query, dump, dumpRows, ring, reused }),
     new OverlapEdge(trees, coming, loads, reached, gateOpen),
     repair.edge,
   );
-  const follower = follow(ports, bounds, hello, member, settings.seeds, edges);
+  const follower = followCore(ports, bounds, hello, member, settings.seeds, edges);
 
   function gateOpen(): boolean {
     return gate;
@@ -214,7 +219,7 @@
       listeners.set(id, l);
       if ((heard.get(id)?.seq ?? 0) > 0 && trees.holding(id) === 0) repair.lost(id, undefined);
       void l.pulls.observe(pulled);
-      function pulled(e: EventsAnswer): void {
+      function pulled(e: EventsReply): void {
         if (!gate) buffered.push({ id, r: e });
         else inTurn(id, e);
       }
@@ -231,7 +236,7 @@
     gaps.forget(id);
   }
 
-  function inTurn(id: string, r: EventsAnswer): void {
+  function inTurn(id: string, r: EventsReply): void {
     const before = turns.get(id) ?? Promise.resolve();
     turns.set(id, before.then(run));
     function run(): Promise<void> {
@@ -239,7 +244,7 @@
     }
   }
 
-  async function take(id: string, r: EventsAnswer): Promise<void> {
+  async function take(id: string, r: EventsReply): Promise<void> {
     if (!listeners.has(id)) return;
     let h = heard.get(id) ?? { epoch: '', seq: 0 };
     if (r.epoch !== h.epoch) {
@@ -281,7 +286,7 @@
   }
 
   function reachPeers(members: Member[]): void {
-    peers.want(members.filter(isPeer).map(atOf));
+    peers.setPeers(members.filter(isPeer).map(addressOf));
   }
 
   function isPeer(m: Member): boolean {
@@ -290,7 +295,7 @@
 
   async function join(): Promise<void> {
     await ports.clock.sleep(dialect ? bounds.joinSoon : bounds.join);
-    while (!stopped && !follower.live()) await ports.clock.sleep(bounds.pause);
+    while (!stopped && !follower.hasLease()) await ports.clock.sleep(bounds.retryPauseMs);
     const dump = await dumpOfPeer(ports, bounds, peers);
     if (dump) applyDump(dump);
     gate = true;
@@ -334,22 +339,22 @@
   }
 
   void follower.changes.observe(register);
-  void follower.membership.observe(reachPeers);
+  void follower.memberChanges.observe(reachPeers);
   let close: () => Promise<void> = nothing;
   async function nothing(): Promise<void> {}
   if (listens) {
-    const [f, listening] = open(await ports.wire.accept(settings.wire, taken));
+    const [f, listening] = errorOrValue(await ports.network.listen(settings.wire, taken));
     if (f) return Left(f);
     close = listening.close;
   }
 
   function taken(s: Connection): void {
-    converse(ports, s, edges);
+    openChannel(ports, s, edges);
   }
 
   async function stop(): Promise<void> {
     stopped = true;
-    await follower.leave();
+    await follower.releaseLeases();
     follower.stop();
     for (const l of listeners.values()) l.stop();
     peers.stop();
--- a/src/index/listener.ts
+++ b/src/index/listener.ts
@@ -1,9 +1,9 @@
 import { Stream as Feed } from 'most';
-import { EventBatch, EventsAnswer } from '../shared/contracts/engine';
-import { open } from '../shared/errors/errors';
-import { makeFeed } from '../shared/util/lib';
+import { EventBatch, EventsReply } from '../shared/contracts/engine';
+import { errorOrValue } from '../shared/errors/errors';
+import { makePushStream } from '../shared/util/lib';
 import { Ports } from '../shared/ports/ports';
-import { Bounds } from '../shared/settings/time-limits';
+import { TimeLimits } from '../shared/settings/time-limits';
 import { Registration, Sources } from './sources';
 
 /** Where a listener stands. */
@@ -28,7 +28,7 @@
 /** A listener of one source. */
 export interface Listener {
   reg: Registration;
-  pulls: Feed<EventsAnswer>;
+  pulls: Feed<EventsReply>;
   view(): { status: ListenerView['status']; lastError?: string };
   /** Whether its last call reached the source, or none has failed yet. */
   reached(): boolean;
@@ -38,14 +38,14 @@
 /** Pulls one source's events for as long as it is registered, one task for each. */
 export function listenTo(
   ports: Ports,
-  bounds: Bounds,
+  bounds: TimeLimits,
   sources: Sources,
   reg: Registration,
   from: Heard,
   gateOpen: () => boolean,
   onLong: () => void,
 ): Listener {
-  const hand = makeFeed<EventsAnswer>();
+  const hand = makePushStream<EventsReply>();
   const gone = new AbortController();
   let stopped = false;
   let epoch = from.epoch;
@@ -57,14 +57,14 @@
 
   async function pull(): Promise<void> {
     while (!stopped) {
-      const [f, r] = open(await sources.pull(reg, epoch, after, gone.signal));
+      const [f, r] = errorOrValue(await sources.pull(reg, epoch, after, gone.signal));
       if (stopped) return;
       if (f) {
-        lastError = `${f.step}: ${f.why}`;
+        lastError = `${f.step}: ${f.reason}`;
         failedAt = failedAt ?? ports.clock.now();
         unreached = f.code !== 'bad-return';
-        if (ports.clock.now() - failedAt > bounds.feedWait * 0.3) onLong();
-        await ports.clock.sleep(bounds.pause * (0.5 + ports.dice.next()));
+        if (ports.clock.now() - failedAt > bounds.feedPollMs * 0.3) onLong();
+        await ports.clock.sleep(bounds.retryPauseMs * (0.5 + ports.random.next()));
         continue;
       }
       connected = true;
@@ -76,15 +76,15 @@
         epoch = r.epoch;
         after = 0;
         if (anew) {
-          hand.add({ epoch, lost: false, last: 0, batches: [] });
+          hand.push({ epoch, lost: false, last: 0, batches: [] });
           continue;
         }
       }
       for (const b of r.batches) after = Math.max(after, b.seq);
       if (r.batches.length === 0 || sources.asksAnew) after = Math.max(after, r.last);
-      hand.add(r);
+      hand.push(r);
       if (sources.gatherMs > 0)
-        await ports.clock.sleep(sources.gatherMs * (0.8 + 0.4 * ports.dice.next()));
+        await ports.clock.sleep(sources.gatherMs * (0.8 + 0.4 * ports.random.next()));
     }
   }
 
@@ -105,7 +105,7 @@
   }
 
   if (!reg.paused) void pull();
-  return { reg, pulls: hand.feed, view, reached, stop };
+  return { reg, pulls: hand.stream, view, reached, stop };
 }
 
 /** The newest batches of a source, kept for peers that missed some. */
--- a/src/index/loads.ts
+++ b/src/index/loads.ts
@@ -1,4 +1,4 @@
-import { EngineLoad, LoadsAnswer, LoadsTell } from '../shared/contracts/indexer';
+import { EngineLoad, LoadReply, LoadReport } from '../shared/contracts/indexer';
 
 type Load = [running: number, unread: number, held: number];
 
@@ -13,7 +13,7 @@
 /** What all routers have in flight at each engine, held at one indexer for all of them. */
 export interface Loads {
   /** Takes a router's loads on one of its connections and tells it those of the others. */
-  tell(connection: object, router: string, t: LoadsTell): LoadsAnswer;
+  tell(connection: object, router: string, t: LoadReport): LoadReply;
   /** A connection has ended: its router's loads go. */
   drop(connection: object): void;
   /** The sums over all routers. */
@@ -68,7 +68,7 @@
     return t;
   }
 
-  function tell(connection: object, router: string, q: LoadsTell): LoadsAnswer {
+  function tell(connection: object, router: string, q: LoadReport): LoadReply {
     const first = !tellers.has(connection);
     const t = known(connection, router);
     t.heardAt = now();
--- a/src/index/messages.ts
+++ b/src/index/messages.ts
@@ -1,41 +1,41 @@
 import { Right } from 'purify-ts';
-import { Part, PartEvent, splitParts, tokenise } from '../shared/contracts/engine';
-import { field, Handled, message } from '../shared/transport/handlers';
+import { PromptBlock, BlockEvent, splitIntoBlocks, tokenise } from '../shared/contracts/engine';
+import { bodyField, HandlerResult, messageHandler } from '../shared/transport/handlers';
 import { BatchRing, Heard } from './listener';
 import { Overlap, Rows } from './tree';
 
 /** A query for how much of a prompt each source holds. */
 export class QueryAsk {
-  @field('string') model!: string;
-  @field('string') salt!: string;
-  @field('string') weights!: string;
-  @field('list', false) parts?: Part[];
-  @field('list', false) tokens?: number[];
-  @field('string', false) text?: string;
+  @bodyField('string') model!: string;
+  @bodyField('string') salt!: string;
+  @bodyField('string') weights!: string;
+  @bodyField('list', false) parts?: PromptBlock[];
+  @bodyField('list', false) tokens?: number[];
+  @bodyField('string', false) text?: string;
 }
 
 class MissedAsk {
-  @field('string') source!: string;
-  @field('string') epoch!: string;
-  @field('number') from!: number;
-  @field('number') to!: number;
+  @bodyField('string') source!: string;
+  @bodyField('string') epoch!: string;
+  @bodyField('number') from!: number;
+  @bodyField('number') to!: number;
 }
 
 /** What an engine's return said that it had really reused. */
 export class ReusedTell {
-  @field('string') source!: string;
-  @field('string') model!: string;
-  @field('string') salt!: string;
-  @field('string') weights!: string;
-  @field('list') parts!: Part[];
-  @field('number') count!: number;
+  @bodyField('string') source!: string;
+  @bodyField('string') model!: string;
+  @bodyField('string') salt!: string;
+  @bodyField('string') weights!: string;
+  @bodyField('list') parts!: PromptBlock[];
+  @bodyField('number') count!: number;
 }
 
 /** The whole of what an indexer knows, for a starting replica. */
 export interface Dump {
   open: boolean;
   heard: [string, Heard][];
-  events: { source: string; event: PartEvent }[];
+  events: { source: string; event: BlockEvent }[];
 }
 
 /** The same in little room, as replicas give it to each other. */
@@ -48,9 +48,9 @@
 }
 
 /** Parts of a query, however it was given. */
-export function partsOf(q: QueryAsk): Part[] {
+export function partsOf(q: QueryAsk): PromptBlock[] {
   if (q.parts) return q.parts;
-  return splitParts(q.model, q.tokens ?? tokenise(q.text ?? ''));
+  return splitIntoBlocks(q.model, q.tokens ?? tokenise(q.text ?? ''));
 }
 
 /** What indexers and routers say to an indexer. */
@@ -58,32 +58,32 @@
   constructor(private readonly ix: IndexParts) {}
 
   /** Tells how much of a prompt each source holds. */
-  @message('query', QueryAsk)
-  async query(q: QueryAsk): Handled {
+  @messageHandler('query', QueryAsk)
+  async query(q: QueryAsk): HandlerResult {
     return Right(this.ix.query(q));
   }
 
   /** Gives the whole of the trees. */
-  @message('dump')
-  async dump(): Handled {
+  @messageHandler('dump')
+  async dump(): HandlerResult {
     return Right(this.ix.dump());
   }
 
   /** Gives the whole of the trees in little room. */
-  @message('dump-rows')
-  async dumpRows(): Handled {
+  @messageHandler('dump-rows')
+  async dumpRows(): HandlerResult {
     return Right(this.ix.dumpRows());
   }
 
   /** Gives the batches that a peer missed. */
-  @message('missed', MissedAsk)
-  async missed(m: MissedAsk): Handled {
+  @messageHandler('missed', MissedAsk)
+  async missed(m: MissedAsk): HandlerResult {
     return Right(this.ix.ring(m.source).between(m.epoch, m.from, m.to));
   }
 
   /** Takes what an engine's return said that it had really reused. */
-  @message('reused', ReusedTell)
-  async reused(m: ReusedTell): Handled {
+  @messageHandler('reused', ReusedTell)
+  async reused(m: ReusedTell): HandlerResult {
     this.ix.reused(m);
     return Right(undefined);
   }
--- a/src/index/overlap.ts
+++ b/src/index/overlap.ts
@@ -1,16 +1,16 @@
 import { Right } from 'purify-ts';
-import { Exchange } from '../shared/transport/connections';
-import { Handled, message } from '../shared/transport/handlers';
-import { bad } from '../shared/errors/errors';
+import { PeerChannel } from '../shared/transport/connections';
+import { HandlerResult, messageHandler } from '../shared/transport/handlers';
+import { failure } from '../shared/errors/errors';
 import {
-  LoadsShape,
-  LoadsTell,
-  OverlapAnswer,
-  OverlapAsk,
-  OverlapShape,
-  PlacedShape,
-  PlacedTell,
-  WirePart,
+  LoadReportBody,
+  LoadReport,
+  OverlapReply,
+  OverlapRequest,
+  OverlapRequestBody,
+  PlacementNoticeBody,
+  PlacementNotice,
+  WireBlock,
 } from '../shared/contracts/indexer';
 import { Coming } from './coming';
 import { Loads } from './loads';
@@ -27,9 +27,9 @@
 export function overlapOf(
   trees: Trees,
   coming: Coming,
-  q: OverlapAsk,
+  q: OverlapRequest,
   reached: (source: string) => boolean = always,
-): OverlapAnswer {
+): OverlapReply {
   const walks = new Map<string, Walk>();
   let alive = new Set<string>();
   for (const [i, [hash, size]] of q.parts.entries()) {
@@ -58,7 +58,7 @@
     }
   }
   trees.learn(q.model, q.salt, q.parts);
-  const out: OverlapAnswer = [];
+  const out: OverlapReply = [];
   for (const [source, w] of walks)
     if ((w.kept > 0 || w.coming > 0) && reached(source)) out.push([source, w.kept, w.coming]);
   return out;
@@ -80,15 +80,15 @@
     private readonly ready: () => boolean,
   ) {}
 
-  private watch(ex: Exchange): void {
+  private watch(ex: PeerChannel): void {
     if (this.watched.has(ex)) return;
     this.watched.add(ex);
-    void ex.done.then(this.gone.bind(this, ex));
+    void ex.closed.then(this.gone.bind(this, ex));
   }
 
-  private note(ex: Exchange, p: PlacedTell): void {
+  private note(ex: PeerChannel, p: PlacementNotice): void {
     const trees = this.trees;
-    function keeps([hash, size]: WirePart): boolean {
+    function keeps([hash, size]: WireBlock): boolean {
       for (const h of trees.holders(p.model, p.salt, hash) ?? [])
         if (h.source === p.engine) return h.kept >= size;
       return false;
@@ -96,22 +96,22 @@
     this.coming.placed(ex, p, keeps);
   }
 
-  private gone(ex: Exchange): void {
+  private gone(ex: PeerChannel): void {
     this.coming.dropRouter(ex);
     this.loads.drop(ex);
   }
 
   /** Tells how much of a prompt each source keeps; refused until the gate is open. */
-  @message('overlap', OverlapShape)
-  async overlap(q: OverlapAsk): Handled {
+  @messageHandler('overlap', OverlapRequestBody)
+  async overlap(q: OverlapRequest): HandlerResult {
     if (!this.ready())
-      return bad('overlap', '', 'the gate is not open yet', 'refused', 'not-ready');
+      return failure('overlap', '', 'the gate is not open yet', 'refused', 'not-ready');
     return Right(overlapOf(this.trees, this.coming, q, this.reached));
   }
 
   /** Takes a router's note of a request that it placed. */
-  @message('placed', PlacedShape)
-  async placed(p: PlacedTell, ex: Exchange): Handled {
+  @messageHandler('placed', PlacementNoticeBody)
+  async placed(p: PlacementNotice, ex: PeerChannel): HandlerResult {
     this.trees.learn(p.model, p.salt, p.parts);
     this.note(ex, p);
     if (p.store !== undefined) this.note(ex, { ...p, engine: p.store });
@@ -120,8 +120,8 @@
   }
 
   /** Takes a router's loads and tells those of the others. */
-  @message('loads', LoadsShape)
-  async load(t: LoadsTell, ex: Exchange): Handled {
+  @messageHandler('loads', LoadReportBody)
+  async load(t: LoadReport, ex: PeerChannel): HandlerResult {
     this.watch(ex);
     return Right(this.loads.tell(ex, ex.hello?.name ?? ex.peer, t));
   }
--- a/src/index/parts.ts
+++ b/src/index/parts.ts
@@ -2,7 +2,7 @@
  * The parts that an index knows and who holds them; past its size the least recently used leaves go first.
  */
 
-import { PartEvent } from '../shared/contracts/engine';
+import { BlockEvent } from '../shared/contracts/engine';
 
 /** What one source holds of one part, under one version of the weights. */
 export interface Holding {
@@ -41,7 +41,7 @@
   heldBy(source: string): ReadonlySet<PartNode>;
   find(n: PartNode, source: string, weights: string): Holding | undefined;
   /** Notes that a source holds a part. */
-  store(source: string, e: PartEvent): PartNode;
+  store(source: string, e: BlockEvent): PartNode;
   /** Notes that a source holds a part no longer. */
   release(source: string, weights: string, n: PartNode): void;
   touch(n: PartNode): void;
@@ -103,7 +103,7 @@
     return undefined;
   }
 
-  function store(source: string, e: PartEvent): PartNode {
+  function store(source: string, e: BlockEvent): PartNode {
     const t = treeOf(e.model, e.salt);
     let n = t.nodes.get(e.hash);
     if (!n) {
--- a/src/index/repair.ts
+++ b/src/index/repair.ts
@@ -1,10 +1,10 @@
 import { Right } from 'purify-ts';
-import { bad, open } from '../shared/errors/errors';
-import { field, Handled, message } from '../shared/transport/handlers';
-import { rendezvous } from '../shared/util/lib';
-import { Holds } from '../shared/transport/connections';
+import { failure, errorOrValue } from '../shared/errors/errors';
+import { bodyField, HandlerResult, messageHandler } from '../shared/transport/handlers';
+import { rankByRendezvousHash } from '../shared/util/lib';
+import { ConnectionPool } from '../shared/transport/connections';
 import { Ports } from '../shared/ports/ports';
-import { Bounds } from '../shared/settings/time-limits';
+import { TimeLimits } from '../shared/settings/time-limits';
 import { Heard } from './listener';
 import { Registration, Sources } from './sources';
 import { Rows, Trees } from './tree';
@@ -15,9 +15,9 @@
 const PEER_TURNS = 3;
 
 class WholeAsk {
-  @field('string') source!: string;
-  @field('string') epoch!: string;
-  @field('number') seq!: number;
+  @bodyField('string') source!: string;
+  @bodyField('string') epoch!: string;
+  @bodyField('number') seq!: number;
 }
 
 /** What one source keeps, as of a number, as a replica holds it without doubt. */
@@ -44,10 +44,10 @@
 /** What a repair needs of its indexer. */
 export interface RepairParts {
   ports: Ports;
-  bounds: Bounds;
+  bounds: TimeLimits;
   sources: Sources;
   trees: Trees;
-  peers: Holds;
+  peers: ConnectionPool;
   /** This replica's own address, by which replicas part sources among them. */
   at: string;
   registration(source: string): Registration | undefined;
@@ -61,10 +61,12 @@
   constructor(private readonly give: (q: WholeAsk) => Whole | undefined) {}
 
   /** Refused where this replica is in doubt itself, or behind. */
-  @message('whole', WholeAsk)
-  async whole(q: WholeAsk): Handled {
+  @messageHandler('whole', WholeAsk)
+  async whole(q: WholeAsk): HandlerResult {
     const w = this.give(q);
-    return w ? Right(w) : bad('whole', q.source, 'in doubt here, or behind', 'refused', 'in-doubt');
+    return w
+      ? Right(w)
+      : failure('whole', q.source, 'in doubt here, or behind', 'refused', 'in-doubt');
   }
 }
 
@@ -117,7 +119,7 @@
   async function run(): Promise<void> {
     running = true;
     while (waits()) {
-      await p.ports.clock.sleep(p.bounds.repairTurn * (0.5 + p.ports.dice.next()));
+      await p.ports.clock.sleep(p.bounds.repairTurn * (0.5 + p.ports.random.next()));
       const s = worst();
       if (s !== undefined) await mend(s);
     }
@@ -140,11 +142,15 @@
 
   async function fromPeers(source: string): Promise<number | undefined> {
     const h = p.heard(source);
-    for (const at of p.peers.ats()) {
-      const ex = p.peers.up(at);
+    for (const at of p.peers.peerAddresses()) {
+      const ex = p.peers.channelTo(at);
       if (!ex || !h) continue;
-      const [f, w] = open(
-        await ex.ask('whole', { source, epoch: h.epoch, seq: h.seq }, p.bounds.ask),
+      const [f, w] = errorOrValue(
+        await ex.request(
+          'whole',
+          { source, epoch: h.epoch, seq: h.seq },
+          p.bounds.requestTimeoutMs,
+        ),
       );
       if (f || p.heard(source)?.epoch !== h.epoch) continue;
       const whole = w as Whole;
@@ -164,9 +170,9 @@
     if (!reg || !p.sources.list || !mine(source)) return undefined;
     notBefore.set(source, p.ports.clock.now() + p.bounds.repairEach);
     counts.lists++;
-    const [f, l] = open(await p.sources.list(reg));
+    const [f, l] = errorOrValue(await p.sources.list(reg));
     if (f) {
-      p.ports.log.warn({ step: f.step, peer: source }, f.why);
+      p.ports.logger.warn({ step: f.step, peer: source }, f.reason);
       return undefined;
     }
     if (p.heard(source)?.epoch !== l.epoch) return undefined;
@@ -180,8 +186,8 @@
   /** Replicas part the sources among them, so that each list is asked for once. */
   function mine(source: string): boolean {
     const live = [p.at];
-    for (const at of p.peers.ats()) if (p.peers.up(at)) live.push(at);
-    return rendezvous(source, live)[0] === p.at;
+    for (const at of p.peers.peerAddresses()) if (p.peers.channelTo(at)) live.push(at);
+    return rankByRendezvousHash(source, live)[0] === p.at;
   }
 
   function always(): boolean {
--- a/src/index/sources.ts
+++ b/src/index/sources.ts
@@ -1,14 +1,14 @@
 import { Left, Right } from 'purify-ts';
-import { EventsAnswer, PartEvent, pullEvents } from '../shared/contracts/engine';
+import { EventsReply, BlockEvent, pullEvents } from '../shared/contracts/engine';
 import { pullStoreEvents } from '../shared/contracts/store';
 import { DeploymentValue } from '../shared/state/deployment';
-import { Dialect, KeptEvent } from '../shared/platform-adapter/platform-adapter';
-import { bad, makeFault, open, Outcome } from '../shared/errors/errors';
+import { PlatformAdapter, CacheEvent } from '../shared/platform-adapter/platform-adapter';
+import { failure, makeError, errorOrValue, Result } from '../shared/errors/errors';
 import { Follower } from '../shared/replication/follower';
-import { askWorded } from '../shared/platform-adapter/adapter-request';
+import { sendAdapterRequest } from '../shared/platform-adapter/adapter-request';
 import { Ports } from '../shared/ports/ports';
-import { Bounds } from '../shared/settings/time-limits';
-import { CacheStore, Engine, IntentsValue, KEYS } from '../shared/state/words';
+import { TimeLimits } from '../shared/settings/time-limits';
+import { CacheStore, Engine, IntentsValue, CONTROL_KEYS } from '../shared/state/words';
 
 /** A registration derived from the platform's list or from a declared store. */
 export interface Registration {
@@ -22,7 +22,7 @@
 export interface SourceList {
   epoch: string;
   seq: number;
-  held: PartEvent[];
+  held: BlockEvent[];
 }
 
 /** How sources are found and heard. */
@@ -39,14 +39,14 @@
     epoch: string,
     after: number,
     gone: AbortSignal,
-  ): Promise<Outcome<EventsAnswer>>;
+  ): Promise<Result<EventsReply>>;
   /** Asks for all that a source keeps; it holds the source's work up. */
-  list?(reg: Registration): Promise<Outcome<SourceList>>;
+  list?(reg: Registration): Promise<Result<SourceList>>;
 }
 
 function enginesOf(follower: Follower): Registration[] {
   const out: Registration[] = [];
-  for (const e of follower.value<Engine[]>(KEYS.engines)?.value ?? [])
+  for (const e of follower.value<Engine[]>(CONTROL_KEYS.engines)?.value ?? [])
     out.push({ id: e.id, kind: 'engine', at: e.at, paused: e.leaving });
   return out;
 }
@@ -58,11 +58,14 @@
 }
 
 /** Sources that speak the product's own contracts. */
-export function ownSources(ports: Ports, bounds: Bounds): Sources {
+export function ownSources(ports: Ports, bounds: TimeLimits): Sources {
   function registrations(follower: Follower): Registration[] {
     return [
       ...enginesOf(follower),
-      ...storesOf(follower.value<IntentsValue>(KEYS.intents)?.value.doc.cacheStores ?? [], idOf),
+      ...storesOf(
+        follower.value<IntentsValue>(CONTROL_KEYS.intents)?.value.doc.cacheStores ?? [],
+        idOf,
+      ),
     ];
   }
   function idOf(s: CacheStore): string {
@@ -73,13 +76,13 @@
     epoch: string,
     after: number,
     gone: AbortSignal,
-  ): Promise<Outcome<EventsAnswer>> {
+  ): Promise<Result<EventsReply>> {
     return (reg.kind === 'store' ? pullStoreEvents : pullEvents)(
-      ports.wire,
+      ports.network,
       reg.at,
       epoch,
       after,
-      bounds.feedWait,
+      bounds.feedPollMs,
       gone,
     );
   }
@@ -87,20 +90,24 @@
 }
 
 /** Sources that speak a dialect: each event says how much of a part is kept now, and names no parent. */
-export function dialectSources(ports: Ports, bounds: Bounds, dialect: Dialect): Sources {
+export function dialectSources(
+  ports: Ports,
+  bounds: TimeLimits,
+  dialect: PlatformAdapter,
+): Sources {
   let read: { doc: unknown; stores: Registration[] } | undefined;
 
   function registrations(follower: Follower): Registration[] {
-    const doc = follower.value<DeploymentValue>(KEYS.deployment)?.value.doc;
+    const doc = follower.value<DeploymentValue>(CONTROL_KEYS.deployment)?.value.doc;
     if (doc !== undefined && read?.doc !== doc) {
-      const [, d] = open(dialect.deployment(doc).mapLeft(asFault));
+      const [, d] = errorOrValue(dialect.deployment(doc).mapLeft(asFault));
       read = { doc, stores: d ? storesOf(d.stores, nameOf) : (read?.stores ?? []) };
     }
     return [...enginesOf(follower), ...(read?.stores ?? [])];
   }
 
-  function asFault(faults: string[]): ReturnType<typeof makeFault> {
-    return makeFault('read deployment', '', faults.join('; '));
+  function asFault(faults: string[]): ReturnType<typeof makeError> {
+    return makeError('read deployment', '', faults.join('; '));
   }
 
   function nameOf(s: { name: string }): string {
@@ -112,20 +119,20 @@
     _: string,
     after: number,
     gone: AbortSignal,
-  ): Promise<Outcome<EventsAnswer>> {
-    const [f, r] = open(
-      await askWorded(
-        ports.wire,
+  ): Promise<Result<EventsReply>> {
+    const [f, r] = errorOrValue(
+      await sendAdapterRequest(
+        ports.network,
         reg.at,
         dialect.engines.feed.ask(after, bounds.feedHold),
-        bounds.feedHold + bounds.ask,
+        bounds.feedHold + bounds.requestTimeoutMs,
         gone,
       ),
     );
     if (f) return Left(f);
     const k = dialect.engines.feed.read(r.status, r.body);
     if (k.isLeft())
-      return bad('pull events', reg.at, k.extract() as string, 'failed', 'bad-return');
+      return failure('pull events', reg.at, k.extract() as string, 'failed', 'bad-return');
     const feed = k.unsafeCoerce();
     return Right({
       epoch: feed.epoch,
@@ -135,14 +142,19 @@
     });
   }
 
-  async function list(reg: Registration): Promise<Outcome<SourceList>> {
-    const [f, r] = open(
-      await askWorded(ports.wire, reg.at, dialect.engines.list.ask(), bounds.ask),
+  async function list(reg: Registration): Promise<Result<SourceList>> {
+    const [f, r] = errorOrValue(
+      await sendAdapterRequest(
+        ports.network,
+        reg.at,
+        dialect.engines.list.ask(),
+        bounds.requestTimeoutMs,
+      ),
     );
     if (f) return Left(f);
     const k = dialect.engines.list.read(r.status, r.body);
     if (k.isLeft())
-      return bad('list kept parts', reg.at, k.extract() as string, 'failed', 'bad-return');
+      return failure('list kept parts', reg.at, k.extract() as string, 'failed', 'bad-return');
     const l = k.unsafeCoerce();
     return Right({ epoch: l.epoch, seq: l.next, held: l.held.map(eventOf) });
   }
@@ -150,7 +162,7 @@
   return { asksAnew: true, gatherMs: bounds.gather, ringMost: 1024, registrations, pull, list };
 }
 
-function eventOf(e: Pick<KeptEvent, 'model' | 'salt' | 'hash' | 'size'>): PartEvent {
+function eventOf(e: Pick<CacheEvent, 'model' | 'salt' | 'hash' | 'size'>): BlockEvent {
   return {
     kind: e.size > 0 ? 'stored' : 'removed',
     model: e.model,
@@ -162,6 +174,6 @@
   };
 }
 
-function batchOf(e: KeptEvent): { seq: number; events: PartEvent[] } {
+function batchOf(e: CacheEvent): { seq: number; events: BlockEvent[] } {
   return { seq: e.seq, events: [eventOf(e)] };
 }
--- a/src/index/tree.ts
+++ b/src/index/tree.ts
@@ -1,5 +1,5 @@
-import { Part, PartEvent } from '../shared/contracts/engine';
-import { WirePart } from '../shared/contracts/indexer';
+import { PromptBlock, BlockEvent } from '../shared/contracts/engine';
+import { WireBlock } from '../shared/contracts/indexer';
 import { Holding, makePartStore, PartNode, PartTree } from './parts';
 
 /** What one source holds of a prompt. */
@@ -29,7 +29,7 @@
 
 /** The trees of all (model, salt) pairs; weights are kept apart inside. */
 export interface Trees {
-  apply(source: string, e: PartEvent): void;
+  apply(source: string, e: BlockEvent): void;
   dropSource(source: string): number;
   doubt(source: string): number;
   doubted(source: string): number;
@@ -38,11 +38,11 @@
     model: string,
     salt: string,
     weights: string,
-    parts: readonly Part[],
+    parts: readonly PromptBlock[],
     count: number,
   ): { confirmed: number; dropped: number };
-  query(model: string, salt: string, weights: string, parts: readonly Part[]): Overlap[];
-  dump(source?: string): { source: string; event: PartEvent }[];
+  query(model: string, salt: string, weights: string, parts: readonly PromptBlock[]): Overlap[];
+  dump(source?: string): { source: string; event: BlockEvent }[];
   /** Tokens that each source keeps of one part. */
   holders(
     model: string,
@@ -50,13 +50,13 @@
     hash: string,
   ): { source: string; kept: number }[] | undefined;
   /** Takes where parts stand in a prompt from a prompt that names them in order, and marks them as used. */
-  learn(model: string, salt: string, parts: readonly WirePart[]): void;
+  learn(model: string, salt: string, parts: readonly WireBlock[]): void;
   /** The trees, or what one source keeps of them, as rows. */
   rows(source?: string): Rows;
   /** Takes rows of the sources that pass. */
   takeRows(r: Rows, wanted: (source: string) => boolean): void;
   /** Makes what is kept at a source equal to a list; gives how many holdings that changed. */
-  replace(source: string, held: readonly PartEvent[]): number;
+  replace(source: string, held: readonly BlockEvent[]): number;
   size(): number;
   holding(source: string): number;
   evicted(): number;
@@ -67,7 +67,7 @@
   const stored = makePartStore(most);
   const { find, store, release, touch } = stored;
 
-  function apply(source: string, e: PartEvent): void {
+  function apply(source: string, e: BlockEvent): void {
     if (e.kind === 'stored') {
       store(source, e);
       return;
@@ -92,7 +92,7 @@
     return count;
   }
 
-  function eventOf(n: PartNode, weights: string): PartEvent {
+  function eventOf(n: PartNode, weights: string): BlockEvent {
     return {
       kind: 'stored',
       model: n.tree.model,
@@ -104,7 +104,12 @@
     };
   }
 
-  function query(model: string, salt: string, weights: string, parts: readonly Part[]): Overlap[] {
+  function query(
+    model: string,
+    salt: string,
+    weights: string,
+    parts: readonly PromptBlock[],
+  ): Overlap[] {
     const t = stored.tree(model, salt);
     if (!t) return [];
     const best = new Map<string, Overlap>();
@@ -151,13 +156,13 @@
     model: string,
     salt: string,
     weights: string,
-    parts: readonly Part[],
+    parts: readonly PromptBlock[],
     count: number,
   ): { confirmed: number; dropped: number } {
     let parent = model;
     let dropped = 0;
     for (const [i, p] of parts.entries()) {
-      const e: PartEvent = {
+      const e: BlockEvent = {
         kind: 'stored',
         model,
         salt,
@@ -177,8 +182,8 @@
     return { confirmed: Math.min(count, parts.length), dropped };
   }
 
-  function dump(source?: string): { source: string; event: PartEvent }[] {
-    const out: { source: string; event: PartEvent }[] = [];
+  function dump(source?: string): { source: string; event: BlockEvent }[] {
+    const out: { source: string; event: BlockEvent }[] = [];
     for (const n of stored.all()) {
       for (const h of n.holdings)
         if (source === undefined || h.source === source)
@@ -195,7 +200,7 @@
     return stored.part(model, salt, hash)?.holdings;
   }
 
-  function learn(model: string, salt: string, parts: readonly WirePart[]): void {
+  function learn(model: string, salt: string, parts: readonly WireBlock[]): void {
     const t = stored.tree(model, salt);
     if (!t) return;
     for (let i = parts.length - 1; i >= 0; i--) {
@@ -238,7 +243,7 @@
     }
   }
 
-  function replace(source: string, list: readonly PartEvent[]): number {
+  function replace(source: string, list: readonly BlockEvent[]): number {
     const there = new Set<PartNode>();
     let changed = 0;
     for (const e of list) {
--- a/src/programs/common.ts
+++ b/src/programs/common.ts
@@ -1,15 +1,20 @@
 import { readFileSync } from 'node:fs';
 import { Either, Left } from 'purify-ts';
 import { platform } from '../../platform/dialect';
-import { Dialect } from '../shared/platform-adapter/platform-adapter';
-import { Fault, open, sayFault } from '../shared/errors/errors';
-import { guard } from '../shared/util/lib';
+import { PlatformAdapter } from '../shared/platform-adapter/platform-adapter';
+import { OperationError, errorOrValue, describeError } from '../shared/errors/errors';
+import { tryCatch } from '../shared/util/lib';
 import { Ports } from '../shared/ports/ports';
-import { realClock, realDice, realDisk, realLog } from '../shared/system/system-ports';
-import { realHttp } from '../shared/system/raw-http';
-import { realWire } from '../shared/system/tcp-network';
+import {
+  makeSystemClock,
+  makeSystemRandom,
+  makeFileDisk,
+  makeLogger,
+} from '../shared/system/system-ports';
+import { makeRawHttpNetwork } from '../shared/system/raw-http';
+import { makeSystemNetwork } from '../shared/system/tcp-network';
 import { Settings } from '../shared/settings/settings';
-import { boundsOf } from '../shared/settings/time-limits';
+import { timeLimitsOf } from '../shared/settings/time-limits';
 import { Running } from './running';
 import { makeShutdown } from './shutdown';
 
@@ -20,16 +25,16 @@
 export type Start = (
   ports: Ports,
   s: Settings,
-  dialect: Dialect | undefined,
-) => Promise<Either<Fault, Running>>;
+  dialect: PlatformAdapter | undefined,
+) => Promise<Either<OperationError, Running>>;
 
 /** Reads a settings file that is worded in a dialect. */
-function readWorded(dialect: Dialect, file: string): Either<string[], Settings> {
-  const [f, text] = open(guard('read settings', file, read));
+function readWorded(dialect: PlatformAdapter, file: string): Either<string[], Settings> {
+  const [f, text] = errorOrValue(tryCatch('read settings', file, read));
   function read(): string {
     return readFileSync(file, 'utf8');
   }
-  return f ? Left([sayFault(f)]) : dialect.settings(text);
+  return f ? Left([describeError(f)]) : dialect.settings(text);
 }
 
 /** Runs a daemon: settings, ports, start, drain at SIGTERM or SIGINT. The platform names its settings file in a variable; otherwise flags and a file of our own are read. */
@@ -54,7 +59,7 @@
 
 /** Takes over the seeds that the file names now; it may change with a signal or without one. */
 async function reread(s: Settings, file: string): Promise<never> {
-  const clock = realClock(s.suspends);
+  const clock = makeSystemClock(s.suspends);
   function again(): void {
     const now = readWorded(platform, file);
     if (now.isRight()) s.seeds.splice(0, s.seeds.length, ...(now.extract() as Settings).seeds);
@@ -70,22 +75,22 @@
   program: string,
   s: Settings,
   start: Start,
-  dialect: Dialect | undefined,
+  dialect: PlatformAdapter | undefined,
 ): Promise<void> {
-  const log = realLog(program, s.name);
+  const log = makeLogger(program, s.name);
   const ports: Ports = {
-    clock: realClock(s.suspends),
-    dice: realDice(),
-    disk: realDisk(s.data),
-    wire: realWire(boundsOf(s).dial, s.bind),
-    log,
-    http: realHttp(s.bind),
+    clock: makeSystemClock(s.suspends),
+    random: makeSystemRandom(),
+    disk: makeFileDisk(s.data),
+    network: makeSystemNetwork(timeLimitsOf(s).connectTimeoutMs, s.bind),
+    logger: log,
+    rawHttp: makeRawHttpNetwork(s.bind),
   };
   const o = await start(ports, s, dialect);
   if (o.isLeft()) {
-    const f = o.extract() as Fault;
-    log.error({ step: f.step, peer: f.peer }, f.why);
-    process.stderr.write(`${program}: ${sayFault(f)}\n`);
+    const f = o.extract() as OperationError;
+    log.error({ step: f.step, peer: f.peer }, f.reason);
+    process.stderr.write(`${program}: ${describeError(f)}\n`);
     process.exit(1);
   }
   const shutdown = makeShutdown(o.extract() as Running, process.exit);
--- a/src/programs/controller.ts
+++ b/src/programs/controller.ts
@@ -3,10 +3,10 @@
 import { startController } from '../control/controller';
 import { serveOperators } from '../control/api/operator-api';
 import { serveDeployment } from '../control/api/deployment-api';
-import { startDuties } from '../control/singletons/background-tasks';
-import { countCalls, endService } from '../control/api/call-draining';
-import { Dialect } from '../shared/platform-adapter/platform-adapter';
-import { Fault, open, Outcome } from '../shared/errors/errors';
+import { startBackgroundTasks } from '../control/singletons/background-tasks';
+import { countCalls, drainCalls } from '../control/api/call-draining';
+import { PlatformAdapter } from '../shared/platform-adapter/platform-adapter';
+import { OperationError, errorOrValue, Result } from '../shared/errors/errors';
 import { Ports } from '../shared/ports/ports';
 import { Settings } from '../shared/settings/settings';
 import { runDaemon } from './common';
@@ -15,20 +15,25 @@
 async function start(
   ports: Ports,
   s: Settings,
-  dialect: Dialect | undefined,
-): Promise<Outcome<Running>> {
-  const [f, c] = open(await startController(ports, s, dialect));
-  if (f) return Left<Fault, Running>(f);
-  const calls = countCalls(ports.wire);
-  const counted: Ports = { ...ports, wire: calls.wire };
-  const [g, listening] = open(
+  dialect: PlatformAdapter | undefined,
+): Promise<Result<Running>> {
+  const [f, c] = errorOrValue(await startController(ports, s, dialect));
+  if (f) return Left<OperationError, Running>(f);
+  const calls = countCalls(ports.network);
+  const counted: Ports = { ...ports, network: calls.network };
+  const [g, listening] = errorOrValue(
     await (dialect ? serveDeployment(c, counted, dialect) : serveOperators(c, counted)),
   );
-  if (g) return Left<Fault, Running>(g);
-  startDuties(c, ports, dialect);
+  if (g) return Left<OperationError, Running>(g);
+  startBackgroundTasks(c, ports, dialect);
   async function drain(): Promise<void> {
-    await c!.leave();
-    await endService({ clock: ports.clock, bounds: c!.bounds, listening: listening!, calls });
+    await c!.drain();
+    await drainCalls({
+      clock: ports.clock,
+      timeLimits: c!.timeLimits,
+      listener: listening!,
+      calls,
+    });
   }
   return Right({ drain, stop: c.stop });
 }
--- a/src/programs/history-command.ts
+++ b/src/programs/history-command.ts
@@ -1,10 +1,10 @@
 /** The command `plumhollow history check`. */
 import { readFileSync } from 'node:fs';
 import { Command } from 'commander';
-import { open, sayFault } from '../shared/errors/errors';
+import { errorOrValue, describeError } from '../shared/errors/errors';
 import { HistoryCall, LineFault, parseHistory } from '../shared/history/calls';
 import { checkHistory, sayVerdict } from '../shared/history/verdict';
-import { guard } from '../shared/util/lib';
+import { tryCatch } from '../shared/util/lib';
 
 const FINE = 0;
 const FINDINGS = 1;
@@ -19,11 +19,11 @@
 /** Adds the commands that judge recorded histories. */
 export function addHistoryCommands(program: Command, printer: Printer): void {
   function check(file: string): void {
-    const [fault, text] = open(guard('read file', file, read));
+    const [fault, text] = errorOrValue(tryCatch('read file', file, read));
     function read(): string {
       return readFileSync(file, 'utf8');
     }
-    if (fault) return printer.fail(BAD_USE, sayFault(fault));
+    if (fault) return printer.fail(BAD_USE, describeError(fault));
     const parsed = parseHistory(text);
     if (parsed.isLeft()) return sayFaults(parsed.extract() as LineFault[]);
     const calls = parsed.extract() as HistoryCall[];
--- a/src/programs/indexer.ts
+++ b/src/programs/indexer.ts
@@ -2,8 +2,8 @@
 import { Left, Right } from 'purify-ts';
 import { serveIndex } from '../index/api';
 import { startIndexer } from '../index/indexer';
-import { Dialect } from '../shared/platform-adapter/platform-adapter';
-import { Fault, open, Outcome } from '../shared/errors/errors';
+import { PlatformAdapter } from '../shared/platform-adapter/platform-adapter';
+import { OperationError, errorOrValue, Result } from '../shared/errors/errors';
 import { Ports } from '../shared/ports/ports';
 import { Settings } from '../shared/settings/settings';
 import { runDaemon } from './common';
@@ -12,12 +12,12 @@
 async function start(
   ports: Ports,
   s: Settings,
-  dialect: Dialect | undefined,
-): Promise<Outcome<Running>> {
-  const [f, ix] = open(await startIndexer(ports, s, dialect));
-  if (f) return Left<Fault, Running>(f);
-  const [g] = open(s.http === '' ? Right(undefined) : await serveIndex(ix, ports));
-  return g ? Left<Fault, Running>(g) : Right({ drain: nothing, stop: ix.stop });
+  dialect: PlatformAdapter | undefined,
+): Promise<Result<Running>> {
+  const [f, ix] = errorOrValue(await startIndexer(ports, s, dialect));
+  if (f) return Left<OperationError, Running>(f);
+  const [g] = errorOrValue(s.http === '' ? Right(undefined) : await serveIndex(ix, ports));
+  return g ? Left<OperationError, Running>(g) : Right({ drain: nothing, stop: ix.stop });
 }
 
 async function nothing(): Promise<void> {}
--- a/src/programs/plumhollow.ts
+++ b/src/programs/plumhollow.ts
@@ -1,12 +1,12 @@
 #!/usr/bin/env node
 import { readFileSync } from 'node:fs';
 import { Command } from 'commander';
-import { checkIntents, IntentFault } from '../control/configuration/intents-validation';
-import { compareFleet, Finding } from '../control/configuration/intents-consistency';
-import { Fault, open, Outcome, sayFault } from '../shared/errors/errors';
-import { askJson, guard, parseJson } from '../shared/util/lib';
-import { Wire } from '../shared/ports/ports';
-import { realWire } from '../shared/system/tcp-network';
+import { validateIntents, IntentViolation } from '../control/configuration/intents-validation';
+import { compareIntentsWithFleet, Finding } from '../control/configuration/intents-consistency';
+import { OperationError, errorOrValue, Result, describeError } from '../shared/errors/errors';
+import { requestJson, tryCatch, parseJson } from '../shared/util/lib';
+import { Network } from '../shared/ports/ports';
+import { makeSystemNetwork } from '../shared/system/tcp-network';
 import { Intents } from '../shared/state/words';
 import { VoterStatus, VotersStatus } from '../control/membership/voter-status';
 import { VERSION } from './common';
@@ -22,7 +22,7 @@
   body: unknown;
 }
 
-const wire: Wire = realWire(2000);
+const wire: Network = makeSystemNetwork(2000);
 const program = new Command('plumhollow')
   .description('Drives a plumhollow fleet.')
   .version(VERSION);
@@ -43,45 +43,45 @@
 }
 
 /** Asks the controllers in turn until one returns; a change is asked of one only, for its fate may be unknown. */
-async function core(method: string, path: string, body?: unknown): Promise<Outcome<Got>> {
-  let last: Outcome<Got> | undefined;
+async function core(method: string, path: string, body?: unknown): Promise<Result<Got>> {
+  let last: Result<Got> | undefined;
   for (const at of String(program.opts().at).split(',')) {
-    const o = await askJson(wire, {
-      at,
+    const o = await requestJson(wire, {
+      address: at,
       method,
       path,
       body: body === undefined ? undefined : JSON.stringify(body),
-      within: WITHIN,
+      timeoutMs: WITHIN,
     });
     if (o.isRight()) return o;
-    last = o as Outcome<Got>;
-    if ((o.extract() as Fault).sort !== 'refused' && method !== 'GET') break;
+    last = o as Result<Got>;
+    if ((o.extract() as OperationError).certainty !== 'refused' && method !== 'GET') break;
   }
   return last!;
 }
 
 async function need(method: string, path: string, body?: unknown): Promise<Got> {
-  const [f, r] = open(await core(method, path, body));
-  if (f) return fail(FINDINGS, sayFault(f));
+  const [f, r] = errorOrValue(await core(method, path, body));
+  if (f) return fail(FINDINGS, describeError(f));
   return r;
 }
 
-function readIntents(file: string): { doc?: Intents; faults: IntentFault[] } {
-  const [f, text] = open(guard('read file', file, read));
+function readIntents(file: string): { doc?: Intents; faults: IntentViolation[] } {
+  const [f, text] = errorOrValue(tryCatch('read file', file, read));
   function read(): string {
     return readFileSync(file, 'utf8');
   }
-  if (f) return fail(BAD_USE, sayFault(f));
-  const [g, raw] = open(parseJson(text, 'read file', file));
-  if (g) return { faults: [{ path: '', why: g.why }] };
-  const o = checkIntents(raw);
+  if (f) return fail(BAD_USE, describeError(f));
+  const [g, raw] = errorOrValue(parseJson(text, 'read file', file));
+  if (g) return { faults: [{ path: '', why: g.reason }] };
+  const o = validateIntents(raw);
   return o.isLeft()
-    ? { faults: o.extract() as IntentFault[] }
+    ? { faults: o.extract() as IntentViolation[] }
     : { doc: o.extract() as Intents, faults: [] };
 }
 
-function sayFaults(faults: IntentFault[]): void {
-  function line(x: IntentFault): string {
+function sayFaults(faults: IntentViolation[]): void {
+  function line(x: IntentViolation): string {
     return `${x.path || '(file)'}: ${x.why}`;
   }
   say({ faults }, faults.map(line).join('\n'));
@@ -95,7 +95,7 @@
     revision?: number;
     key?: string;
     id?: string;
-    faults?: IntentFault[];
+    faults?: IntentViolation[];
   };
   if (r.status === 200 || r.status === 202) {
     const key = b.key ? `\nkey ${b.key}\nid ${b.id}` : '';
@@ -172,7 +172,7 @@
   const fleet = (await need('GET', '/v1/fleet')).body;
   const keys = (await need('GET', '/v1/keys')).body;
   const weights = (await need('GET', '/v1/weights')).body;
-  const found = await compareFleet(
+  const found = await compareIntentsWithFleet(
     wire,
     doc,
     fleet as never,
--- a/src/programs/router.ts
+++ b/src/programs/router.ts
@@ -1,8 +1,8 @@
 #!/usr/bin/env node
 import { Left, Right } from 'purify-ts';
 import { startDialectRouter, startRouter } from '../data/router';
-import { Dialect } from '../shared/platform-adapter/platform-adapter';
-import { Fault, open, Outcome } from '../shared/errors/errors';
+import { PlatformAdapter } from '../shared/platform-adapter/platform-adapter';
+import { OperationError, errorOrValue, Result } from '../shared/errors/errors';
 import { Ports } from '../shared/ports/ports';
 import { Settings } from '../shared/settings/settings';
 import { runDaemon } from './common';
@@ -11,12 +11,12 @@
 async function start(
   ports: Ports,
   s: Settings,
-  dialect: Dialect | undefined,
-): Promise<Outcome<Running>> {
-  const [f, r] = open<Running>(
+  dialect: PlatformAdapter | undefined,
+): Promise<Result<Running>> {
+  const [f, r] = errorOrValue<Running>(
     await (dialect ? startDialectRouter(ports, s, dialect) : startRouter(ports, s)),
   );
-  return f ? Left<Fault, Running>(f) : Right({ drain: r.drain, stop: r.stop });
+  return f ? Left<OperationError, Running>(f) : Right({ drain: r.drain, stop: r.stop });
 }
 
 void runDaemon(
--- a/src/shared/concurrency/single-flight.ts
+++ b/src/shared/concurrency/single-flight.ts
@@ -4,7 +4,7 @@
 export interface SingleFlight<T> {
   /** Starts the work of an identity, or joins that which is under way; work without an identity is always started. */
   run(identity: string | undefined, start: () => Promise<T>): Promise<T>;
-  isUnderWay(identity: string): boolean;
+  isInProgress(identity: string): boolean;
 }
 
 /** Makes an empty set of flights. */
@@ -28,5 +28,5 @@
     return flights.has(identity);
   }
 
-  return { run, isUnderWay };
+  return { run, isInProgress: isUnderWay };
 }
--- a/src/shared/concurrency/timeout.ts
+++ b/src/shared/concurrency/timeout.ts
@@ -1,4 +1,4 @@
-import { bad, Outcome } from '../errors/errors';
+import { failure, Result } from '../errors/errors';
 import { Clock } from '../ports/ports';
 
 /** Waits for a result, but not past a time; what comes later is dropped, and its fate is told as unknown. */
@@ -7,14 +7,14 @@
   ms: number,
   step: string,
   peer: string,
-  result: Promise<Outcome<T>>,
-): Promise<Outcome<T>> {
-  function wait(done: (o: Outcome<T>) => void): void {
-    const off = clock.timer(ms, late);
+  result: Promise<Result<T>>,
+): Promise<Result<T>> {
+  function wait(done: (o: Result<T>) => void): void {
+    const off = clock.setTimer(ms, late);
     function late(): void {
-      done(bad(step, peer, 'not done in time', 'unknown', 'timeout'));
+      done(failure(step, peer, 'not done in time', 'unknown', 'timeout'));
     }
-    function arrived(o: Outcome<T>): void {
+    function arrived(o: Result<T>): void {
       off();
       done(o);
     }
--- a/src/shared/concurrency/waker.ts
+++ b/src/shared/concurrency/waker.ts
@@ -19,7 +19,7 @@
 
   async function wait(ms: number, least: number): Promise<void> {
     function run(done: () => void): void {
-      const off = clock.timer(ms, over);
+      const off = clock.setTimer(ms, over);
       function over(): void {
         off();
         end = undefined;
@@ -36,7 +36,7 @@
 }
 
 /** The wakers of all loops of a process. */
-export interface Wakers {
+export interface WakerGroup {
   /** Makes a waker for one more loop. */
   add(): Waker;
   /** Wakes all loops. */
@@ -44,7 +44,7 @@
 }
 
 /** Makes a process's wakers. */
-export function makeWakers(clock: Clock): Wakers {
+export function makeWakerGroup(clock: Clock): WakerGroup {
   const wakers: Waker[] = [];
 
   function add(): Waker {
--- a/src/shared/contracts/engine.ts
+++ b/src/shared/contracts/engine.ts
@@ -1,16 +1,16 @@
 import { Left, Right } from 'purify-ts';
-import { bad, makeFault, open, Outcome } from '../errors/errors';
-import { askJson, finishReply, lineReader, parseJson, shortHash } from '../util/lib';
-import { Ports, Wire } from '../ports/ports';
+import { failure, makeError, errorOrValue, Result } from '../errors/errors';
+import { requestJson, readToEnd, makeLineReader, parseJson, shortHash } from '../util/lib';
+import { Ports, Network } from '../ports/ports';
 
 /** A part of a prompt: its hash takes in all before it. */
-export interface Part {
+export interface PromptBlock {
   hash: string;
   size: number;
 }
 
 /** What an engine tells of one part. */
-export interface PartEvent {
+export interface BlockEvent {
   kind: 'stored' | 'removed' | 'cleared';
   model: string;
   weights: string;
@@ -23,11 +23,11 @@
 /** A numbered batch of part events. */
 export interface EventBatch {
   seq: number;
-  events: PartEvent[];
+  events: BlockEvent[];
 }
 
 /** The return of `GET /api/kv-events`. */
-export interface EventsAnswer {
+export interface EventsReply {
   epoch: string;
   lost: boolean;
   last: number;
@@ -48,13 +48,13 @@
 }
 
 /** What an engine is asked to generate. */
-export interface GenerateAsk {
+export interface GenerateRequest {
   request: string;
   tenant: string;
   model: string;
   weights: string;
   salt: string;
-  parts: Part[];
+  parts: PromptBlock[];
   maxTokens: number;
   urgent: boolean;
   repeatable: boolean;
@@ -68,7 +68,7 @@
   text?: string;
   done?: boolean;
   count?: number;
-  reused?: Part[];
+  reused?: PromptBlock[];
   read?: number;
   prefillMs?: number;
   fetched?: { tokens: number; ms: number };
@@ -82,8 +82,8 @@
 }
 
 /** The pieces of one generate call. */
-export interface Generating {
-  next(): Promise<Outcome<EngineLine>>;
+export interface GenerationStream {
+  next(): Promise<Result<EngineLine>>;
   cancel(): void;
 }
 
@@ -98,8 +98,8 @@
 }
 
 /** Splits tokens to parts: a part ends after a 0 or at 256 tokens. */
-export function splitParts(model: string, tokens: readonly number[]): Part[] {
-  const parts: Part[] = [];
+export function splitIntoBlocks(model: string, tokens: readonly number[]): PromptBlock[] {
+  const parts: PromptBlock[] = [];
   let parent = model;
   let held: number[] = [];
   for (let i = 0; i < tokens.length; i++) {
@@ -116,27 +116,27 @@
 export async function generate(
   ports: Ports,
   at: string,
-  q: GenerateAsk,
+  q: GenerateRequest,
   within: number,
   gone: AbortSignal,
-): Promise<Outcome<Generating>> {
-  const [f, r] = open(
-    await ports.wire.ask({
-      at,
+): Promise<Result<GenerationStream>> {
+  const [f, r] = errorOrValue(
+    await ports.network.request({
+      address: at,
       method: 'POST',
       path: '/api/generate',
       headers: { 'content-type': 'application/json' },
       body: JSON.stringify(q),
-      within,
-      gone,
+      timeoutMs: within,
+      signal: gone,
     }),
   );
   if (f) return Left({ ...f, step: 'generate' });
   if (r.status !== 200) {
-    const [, text] = open(await r.next());
+    const [, text] = errorOrValue(await r.nextChunk());
     r.cancel();
     const never = [400, 409, 429, 503].includes(r.status);
-    return bad(
+    return failure(
       'generate',
       at,
       text ?? `status ${r.status}`,
@@ -145,15 +145,15 @@
     );
   }
   const { cancel } = r;
-  const line = lineReader(r.next, at);
-  async function next(): Promise<Outcome<EngineLine>> {
-    const [g, text] = open(await line());
+  const line = makeLineReader(r.nextChunk, at);
+  async function next(): Promise<Result<EngineLine>> {
+    const [g, text] = errorOrValue(await line());
     if (g) return Left(g);
     if (text === undefined)
-      return bad('read piece', at, 'ended without its last line', 'unknown', 'broken');
-    const [h, v] = open(parseJson(text, 'read piece', at));
-    if (h) return Left({ ...h, sort: 'unknown' });
-    if ((v as EngineLine | null)?.done) void finishReply(line, cancel);
+      return failure('read piece', at, 'ended without its last line', 'unknown', 'broken');
+    const [h, v] = errorOrValue(parseJson(text, 'read piece', at));
+    if (h) return Left({ ...h, certainty: 'unknown' });
+    if ((v as EngineLine | null)?.done) void readToEnd(line, cancel);
     return Right(v as EngineLine);
   }
   return Right({ next, cancel });
@@ -161,52 +161,62 @@
 
 /** Pulls the cache events after a number; the far side holds the call until there are some. */
 export async function pullEvents(
-  wire: Wire,
+  wire: Network,
   at: string,
   epoch: string,
   after: number,
   wait: number,
   gone: AbortSignal,
-): Promise<Outcome<EventsAnswer>> {
+): Promise<Result<EventsReply>> {
   const path = `/api/kv-events?after=${after}&epoch=${encodeURIComponent(epoch)}&wait=${Math.round(wait)}`;
-  const [f, r] = open(await askJson(wire, { at, method: 'GET', path, within: wait * 2, gone }));
+  const [f, r] = errorOrValue(
+    await requestJson(wire, {
+      address: at,
+      method: 'GET',
+      path,
+      timeoutMs: wait * 2,
+      signal: gone,
+    }),
+  );
   if (f) return Left(f);
-  const b = r.body as Partial<EventsAnswer> | undefined;
+  const b = r.body as Partial<EventsReply> | undefined;
   if (r.status !== 200 || typeof b?.epoch !== 'string' || !Array.isArray(b.batches))
-    return Left(makeFault('pull events', at, `status ${r.status}`, 'failed', 'bad-return'));
-  return Right(b as EventsAnswer);
+    return Left(makeError('pull events', at, `status ${r.status}`, 'failed', 'bad-return'));
+  return Right(b as EventsReply);
 }
 
 /** Asks an engine how it stands. */
 export async function engineStatus(
-  wire: Wire,
+  wire: Network,
   at: string,
   within: number,
-): Promise<Outcome<EngineStatus>> {
-  const [f, r] = open(await askJson(wire, { at, method: 'GET', path: '/api/status', within }));
+): Promise<Result<EngineStatus>> {
+  const [f, r] = errorOrValue(
+    await requestJson(wire, { address: at, method: 'GET', path: '/api/status', timeoutMs: within }),
+  );
   if (f) return Left(f);
-  if (r.status !== 200) return bad('engine status', at, `status ${r.status}`);
+  if (r.status !== 200) return failure('engine status', at, `status ${r.status}`);
   return Right(r.body as EngineStatus);
 }
 
 /** Gives an engine an order; it refuses one of a lower fence. */
-export async function giveOrder(
-  wire: Wire,
+export async function sendEngineOrder(
+  wire: Network,
   at: string,
   order: EngineOrder,
   within: number,
-): Promise<Outcome<void>> {
-  const [f, r] = open(
-    await askJson(wire, {
-      at,
+): Promise<Result<void>> {
+  const [f, r] = errorOrValue(
+    await requestJson(wire, {
+      address: at,
       method: 'POST',
       path: '/api/order',
       body: JSON.stringify(order),
-      within,
+      timeoutMs: within,
     }),
   );
   if (f) return Left(f);
   return r.status === 200
     ? Right(undefined)
-    : bad('give order', at, `status ${r.status}`, 'refused', `status-${r.status}`);
+    : failure('give order', at, `status ${r.status}`, 'refused', `status-${r.status}`);
 }
--- a/src/shared/contracts/platform.ts
+++ b/src/shared/contracts/platform.ts
@@ -1,24 +1,31 @@
 import { Left, Right } from 'purify-ts';
-import { bad, open, Outcome } from '../errors/errors';
-import { askJson } from '../util/lib';
-import { Wire } from '../ports/ports';
+import { failure, errorOrValue, Result } from '../errors/errors';
+import { requestJson } from '../util/lib';
+import { Network } from '../ports/ports';
 import { Engine } from '../state/words';
 
 /** Asks the platform for its list of engines. */
 export async function listEngines(
-  wire: Wire,
+  wire: Network,
   at: string,
   within: number,
-): Promise<Outcome<Engine[]>> {
-  const [f, r] = open(await askJson(wire, { at, method: 'GET', path: '/api/engines', within }));
+): Promise<Result<Engine[]>> {
+  const [f, r] = errorOrValue(
+    await requestJson(wire, {
+      address: at,
+      method: 'GET',
+      path: '/api/engines',
+      timeoutMs: within,
+    }),
+  );
   if (f) return Left(f);
   const list = (r.body as { engines?: unknown } | undefined)?.engines;
   if (r.status !== 200 || !Array.isArray(list))
-    return bad('list engines', at, `status ${r.status}`, 'failed', 'bad-return');
+    return failure('list engines', at, `status ${r.status}`, 'failed', 'bad-return');
   const out: Engine[] = [];
   for (const e of list as Partial<Engine>[]) {
     if (typeof e.id !== 'string' || typeof e.at !== 'string' || typeof e.model !== 'string')
-      return bad(
+      return failure(
         'list engines',
         at,
         'an engine lacks its id, address or model',
--- a/src/shared/contracts/store.ts
+++ b/src/shared/contracts/store.ts
@@ -1,15 +1,15 @@
-import { Outcome } from '../errors/errors';
-import { Wire } from '../ports/ports';
-import { EventsAnswer, pullEvents } from './engine';
+import { Result } from '../errors/errors';
+import { Network } from '../ports/ports';
+import { EventsReply, pullEvents } from './engine';
 
 /** Pulls the store's events: the store tells of its parts as engines do. */
 export function pullStoreEvents(
-  wire: Wire,
+  wire: Network,
   at: string,
   epoch: string,
   after: number,
   wait: number,
   gone: AbortSignal,
-): Promise<Outcome<EventsAnswer>> {
+): Promise<Result<EventsReply>> {
   return pullEvents(wire, at, epoch, after, wait, gone);
 }
--- a/src/shared/history/calls.ts
+++ b/src/shared/history/calls.ts
@@ -1,6 +1,6 @@
 /** The file format of recorded histories: one JSON object on each line, one line for each call. */
 import { Either, Left, Right } from 'purify-ts';
-import { open } from '../errors/errors';
+import { errorOrValue } from '../errors/errors';
 import { parseJson } from '../util/lib';
 
 /** What a caller asked for: a whole document, a named change of one, a name for weights, or the value that stands. */
@@ -129,8 +129,8 @@
 }
 
 function parseLine(text: string, line: number): Either<LineFault[], HistoryCall> {
-  const [fault, fields] = open(parseJson(text, 'read history', `line ${line}`));
-  if (fault) return Left([{ line, why: fault.why }]);
+  const [fault, fields] = errorOrValue(parseJson(text, 'read history', `line ${line}`));
+  if (fault) return Left([{ line, why: fault.reason }]);
   if (typeof fields !== 'object' || fields === null || Array.isArray(fields))
     return Left([{ line, why: 'a call must be a JSON object' }]);
   const faults = faultsOf(fields as Fields);
--- a/src/shared/observability/event-loop-stalls.ts
+++ b/src/shared/observability/event-loop-stalls.ts
@@ -6,7 +6,7 @@
 const TOLERANCE = 0.4;
 
 /** Watches an event loop. Times are of the clock port, in ms. */
-export interface StallWatch {
+export interface StallMonitor {
   /** Is to be called every `everyMs`, by a timer. */
   look(): void;
   /** The earliest time at which something that is handled now may have come: the start of a stall that has only just ended, or now. */
@@ -14,7 +14,7 @@
 }
 
 /** Makes a watch over the event loop of a process that looks every `everyMs`. */
-export function watchStalls(clock: Clock, everyMs: number): StallWatch {
+export function makeStallMonitor(clock: Clock, everyMs: number): StallMonitor {
   let lookedAt = clock.now();
   let stalledFrom = -Infinity;
   let stallEndedAt = -Infinity;
--- a/src/shared/platform-adapter/platform-adapter.ts
+++ b/src/shared/platform-adapter/platform-adapter.ts
@@ -1,14 +1,14 @@
 import { Either } from 'purify-ts';
 import { CallerRequest, Deployment, NamedChange } from '../state/deployment';
-import { HeaderList } from '../ports/ports';
+import { RawHeaderList } from '../ports/ports';
 import { Settings } from '../settings/settings';
 import { Engine } from '../state/words';
 
 /** A header list as it stands on the wire: name, value, name, value. */
-export type RawHeaders = HeaderList;
+export type RawHeaders = RawHeaderList;
 
 /** A request that a dialect words; the product sends it. */
-export interface Worded {
+export interface AdapterRequest {
   method: string;
   target: string;
   headers: RawHeaders;
@@ -16,7 +16,7 @@
 }
 
 /** What one attempt at an engine carries beside the caller's own request. */
-export interface AttemptTerms {
+export interface AttemptOptions {
   /** The engine's instance that alone may run it. */
   instance: string;
   /** Ms that are left. */
@@ -37,7 +37,7 @@
 }
 
 /** How an engine's answer begins: `answer` is the engine's own answer, whatever its status; `not-run` is its word that it did not and will not run it; `doubt` is anything else. */
-export interface EngineHead {
+export interface EngineResponseHead {
   verdict: 'answer' | 'not-run' | 'other-instance' | 'other-weights' | 'doubt';
   /** The id of the try that is answered, where the answer tells it. */
   id?: string;
@@ -61,7 +61,7 @@
 }
 
 /** Cuts a stream's bytes into whole events; what is not whole yet is held back. */
-export interface EventCutter {
+export interface EventParser {
   take(bytes: Uint8Array): StreamEvent[];
   /** Bytes of an event that is not whole. */
   rest(): number;
@@ -79,7 +79,7 @@
 }
 
 /** One thing that a source of kept parts tells: a part came or went, under a salt and a model. */
-export interface KeptEvent {
+export interface CacheEvent {
   seq: number;
   kind: 'stored' | 'removed';
   model: string;
@@ -90,15 +90,15 @@
 }
 
 /** What a source of kept parts has told since a number. */
-export interface KeptFeed {
+export interface CacheEventBatch {
   epoch: string;
   next: number;
   lost: boolean;
-  events: KeptEvent[];
+  events: CacheEvent[];
 }
 
 /** All that a source keeps, as of a number. */
-export interface KeptList {
+export interface CacheSnapshot {
   epoch: string;
   next: number;
   held: { salt: string; hash: string; size: number; model: string }[];
@@ -118,7 +118,7 @@
 }
 
 /** What became of an order. */
-export type OrderAnswer =
+export type OrderReply =
   'taken' | 'holds' | 'busy' | 'fenced' | 'bad' | 'other-instance' | 'unknown';
 
 /** One page of the platform's list. */
@@ -128,7 +128,7 @@
 }
 
 /** How the product is spoken to and speaks at its edges: names, formats and calls. It decides nothing. */
-export interface Dialect {
+export interface PlatformAdapter {
   name: string;
   /** Reads a settings file's text into settings; unknown fields are passed over. */
   settings(text: string): Either<string[], Settings>;
@@ -149,22 +149,31 @@
     /** Words an attempt from the caller's own method, target, headers and body. */
     attempt(
       q: { method: string; target: string; headers: RawHeaders; body: Uint8Array },
-      terms: AttemptTerms,
-    ): Worded;
-    head(status: number, headers: Record<string, string | undefined>): EngineHead;
+      terms: AttemptOptions,
+    ): AdapterRequest;
+    head(status: number, headers: Record<string, string | undefined>): EngineResponseHead;
     /** Headers of an engine's answer that go back to the caller. */
     passBack(headers: RawHeaders): RawHeaders;
-    events(): EventCutter;
-    report: { ask(): Worded; read(status: number, body: unknown): Either<string, EngineReport> };
+    events(): EventParser;
+    report: {
+      ask(): AdapterRequest;
+      read(status: number, body: unknown): Either<string, EngineReport>;
+    };
     feed: {
-      ask(since: number, waitMs: number): Worded;
-      read(status: number, body: unknown): Either<string, KeptFeed>;
+      ask(since: number, waitMs: number): AdapterRequest;
+      read(status: number, body: unknown): Either<string, CacheEventBatch>;
+    };
+    list: {
+      ask(): AdapterRequest;
+      read(status: number, body: unknown): Either<string, CacheSnapshot>;
+    };
+    order: {
+      ask(o: WeightsOrder): AdapterRequest;
+      read(status: number, body: unknown): OrderReply;
     };
-    list: { ask(): Worded; read(status: number, body: unknown): Either<string, KeptList> };
-    order: { ask(o: WeightsOrder): Worded; read(status: number, body: unknown): OrderAnswer };
   };
   instances: {
-    ask(zone: string | undefined, page: string | undefined): Worded;
+    ask(zone: string | undefined, page: string | undefined): AdapterRequest;
     read(status: number, body: unknown): Either<string, EnginePage>;
   };
   operators: {
--- a/src/shared/replication/catch-up.ts
+++ b/src/shared/replication/catch-up.ts
@@ -4,48 +4,48 @@
   ChangeMessage,
   ChangeOffer,
   InlineChange,
-  isReached,
+  isAtLeast,
 } from './change-message';
-import { Exchange } from '../transport/connections';
-import { open } from '../errors/errors';
-import { makePieceFetcher } from './chunk-fetcher';
-import { Numbered } from '../state/words';
+import { PeerChannel } from '../transport/connections';
+import { errorOrValue } from '../errors/errors';
+import { makeChunkFetcher } from './chunk-fetcher';
+import { VersionedValue } from '../state/words';
 
 /** What fetching missed changes needs of its node. */
-export interface CatchUpParts {
-  held(key: string): Numbered | undefined;
+export interface CatchUpDependencies {
+  appliedVersion(key: string): VersionedValue | undefined;
   /** Applies what came, and gives the keys that could not be read or kept. */
   apply(messages: InlineChange[]): Promise<string[]>;
   /** The controllers that can be asked now. */
-  exchanges(): Exchange[];
+  openChannels(): PeerChannel[];
   /** How long an answer may take. */
-  within: number;
+  timeoutMs: number;
 }
 
 /** Fetches missed changes: each key from one controller at a time, however many tell that it is missing. */
 export interface CatchUp {
   /** Comes back when what is missing was fetched, here or by another call; false where this controller did not give it. */
-  fetch(exchange: Exchange, lacking: AppliedEntry[]): Promise<boolean>;
+  fetch(exchange: PeerChannel, lacking: AppliedEntry[]): Promise<boolean>;
   /** Fetches a change that a controller offers, unless its key is being fetched; true once it is applied. */
-  accept(exchange: Exchange, offer: ChangeOffer): Promise<boolean>;
+  acceptOffer(exchange: PeerChannel, offer: ChangeOffer): Promise<boolean>;
 }
 
 /** Makes the fetching of missed changes. */
-export function makeCatchUp(parts: CatchUpParts): CatchUp {
+export function makeCatchUp(parts: CatchUpDependencies): CatchUp {
   const fetching = new Map<string, Promise<boolean>>();
-  const pieces = makePieceFetcher(parts);
+  const pieces = makeChunkFetcher(parts);
 
   function isMissing([key, epoch, by, number]: AppliedEntry): boolean {
-    return !isReached(parts.held(key), { epoch, by, number });
+    return !isAtLeast(parts.appliedVersion(key), { epoch, by, number });
   }
 
   function heldEntry(key: string): AppliedEntry {
-    const held = parts.held(key);
+    const held = parts.appliedVersion(key);
     return held ? appliedEntries([held])[0] : [key, 0, '', 0];
   }
 
   /** Fetches keys; what can't be read over what is held here is fetched whole. */
-  async function fetchFrom(exchange: Exchange, keys: string[]): Promise<boolean> {
+  async function fetchFrom(exchange: PeerChannel, keys: string[]): Promise<boolean> {
     const unread = await fetchEntries(exchange, keys.map(heldEntry));
     if (!unread || unread.length === 0) return unread !== undefined;
     const left = await fetchEntries(exchange, unread.map(wholeEntry));
@@ -54,17 +54,19 @@
 
   /** Fetches the newest versions over the held ones; gives the keys that could not be read, or nothing where not all came. */
   async function fetchEntries(
-    exchange: Exchange,
+    exchange: PeerChannel,
     held: AppliedEntry[],
   ): Promise<string[] | undefined> {
     const ask = { held, pieces: true };
-    const [fault, messages] = open(await exchange.ask('fetch-changes', ask, parts.within));
+    const [fault, messages] = errorOrValue(
+      await exchange.request('fetch-changes', ask, parts.timeoutMs),
+    );
     return fault ? undefined : applyAll(exchange, messages as ChangeMessage[]);
   }
 
   /** Applies what came at once, then each offered change as it is here. */
   async function applyAll(
-    exchange: Exchange,
+    exchange: PeerChannel,
     messages: readonly ChangeMessage[],
   ): Promise<string[] | undefined> {
     const inline: InlineChange[] = [];
@@ -90,7 +92,7 @@
     return fetched;
   }
 
-  async function fetch(exchange: Exchange, lacking: AppliedEntry[]): Promise<boolean> {
+  async function fetch(exchange: PeerChannel, lacking: AppliedEntry[]): Promise<boolean> {
     const missing = lacking.filter(isMissing).map(keyOf);
     const keys = missing.filter(isNotUnderWay);
     const others = missing.map(underWay);
@@ -98,12 +100,13 @@
     return noteFetching(keys, fetchFrom(exchange, keys));
   }
 
-  async function accept(exchange: Exchange, offer: ChangeOffer): Promise<boolean> {
-    if (!isNotUnderWay(offer.key) || isReached(parts.held(offer.key), offer)) return false;
+  async function accept(exchange: PeerChannel, offer: ChangeOffer): Promise<boolean> {
+    if (!isNotUnderWay(offer.key) || isAtLeast(parts.appliedVersion(offer.key), offer))
+      return false;
     return noteFetching([offer.key], acceptOffer(exchange, offer));
   }
 
-  async function acceptOffer(exchange: Exchange, offer: ChangeOffer): Promise<boolean> {
+  async function acceptOffer(exchange: PeerChannel, offer: ChangeOffer): Promise<boolean> {
     const unread = await applyAll(exchange, [offer]);
     return unread?.length === 0;
   }
@@ -116,7 +119,7 @@
     return fetching.get(key);
   }
 
-  return { fetch, accept };
+  return { fetch, acceptOffer: accept };
 }
 
 /** Asks for a key whole. */
--- a/src/shared/replication/chunk-fetcher.ts
+++ b/src/shared/replication/chunk-fetcher.ts
@@ -7,40 +7,40 @@
  * the pieces that it was asked for; what has been fetched is kept for as long as the same bytes are offered.
  */
 import { ChangeOffer, fetchedMessage, InlineChange } from './change-message';
-import { Exchange } from '../transport/connections';
-import { placeOf } from './delta';
-import { field } from '../transport/handlers';
-import { open } from '../errors/errors';
-import { Place } from '../state/words';
+import { PeerChannel } from '../transport/connections';
+import { versionOf } from './delta';
+import { bodyField } from '../transport/handlers';
+import { errorOrValue } from '../errors/errors';
+import { Version } from '../state/words';
 
 /** Bytes of one piece: some 20 ms on a link of 7 Mbit/s. */
-export const PIECE_BYTES = 16384;
+export const CHUNK_BYTES = 16384;
 
 /** Pieces that a receiver has under way at a time. */
 const PIECES_AT_ONCE = 2;
 
 /** An ask for one piece of an offered change. */
-export class PieceAsk {
-  @field('string') key!: string;
-  @field('object') place!: Place;
-  @field('object', false) base?: Place;
-  @field('string') sum!: string;
+export class ChunkRequest {
+  @bodyField('string') key!: string;
+  @bodyField('object') place!: Version;
+  @bodyField('object', false) base?: Version;
+  @bodyField('string') sum!: string;
   /** Where the piece begins. */
-  @field('number') start!: number;
+  @bodyField('number') start!: number;
 }
 
 /** What fetching pieces needs of its node. */
-export interface PieceParts {
+export interface ChunkFetcherDependencies {
   /** The controllers that can be asked now. */
-  exchanges(): Exchange[];
+  openChannels(): PeerChannel[];
   /** How long one piece may take. */
-  within: number;
+  timeoutMs: number;
 }
 
 /** Fetches offered changes, one for each key at a time. */
-export interface PieceFetcher {
+export interface ChunkFetcher {
   /** The offered message once all its bytes are here; nothing where no controller gives them any more. */
-  fetch(offer: ChangeOffer, from: Exchange): Promise<InlineChange | undefined>;
+  fetch(offer: ChangeOffer, from: PeerChannel): Promise<InlineChange | undefined>;
 }
 
 /** An offered change of which some pieces are here. */
@@ -51,20 +51,20 @@
 
 /** Controllers that give the pieces of one offer, asked in turn. */
 interface Sources {
-  next(): Exchange | undefined;
+  next(): PeerChannel | undefined;
   /** Asks a controller no more for this offer. */
-  drop(exchange: Exchange): void;
+  drop(exchange: PeerChannel): void;
 }
 
-function makeSources(from: Exchange, others: readonly Exchange[]): Sources {
+function makeSources(from: PeerChannel, others: readonly PeerChannel[]): Sources {
   const left = new Set([from, ...others]);
   let turn = 0;
 
-  function next(): Exchange | undefined {
+  function next(): PeerChannel | undefined {
     return [...left][turn++ % Math.max(1, left.size)];
   }
 
-  function drop(exchange: Exchange): void {
+  function drop(exchange: PeerChannel): void {
     left.delete(exchange);
   }
 
@@ -72,14 +72,14 @@
 }
 
 /** Makes a fetcher. */
-export function makePieceFetcher(parts: PieceParts): PieceFetcher {
+export function makeChunkFetcher(parts: ChunkFetcherDependencies): ChunkFetcher {
   const partials = new Map<string, Partial>();
 
   /** What is here of an offer already, or nothing of it yet. */
   function partialOf(offer: ChangeOffer): Partial {
     const before = partials.get(offer.key);
     if (before?.sum === offer.sum) return before;
-    const count = Math.ceil(offer.size / PIECE_BYTES);
+    const count = Math.ceil(offer.size / CHUNK_BYTES);
     const pieces = Array.from<Uint8Array | undefined>({ length: count });
     const partial: Partial = { sum: offer.sum, pieces };
     partials.set(offer.key, partial);
@@ -92,19 +92,21 @@
     sources: Sources,
   ): Promise<Uint8Array | undefined> {
     const { key, base, sum } = offer;
-    const start = index * PIECE_BYTES;
-    const ask: PieceAsk = { key, place: placeOf(offer), base, sum, start };
+    const start = index * CHUNK_BYTES;
+    const ask: ChunkRequest = { key, place: versionOf(offer), base, sum, start };
     for (let source = sources.next(); source; source = sources.next()) {
-      const [fault, bytes] = open(await source.ask('change-piece', ask, parts.within));
+      const [fault, bytes] = errorOrValue(
+        await source.request('change-piece', ask, parts.timeoutMs),
+      );
       if (!fault && ArrayBuffer.isView(bytes)) return bytes as Uint8Array;
       sources.drop(source);
     }
     return undefined;
   }
 
-  async function fetch(offer: ChangeOffer, from: Exchange): Promise<InlineChange | undefined> {
+  async function fetch(offer: ChangeOffer, from: PeerChannel): Promise<InlineChange | undefined> {
     const { pieces } = partialOf(offer);
-    const sources = makeSources(from, parts.exchanges());
+    const sources = makeSources(from, parts.openChannels());
     const missing = missingOf(pieces);
     async function work(): Promise<void> {
       for (let index = missing.shift(); index !== undefined; index = missing.shift()) {
--- a/src/shared/replication/delta.ts
+++ b/src/shared/replication/delta.ts
@@ -1,6 +1,6 @@
 import { isDeepStrictEqual } from 'node:util';
 import { digestOf } from './digest';
-import { comparePlaces, Numbered, Place } from '../state/words';
+import { compareVersions, VersionedValue, Version } from '../state/words';
 
 type PlainObject = Record<string, unknown>;
 
@@ -29,9 +29,9 @@
 }
 
 /** A change sent as the difference to the one that the other side holds. */
-export interface Delta extends Place {
+export interface Delta extends Version {
   key: string;
-  base: Place;
+  base: Version;
   patch: Patch;
   sum: string;
 }
@@ -128,14 +128,14 @@
 }
 
 /** Applies a difference; what it is applied to stays as it is, and what does not change is shared. */
-export function patched(a: unknown, patch: Patch): unknown {
+export function applyPatch(a: unknown, patch: Patch): unknown {
   if ('put' in patch) return patch.put;
   if ('splice' in patch)
     return Array.isArray(a) ? a.toSpliced(patch.splice[0], patch.splice[1], ...patch.splice[2]) : a;
   if ('items' in patch) return Array.isArray(a) ? patchedItems(a, patch.items) : a;
   const out: PlainObject = { ...(a as PlainObject) };
   for (const name of patch.drop) delete out[name];
-  for (const [name, inner] of Object.entries(patch.set)) out[name] = patched(out[name], inner);
+  for (const [name, inner] of Object.entries(patch.set)) out[name] = applyPatch(out[name], inner);
   return out;
 }
 
@@ -146,32 +146,32 @@
 }
 
 /** Where a value stands, without it. */
-export function placeOf(n: Place): Place {
+export function versionOf(n: Version): Version {
   return { epoch: n.epoch, by: n.by, number: n.number };
 }
 
 /** Makes a delta where it is much shorter than the whole. */
-export function makeDelta(base: Numbered | undefined, n: Numbered): Delta | undefined {
+export function makeDelta(base: VersionedValue | undefined, n: VersionedValue): Delta | undefined {
   if (!base) return undefined;
   const before = digestOf(base.value);
   if (before.bytes < SHORT) return undefined;
   const whole = digestOf(n.value);
   const patch: Patch = diff(base.value, n.value) ?? unchanged(n.value);
   if (JSON.stringify(patch).length > whole.bytes * WORTHWHILE) return undefined;
-  return { key: n.key, ...placeOf(n), base: placeOf(base), patch, sum: whole.hash };
+  return { key: n.key, ...versionOf(n), base: versionOf(base), patch, sum: whole.hash };
 }
 
 /** Reads a delta over what is held; undefined where that is not its base, or the sum differs. */
-export function readDelta(held: Numbered | undefined, d: Delta): Numbered | undefined {
-  if (!held || comparePlaces(held, d.base) !== 0) return undefined;
-  const value = patched(held.value, d.patch);
-  return digestOf(value).hash === d.sum ? { key: d.key, ...placeOf(d), value } : undefined;
+export function readDelta(held: VersionedValue | undefined, d: Delta): VersionedValue | undefined {
+  if (!held || compareVersions(held, d.base) !== 0) return undefined;
+  const value = applyPatch(held.value, d.patch);
+  return digestOf(value).hash === d.sum ? { key: d.key, ...versionOf(d), value } : undefined;
 }
 
 /** The same value as `fresh`, sharing with an earlier one all that did not change. */
-export function sharing(before: unknown, fresh: unknown): unknown {
+export function shareUnchanged(before: unknown, fresh: unknown): unknown {
   const patch = diff(before, fresh);
   if (!patch) return before;
-  const shared = patched(before, patch);
+  const shared = applyPatch(before, patch);
   return digestOf(shared).hash === digestOf(fresh).hash ? shared : fresh;
 }
--- a/src/shared/replication/draining-engines.ts
+++ b/src/shared/replication/draining-engines.ts
@@ -8,15 +8,15 @@
 import { Engine } from '../state/words';
 
 /** Engines that are heard to leave. */
-export interface LeavingAdvice {
-  hear(ids: readonly string[]): void;
+export interface DrainingEngines {
+  markDraining(ids: readonly string[]): void;
   /** Takes note of a committed list. */
-  listed(engines: readonly Engine[]): void;
-  leaves(id: string): boolean;
+  noteCommittedList(engines: readonly Engine[]): void;
+  isDraining(id: string): boolean;
 }
 
 /** Makes the advice; it lasts for `lastsMs` at the most. */
-export function makeLeavingAdvice(now: () => number, lastsMs: number): LeavingAdvice {
+export function makeDrainingEngines(now: () => number, lastsMs: number): DrainingEngines {
   const until = new Map<string, number>();
 
   function hear(ids: readonly string[]): void {
@@ -33,5 +33,5 @@
     return (until.get(id) ?? -Infinity) > now();
   }
 
-  return { hear, listed, leaves };
+  return { markDraining: hear, noteCommittedList: listed, isDraining: leaves };
 }
--- a/src/shared/replication/follower-handlers.ts
+++ b/src/shared/replication/follower-handlers.ts
@@ -3,43 +3,43 @@
   AppliedEntry,
   ChangeMessage,
   ChangeOffer,
-  ChangesAnswer,
+  ChangesReply,
   InlineChange,
   isCurrent,
-  isReached,
+  isAtLeast,
   readChange,
   targetOf,
 } from './change-message';
-import { Exchange } from '../transport/connections';
-import { Handled, message } from '../transport/handlers';
-import { Numbered, Voters } from '../state/words';
+import { PeerChannel } from '../transport/connections';
+import { HandlerResult, messageHandler } from '../transport/handlers';
+import { VersionedValue, VoterSet } from '../state/words';
 
 /** What the handlers of a follower work with. */
-export interface FollowEdgeParts {
+export interface FollowerHandlersDependencies {
   /** Applies committed changes; earlier ones are ignored. */
-  apply(changes: Numbered[]): boolean;
+  apply(changes: VersionedValue[]): boolean;
   /** The version of a key that is applied here. */
-  held(key: string): Numbered | undefined;
+  appliedVersion(key: string): VersionedValue | undefined;
   /** Where the core is, as far as is known here. */
-  whereCore(): unknown;
+  coreLocation(): unknown;
   /** Fetches and applies what a controller offers. */
-  fetchOffer(offer: ChangeOffer, from: Exchange): void;
+  fetchOffer(offer: ChangeOffer, from: PeerChannel): void;
   /** Hears where the core is. */
-  coreFound(voters: Voters | undefined): void;
+  onCoreFound(voters: VoterSet | undefined): void;
   /** Hears which engines leave. */
-  enginesLeave(ids: string[]): void;
+  onEnginesDraining(ids: string[]): void;
 }
 
 /** Applies messages that bring changes, and lists the keys that could not be read. */
 export function applyMessages(
-  parts: Pick<FollowEdgeParts, 'apply' | 'held'>,
+  parts: Pick<FollowerHandlersDependencies, 'apply' | 'appliedVersion'>,
   messages: readonly InlineChange[],
-): ChangesAnswer {
+): ChangesReply {
   const lacking: AppliedEntry[] = [];
   for (const one of messages) {
     const target = targetOf(one);
-    const held = parts.held(target.key);
-    if (isReached(held, target)) continue;
+    const held = parts.appliedVersion(target.key);
+    if (isAtLeast(held, target)) continue;
     const change = readChange(held, one);
     if (change) parts.apply([change]);
     else lacking.push([target.key, held?.epoch ?? 0, held?.by ?? '', held?.number ?? 0]);
@@ -48,19 +48,19 @@
 }
 
 /** Handlers of what the core and other followers say. */
-export class FollowEdge {
-  constructor(private readonly parts: FollowEdgeParts) {}
+export class FollowerHandlers {
+  constructor(private readonly parts: FollowerHandlersDependencies) {}
 
   /** Takes committed changes, whole; earlier ones are ignored. */
-  @message('news')
-  async news(changes: Numbered[]): Handled {
+  @messageHandler('news')
+  async news(changes: VersionedValue[]): HandlerResult {
     this.parts.apply(changes);
     return Right(true);
   }
 
   /** Takes committed changes in whatever form they come, and tells which could not be read. */
-  @message('changes')
-  async changes(messages: ChangeMessage[], from: Exchange): Handled {
+  @messageHandler('changes')
+  async changes(messages: ChangeMessage[], from: PeerChannel): HandlerResult {
     const inline: InlineChange[] = [];
     for (const one of messages) {
       if (one.kind === 'offer') this.parts.fetchOffer(one, from);
@@ -70,28 +70,28 @@
   }
 
   /** Hears which engines leave, where the core could not make that a change. */
-  @message('leaving')
-  async leaving(ids: string[]): Handled {
-    this.parts.enginesLeave(ids);
+  @messageHandler('leaving')
+  async leaving(ids: string[]): HandlerResult {
+    this.parts.onEnginesDraining(ids);
     return Right(true);
   }
 
   /** Tells whether a change was applied here. */
-  @message('has')
-  async has(change: Numbered): Handled {
-    return Right(isCurrent(this.parts.held(change.key), change));
+  @messageHandler('has')
+  async has(change: VersionedValue): HandlerResult {
+    return Right(isCurrent(this.parts.appliedVersion(change.key), change));
   }
 
   /** Hears from a controller where the core is, for one that has this process among its seeds. */
-  @message('here')
-  async here(voters: Voters): Handled {
-    this.parts.coreFound(voters);
+  @messageHandler('here')
+  async here(voters: VoterSet): HandlerResult {
+    this.parts.onCoreFound(voters);
     return Right(true);
   }
 
   /** Tells a newcomer where the core is. */
-  @message('who')
-  async askWho(): Handled {
-    return Right(this.parts.whereCore());
+  @messageHandler('who')
+  async askWho(): HandlerResult {
+    return Right(this.parts.coreLocation());
   }
 }
--- a/src/shared/replication/follower.ts
+++ b/src/shared/replication/follower.ts
@@ -1,135 +1,135 @@
 import { Stream as Feed } from 'most';
 import { Left } from 'purify-ts';
 import { makeCatchUp } from './catch-up';
-import { AppliedEntry, ChangeOffer, InlineChange, isReached } from './change-message';
-import { Fault, open, Outcome } from '../errors/errors';
-import { applyMessages, FollowEdge } from './follower-handlers';
-import { makeJournal } from './key-journal';
-import { makeFeed } from '../util/lib';
-import { LeaseAnswer, makeRenewals } from './lease-renewal';
-import { makeLeavingAdvice } from './draining-engines';
+import { AppliedEntry, ChangeOffer, InlineChange, isAtLeast } from './change-message';
+import { OperationError, errorOrValue, Result } from '../errors/errors';
+import { applyMessages, FollowerHandlers } from './follower-handlers';
+import { makeKeyJournal } from './key-journal';
+import { makePushStream } from '../util/lib';
+import { LeaseReply, makeLeaseRenewals } from './lease-renewal';
+import { makeDrainingEngines } from './draining-engines';
 import { makeMemberView } from './member-view';
-import { poll } from '../transport/quorum-poll';
+import { pollVoters } from '../transport/quorum-poll';
 import { Ports } from '../ports/ports';
-import { Bounds } from '../settings/time-limits';
+import { TimeLimits } from '../settings/time-limits';
 import {
-  askOnce,
-  Exchange,
-  FIRST_PAUSE,
+  requestOnce,
+  PeerChannel,
+  INITIAL_BACKOFF_RATIO,
   Hello,
-  holdAll,
-  LONGEST_PAUSE,
-  noConnection,
+  makeConnectionPool,
+  MAX_BACKOFF_RATIO,
+  notConnected,
 } from '../transport/connections';
 import {
   allVoters,
-  atOf,
-  comparePlaces,
+  addressOf,
+  compareVersions,
   Engine,
   isQuorum,
-  KEYS,
+  CONTROL_KEYS,
   Member,
-  Numbered,
-  Place,
+  VersionedValue,
+  Version,
   Voter,
-  Voters,
+  VoterSet,
 } from '../state/words';
 
 /** A node's view of the control state, kept up by news and leases. */
 export interface Follower {
-  live(): boolean;
-  value<T>(key: string): { place: Place; value: T } | undefined;
+  hasLease(): boolean;
+  value<T>(key: string): { place: Version; value: T } | undefined;
   keys(prefix: string): string[];
   members(role: string): Member[];
-  voters(): Voters | undefined;
-  core(): string[];
-  places(): Numbered[];
-  take(list: Numbered[]): boolean;
-  changes: Feed<Numbered>;
-  leaving(id: string): boolean;
-  advice: Feed<string[]>;
-  membership: Feed<Member[]>;
-  coreTell(type: string, body: unknown): void;
+  voters(): VoterSet | undefined;
+  coreAddresses(): string[];
+  appliedValues(): VersionedValue[];
+  applyAll(list: VersionedValue[]): boolean;
+  changes: Feed<VersionedValue>;
+  isDraining(id: string): boolean;
+  drainingNotices: Feed<string[]>;
+  memberChanges: Feed<Member[]>;
+  notifyCore(type: string, body: unknown): void;
   askVoters<T>(
     type: string,
     body: unknown,
     yes: (r: T, v: Voter) => boolean,
   ): Promise<{ ok: boolean; got: T[] }>;
-  leave(): Promise<void>;
+  releaseLeases(): Promise<void>;
   stop(): void;
 }
 
 /** Follows the core: finds it from the seeds, renews a lease at each controller, applies news. */
-export function follow(
+export function followCore(
   ports: Ports,
-  bounds: Bounds,
+  bounds: TimeLimits,
   hello: Hello,
   member: Member,
   seeds: string[],
   edges: object[],
 ): Follower {
-  const state = new Map<string, Numbered>();
-  const applied = makeJournal();
+  const state = new Map<string, VersionedValue>();
+  const applied = makeKeyJournal();
   const refused = new Map<string, number>();
-  const changes = makeFeed<Numbered>();
-  const membership = makeFeed<Member[]>();
-  const advice = makeFeed<string[]>();
-  const view = makeMemberView(ports.clock.now, membership.add);
-  const leavingAdvice = makeLeavingAdvice(ports.clock.now, bounds.leavingAdvice);
-  let founded: Voters | undefined;
+  const changes = makePushStream<VersionedValue>();
+  const membership = makePushStream<Member[]>();
+  const advice = makePushStream<string[]>();
+  const view = makeMemberView(ports.clock.now, membership.push);
+  const leavingAdvice = makeDrainingEngines(ports.clock.now, bounds.drainingNoticeTtlMs);
+  let founded: VoterSet | undefined;
   let stopped = false;
 
-  function voters(): Voters | undefined {
-    return (state.get(KEYS.voters)?.value as Voters | undefined) ?? founded;
+  function voters(): VoterSet | undefined {
+    return (state.get(CONTROL_KEYS.voters)?.value as VoterSet | undefined) ?? founded;
   }
 
   function core(): string[] {
     const v = voters();
-    return v ? allVoters(v).map(atOf) : [];
+    return v ? allVoters(v).map(addressOf) : [];
   }
 
-  function take(list: Numbered[]): boolean {
+  function take(list: VersionedValue[]): boolean {
     let any = false;
     for (const n of list) {
       const have = state.get(n.key);
-      if (have && comparePlaces(n, have) <= 0) continue;
+      if (have && compareVersions(n, have) <= 0) continue;
       state.set(n.key, n);
       applied.add(n.key);
-      if (n.key === KEYS.engines) leavingAdvice.listed(n.value as Engine[]);
+      if (n.key === CONTROL_KEYS.engines) leavingAdvice.noteCommittedList(n.value as Engine[]);
       any = true;
-      changes.add(n);
+      changes.push(n);
     }
     if (any) reach();
     return any;
   }
 
   function advised(ids: string[]): void {
-    leavingAdvice.hear(ids);
-    advice.add(ids);
+    leavingAdvice.markDraining(ids);
+    advice.push(ids);
   }
 
   function who(): unknown {
     return { voters: voters(), core: core() };
   }
 
-  function held(key: string): Numbered | undefined {
+  function held(key: string): VersionedValue | undefined {
     return state.get(key);
   }
 
-  function exchanges(): Exchange[] {
-    return helds.all();
+  function exchanges(): PeerChannel[] {
+    return helds.openChannels();
   }
 
   /** Fetches what a controller offers, and has the controllers know soon that it is applied. */
-  function fetchOffer(offer: ChangeOffer, from: Exchange): void {
-    void catchUp.accept(from, offer).then(tell);
+  function fetchOffer(offer: ChangeOffer, from: PeerChannel): void {
+    void catchUp.acceptOffer(from, offer).then(tell);
     function tell(): void {
-      if (isReached(state.get(offer.key), offer)) renewals.wake();
+      if (isAtLeast(state.get(offer.key), offer)) renewals.wake();
     }
   }
 
   async function applyChanges(messages: InlineChange[]): Promise<string[]> {
-    return applyMessages({ apply: take, held }, messages).lacking.map(keyOf);
+    return applyMessages({ apply: take, appliedVersion: held }, messages).lacking.map(keyOf);
   }
 
   function keyOf(entry: AppliedEntry): string {
@@ -137,35 +137,40 @@
   }
 
   edges.push(
-    new FollowEdge({
+    new FollowerHandlers({
       apply: take,
-      held,
+      appliedVersion: held,
       fetchOffer,
-      whereCore: who,
-      coreFound: told,
-      enginesLeave: advised,
+      coreLocation: who,
+      onCoreFound: told,
+      onEnginesDraining: advised,
     }),
   );
-  const catchUp = makeCatchUp({ held, apply: applyChanges, exchanges, within: bounds.ask });
-  const renewals = makeRenewals({
+  const catchUp = makeCatchUp({
+    appliedVersion: held,
+    apply: applyChanges,
+    openChannels: exchanges,
+    timeoutMs: bounds.requestTimeoutMs,
+  });
+  const renewals = makeLeaseRenewals({
     ports,
     bounds,
     member,
     state,
     applied,
     catchUp,
-    take,
-    grant,
-    votersTold,
-    stopped: isStopped,
+    applyAll: take,
+    onGranted: grant,
+    onVoterSet: votersTold,
+    isStopped: isStopped,
   });
-  const helds = holdAll(ports, {
+  const helds = makeConnectionPool(ports, {
     hello,
-    edges,
-    within: bounds.dial,
-    pause: bounds.pause,
+    handlers: edges,
+    timeoutMs: bounds.connectTimeoutMs,
+    retryPauseMs: bounds.retryPauseMs,
     onUp,
-    onRefused,
+    onConnectFailed: onRefused,
   });
 
   function live(): boolean {
@@ -175,23 +180,23 @@
     const good = new Set<string>();
     const dead = new Set<string>();
     for (const x of allVoters(v)) {
-      if (view.endOf(x.disk) > now) good.add(x.disk);
+      if (view.expiryOf(x.disk) > now) good.add(x.disk);
       if ((refused.get(x.at) ?? 0) > now) dead.add(x.disk);
     }
     return isQuorum(v, good) || dead.size === allVoters(v).length;
   }
 
-  function onUp(ex: Exchange): void {
+  function onUp(ex: PeerChannel): void {
     void renewals.renew(ex);
   }
 
-  function grant(answer: LeaseAnswer, ex: Exchange, sent: number): void {
+  function grant(answer: LeaseReply, ex: PeerChannel, sent: number): void {
     refused.delete(ex.peer);
-    view.grant(answer.disk, sent + bounds.lease, answer);
+    view.grant(answer.disk, sent + bounds.leaseMs, answer);
     reach();
   }
 
-  function votersTold(told: Voters): void {
+  function votersTold(told: VoterSet): void {
     founded = told;
   }
 
@@ -199,14 +204,14 @@
     return stopped;
   }
 
-  function onRefused(f: Fault): void {
+  function onRefused(f: OperationError): void {
     if (f.code === 'ECONNREFUSED' && live())
-      refused.set(f.peer, ports.clock.now() + bounds.lease - bounds.dial);
+      refused.set(f.peer, ports.clock.now() + bounds.leaseMs - bounds.connectTimeoutMs);
   }
 
   function reach(): void {
     const want = core();
-    if (want.length > 0) helds.want(want);
+    if (want.length > 0) helds.setPeers(want);
   }
 
   /** Asks all seeds side by side, at first soon again: after a loss of power they come up one by one. */
@@ -218,37 +223,40 @@
       asking.delete(at);
     }
     for (
-      let pause = bounds.pause * FIRST_PAUSE;
+      let pause = bounds.retryPauseMs * INITIAL_BACKOFF_RATIO;
       !stopped && core().length === 0;
-      pause = Math.min(pause * 2, bounds.pause * LONGEST_PAUSE)
+      pause = Math.min(pause * 2, bounds.retryPauseMs * MAX_BACKOFF_RATIO)
     ) {
       for (const at of seeds) if (!asking.has(at)) void one(at);
-      await ports.clock.sleep(pause * (0.5 + ports.dice.next()));
+      await ports.clock.sleep(pause * (0.5 + ports.random.next()));
     }
   }
 
   /** Asks the seeds again where no controller has been here for the contact bound: all that were known may have been exchanged. */
   async function findCoreAnew(): Promise<void> {
     function isUp(at: string): boolean {
-      return helds.up(at) !== undefined;
+      return helds.channelTo(at) !== undefined;
     }
     let since = ports.clock.now();
     while (!stopped) {
-      await ports.clock.sleep(bounds.lease);
-      if (core().length === 0 || helds.ats().some(isUp)) since = ports.clock.now();
-      else if (ports.clock.now() - since > bounds.silence) await Promise.all(seeds.map(askSeed));
+      await ports.clock.sleep(bounds.leaseMs);
+      if (core().length === 0 || helds.peerAddresses().some(isUp)) since = ports.clock.now();
+      else if (ports.clock.now() - since > bounds.idleChannelTimeoutMs)
+        await Promise.all(seeds.map(askSeed));
     }
   }
 
   async function askSeed(at: string): Promise<void> {
-    const [f, w] = open(await askOnce(ports, hello, edges, at, 'who', {}, bounds.dial));
+    const [f, w] = errorOrValue(
+      await requestOnce(ports, hello, edges, at, 'who', {}, bounds.connectTimeoutMs),
+    );
     if (f) return;
-    const { voters: v, stands } = w as { voters?: Voters; stands?: Numbered };
+    const { voters: v, stands } = w as { voters?: VoterSet; stands?: VersionedValue };
     told(v);
     if (stands) take([stands]);
   }
 
-  function told(v: Voters | undefined): void {
+  function told(v: VoterSet | undefined): void {
     if (!v) return;
     founded = founded ?? v;
     reach();
@@ -256,13 +264,16 @@
 
   async function coreAsk(type: string, body: unknown): Promise<unknown[]> {
     const out: Promise<unknown>[] = [];
-    for (const at of helds.ats())
-      out.push(helds.up(at)?.ask(type, body, bounds.ask) ?? Promise.resolve(undefined));
+    for (const at of helds.peerAddresses())
+      out.push(
+        helds.channelTo(at)?.request(type, body, bounds.requestTimeoutMs) ??
+          Promise.resolve(undefined),
+      );
     return Promise.all(out);
   }
 
   function coreTell(type: string, body: unknown): void {
-    for (const at of helds.ats()) helds.up(at)?.tell(type, body);
+    for (const at of helds.peerAddresses()) helds.channelTo(at)?.notify(type, body);
   }
 
   async function askVoters<T>(
@@ -273,16 +284,16 @@
     const v = voters();
     if (!v) return { ok: false, got: [] };
     const got: T[] = [];
-    async function one(x: Voter): Promise<Outcome<T>> {
-      const ex = helds.up(x.at);
+    async function one(x: Voter): Promise<Result<T>> {
+      const ex = helds.channelTo(x.at);
       const r = (
-        ex ? await ex.ask(type, body, bounds.ask) : Left(noConnection(type, x.at))
-      ) as Outcome<T>;
-      const [, g] = open(r);
+        ex ? await ex.request(type, body, bounds.requestTimeoutMs) : Left(notConnected(type, x.at))
+      ) as Result<T>;
+      const [, g] = errorOrValue(r);
       if (g !== undefined) got.push(g);
       return r;
     }
-    const o = await poll(v, one, yes);
+    const o = await pollVoters(v, one, yes);
     return { ok: o.isRight(), got };
   }
 
@@ -291,7 +302,7 @@
     await coreAsk('leave', { member, has: [] });
   }
 
-  function value<T>(key: string): { place: Place; value: T } | undefined {
+  function value<T>(key: string): { place: Version; value: T } | undefined {
     const n = state.get(key);
     return n && { place: n, value: n.value as T };
   }
@@ -303,7 +314,7 @@
     return [...state.keys()].filter(starts);
   }
 
-  function places(): Numbered[] {
+  function places(): VersionedValue[] {
     return [...state.values()];
   }
 
@@ -315,21 +326,21 @@
   void findCore();
   void findCoreAnew();
   return {
-    live,
+    hasLease: live,
     value,
     keys,
     members: view.members,
     voters,
-    core,
-    places,
-    take,
-    changes: changes.feed,
-    leaving: leavingAdvice.leaves,
-    advice: advice.feed,
-    membership: membership.feed,
-    coreTell,
+    coreAddresses: core,
+    appliedValues: places,
+    applyAll: take,
+    changes: changes.stream,
+    isDraining: leavingAdvice.isDraining,
+    drainingNotices: advice.stream,
+    memberChanges: membership.stream,
+    notifyCore: coreTell,
     askVoters,
-    leave,
+    releaseLeases: leave,
     stop,
   };
 }
--- a/src/shared/replication/key-journal.ts
+++ b/src/shared/replication/key-journal.ts
@@ -1,5 +1,5 @@
 /** Which keys changed, in order, by a count that only grows. */
-export interface Journal {
+export interface KeyJournal {
   add(key: string): void;
   /** How many changes there were. */
   count(): number;
@@ -11,7 +11,7 @@
 const KEPT = 4096;
 
 /** Makes a journal. */
-export function makeJournal(): Journal {
+export function makeKeyJournal(): KeyJournal {
   let keys: string[] = [];
   let gone = 0;
 
--- a/src/shared/replication/lease-renewal.ts
+++ b/src/shared/replication/lease-renewal.ts
@@ -3,48 +3,48 @@
  */
 import { AppliedEntry, appliedEntries } from './change-message';
 import { CatchUp } from './catch-up';
-import { Bounds } from '../settings/time-limits';
-import { Exchange } from '../transport/connections';
-import { open } from '../errors/errors';
-import { Journal } from './key-journal';
-import { MembersTold } from './member-view';
+import { TimeLimits } from '../settings/time-limits';
+import { PeerChannel } from '../transport/connections';
+import { errorOrValue } from '../errors/errors';
+import { KeyJournal } from './key-journal';
+import { MemberUpdate } from './member-view';
 import { Ports } from '../ports/ports';
 import { makeWaker, Waker } from '../concurrency/waker';
-import { Member, Numbered, Voters } from '../state/words';
+import { Member, VersionedValue, VoterSet } from '../state/words';
 
 /** A controller's answer to an ask for a lease. */
-export interface LeaseAnswer extends MembersTold {
+export interface LeaseReply extends MemberUpdate {
   granted: boolean;
   disk: string;
   /** What is missing here, from a controller that sends it whole. */
-  missing?: Numbered[];
+  missing?: VersionedValue[];
   /** How far the keys stand that are missing here, to be fetched. */
   lacking?: AppliedEntry[];
-  voters?: Voters;
+  voters?: VoterSet;
 }
 
 /** What renewals work with. */
-export interface RenewalParts {
+export interface LeaseRenewalDependencies {
   ports: Ports;
-  bounds: Bounds;
+  bounds: TimeLimits;
   member: Member;
   /** What is applied here, by key. */
-  state: ReadonlyMap<string, Numbered>;
+  state: ReadonlyMap<string, VersionedValue>;
   /** Which keys were applied, in order. */
-  applied: Journal;
+  applied: KeyJournal;
   catchUp: CatchUp;
   /** Applies changes that came whole. */
-  take(changes: Numbered[]): boolean;
+  applyAll(changes: VersionedValue[]): boolean;
   /** Notes a lease that was asked for at a time. */
-  grant(answer: LeaseAnswer, from: Exchange, askedAt: number): void;
-  votersTold(voters: Voters): void;
-  stopped(): boolean;
+  onGranted(answer: LeaseReply, from: PeerChannel, askedAt: number): void;
+  onVoterSet(voters: VoterSet): void;
+  isStopped(): boolean;
 }
 
 /** The renewals of one node. */
-export interface Renewals {
+export interface LeaseRenewals {
   /** Renews the lease at a controller for as long as its connection lasts. */
-  renew(exchange: Exchange): Promise<void>;
+  renew(exchange: PeerChannel): Promise<void>;
   /** Has every controller hear soon how far this node is. */
   wake(): void;
 }
@@ -67,13 +67,13 @@
 const JITTER = { least: 0.8, more: 0.4 };
 
 /** Makes the renewals. */
-export function makeRenewals(parts: RenewalParts): Renewals {
+export function makeLeaseRenewals(parts: LeaseRenewalDependencies): LeaseRenewals {
   const { ports, bounds, member, state, applied } = parts;
   const wakers = new Set<Waker>();
 
   /** How far the keys have been applied that changed after a count; undefined where that is too long ago. */
   function changedAfter(count: number): AppliedEntry[] | undefined {
-    const out: Numbered[] = [];
+    const out: VersionedValue[] = [];
     const keys = applied.after(count);
     for (const key of keys ?? []) out.push(state.get(key)!);
     return keys && appliedEntries(out);
@@ -86,50 +86,52 @@
   }
 
   /** Takes what a controller told as missing; false where nothing came of it. */
-  async function takeMissing(exchange: Exchange, answer: LeaseAnswer): Promise<boolean> {
+  async function takeMissing(exchange: PeerChannel, answer: LeaseReply): Promise<boolean> {
     return answer.lacking
       ? parts.catchUp.fetch(exchange, answer.lacking)
-      : parts.take(answer.missing ?? []);
+      : parts.applyAll(answer.missing ?? []);
   }
 
-  async function renew(exchange: Exchange): Promise<void> {
+  async function renew(exchange: PeerChannel): Promise<void> {
     const waker = makeWaker(ports.clock);
     wakers.add(waker);
     let isUp = true;
     let told: number | undefined;
     let isWhole = false;
-    void exchange.done.then(down);
+    void exchange.closed.then(down);
     function down(): void {
       isUp = false;
       wakers.delete(waker);
       waker.wake();
     }
     function rest(share: number): Promise<void> {
-      return waker.wait(bounds.renew * share, bounds.renew * WOKEN);
+      return waker.wait(bounds.leaseRenewalMs * share, bounds.leaseRenewalMs * WOKEN);
     }
-    while (isUp && !parts.stopped()) {
+    while (isUp && !parts.isStopped()) {
       const askedAt = ports.clock.now();
       const count = applied.count();
       const changed = told === undefined || isWhole ? undefined : changedAfter(told);
-      const [fault, reply] = open(await exchange.ask('claim', askOf(changed), bounds.ask));
+      const [fault, reply] = errorOrValue(
+        await exchange.request('claim', askOf(changed), bounds.requestTimeoutMs),
+      );
       told = undefined;
       if (fault) {
         if (fault.code === 'bad-shape') isWhole = true;
         if (fault.code === 'tell-all' || fault.code === 'bad-shape') continue;
-        if (fault.code === 'not-founded') await ports.clock.sleep(bounds.pause);
+        if (fault.code === 'not-founded') await ports.clock.sleep(bounds.retryPauseMs);
         else await rest(RETRY);
         continue;
       }
-      const answer = reply as LeaseAnswer;
-      if (answer.voters) parts.votersTold(answer.voters);
+      const answer = reply as LeaseReply;
+      if (answer.voters) parts.onVoterSet(answer.voters);
       if (!answer.granted) {
         if (!(await takeMissing(exchange, answer))) await rest(RETRY);
         else if (changed) told = count;
         continue;
       }
       told = count;
-      parts.grant(answer, exchange, askedAt);
-      await rest(JITTER.least + JITTER.more * ports.dice.next());
+      parts.onGranted(answer, exchange, askedAt);
+      await rest(JITTER.least + JITTER.more * ports.random.next());
     }
   }
 
--- a/src/shared/replication/member-view.ts
+++ b/src/shared/replication/member-view.ts
@@ -1,7 +1,7 @@
 import { Member } from '../state/words';
 
 /** What a controller's grant of a lease tells of the members: all of them, or who joined and left since. */
-export interface MembersTold {
+export interface MemberUpdate {
   members?: Member[];
   joined?: Member[];
   left?: string[];
@@ -15,9 +15,9 @@
 /** The leases that this node holds, and the members that they tell of. */
 export interface MemberView {
   /** Notes a lease that a controller's disk granted. */
-  grant(disk: string, until: number, told: MembersTold): void;
+  grant(disk: string, until: number, told: MemberUpdate): void;
   /** When the lease of a disk ends. */
-  endOf(disk: string): number;
+  expiryOf(disk: string): number;
   members(role: string): Member[];
   clear(): void;
 }
@@ -39,7 +39,7 @@
   const grants = new Map<string, Grant>();
   const shown = { by: '', text: '[]', list: [] as Member[], until: -Infinity };
 
-  function grant(disk: string, until: number, told: MembersTold): void {
+  function grant(disk: string, until: number, told: MemberUpdate): void {
     const before = grants.get(disk)?.members ?? new Map<string, Member>();
     const members = told.members ? new Map(told.members.map(byLife)) : before;
     if (told.joined || told.left) {
@@ -95,5 +95,5 @@
     grants.clear();
   }
 
-  return { grant, endOf, members, clear };
+  return { grant, expiryOf: endOf, members, clear };
 }
