--- a/src/shared/settings/settings.ts
+++ b/src/shared/settings/settings.ts
@@ -2,7 +2,8 @@
 import { Either, Left, Right } from 'purify-ts';
 import { readFileSync } from 'node:fs';
 import { address, addresses, ipOrNone, notNegative, positive, regions, share } from './validators';
-import { guard } from '../util/lib';
+import { OperationError } from '../errors/errors';
+import { tryCatch } from '../util/lib';
 
 /** What a process is told at its start. */
 export interface Settings {
@@ -277,11 +278,11 @@
   need: string[],
 ): Either<string[], Settings> {
   if (file === undefined) return checkSettings({}, flags, need);
-  const o = guard('read settings', file, read);
+  const o = tryCatch('read settings', file, read);
   function read(): unknown {
     return JSON.parse(readFileSync(file!, 'utf8'));
   }
-  if (o.isLeft()) return Left([`${file}: ${(o.extract() as { why: string }).why}`]);
+  if (o.isLeft()) return Left([`${file}: ${(o.extract() as OperationError).reason}`]);
   const v = o.extract();
   if (typeof v !== 'object' || v === null || Array.isArray(v))
     return Left([`${file}: must hold an object`]);
@@ -298,11 +299,11 @@
   const faults: string[] = [];
   c.load(under as never);
   c.load(over as never);
-  const checked = guard('check settings', 'settings', check);
+  const checked = tryCatch('check settings', 'settings', check);
   function check(): unknown {
     return c.validate({ allowed: 'strict' });
   }
-  if (checked.isLeft()) faults.push(...(checked.extract() as { why: string }).why.split('\n'));
+  if (checked.isLeft()) faults.push(...(checked.extract() as OperationError).reason.split('\n'));
   const s = c.getProperties() as unknown as Settings;
   for (const n of need) {
     const v = s[n as keyof Settings];
--- a/src/shared/state/deployment.ts
+++ b/src/shared/state/deployment.ts
@@ -1,4 +1,4 @@
-import { Part } from '../contracts/engine';
+import { PromptBlock } from '../contracts/engine';
 
 /** How often a route's requests may run: any number of times, once a try, or once a try as a stream of events. */
 export type RouteKind = 'safe' | 'unsafe' | 'streaming';
@@ -109,7 +109,7 @@
   deadlineMs?: number;
   model?: string;
   /** The parts of the prompt in order; a part's hash stands for it and for all parts before it. */
-  parts: Part[];
+  parts: PromptBlock[];
   tokensIn: number;
   tokensOut: number;
   /** The last event that the caller has, where it takes a stream up again. */
--- a/src/shared/state/words.ts
+++ b/src/shared/state/words.ts
@@ -1,18 +1,18 @@
 /** Where a change stands: epoch first, then number. */
-export interface Place {
+export interface Version {
   epoch: number;
   by: string;
   number: number;
 }
 
 /** A value of a control key at its place. */
-export interface Numbered extends Place {
+export interface VersionedValue extends Version {
   key: string;
   value: unknown;
 }
 
 /** Orders places; positive when a is later. */
-export function comparePlaces(a: Place, b: Place): number {
+export function compareVersions(a: Version, b: Version): number {
   const e = compareEpochs(a, b);
   return e !== 0 ? e : a.number - b.number;
 }
@@ -34,7 +34,7 @@
 }
 
 /** The voter set; while two sets are joint, both majorities are needed. */
-export interface Voters {
+export interface VoterSet {
   now: Voter[];
   next?: Voter[];
 }
@@ -108,7 +108,7 @@
 }
 
 /** The names of control keys. */
-export const KEYS = {
+export const CONTROL_KEYS = {
   voters: 'voters',
   intents: 'intents',
   engines: 'engines',
@@ -126,7 +126,7 @@
 }
 
 /** Sets salts from the file and what stood before; a group's salt changes when a member leaves it. */
-export function setSalts(doc: Intents, before: IntentsValue | undefined): IntentsValue {
+export function deriveSalts(doc: Intents, before: IntentsValue | undefined): IntentsValue {
   const groups: Record<string, number> = { ...before?.groups };
   const salts: Record<string, string> = {};
   for (const old of before?.doc.tenants ?? []) {
@@ -144,7 +144,7 @@
 }
 
 /** A majority of the voter set, and of the next one while two are joint. */
-export function isQuorum(v: Voters, disks: ReadonlySet<string>): boolean {
+export function isQuorum(v: VoterSet, disks: ReadonlySet<string>): boolean {
   function has(x: Voter): boolean {
     return disks.has(x.disk);
   }
@@ -155,7 +155,7 @@
 }
 
 /** Whether a disk votes, in either set. */
-export function isVoter(v: Voters | undefined, disk: string): boolean {
+export function isVoter(v: VoterSet | undefined, disk: string): boolean {
   function mine(x: Voter): boolean {
     return x.disk === disk;
   }
@@ -163,12 +163,12 @@
 }
 
 /** The address of a node, a voter or an engine. */
-export function atOf(x: { at: string }): string {
+export function addressOf(x: { at: string }): string {
   return x.at;
 }
 
 /** All voters of both sets, each disk once. */
-export function allVoters(v: Voters): Voter[] {
+export function allVoters(v: VoterSet): Voter[] {
   const m = new Map<string, Voter>();
   for (const x of [...v.now, ...(v.next ?? [])]) m.set(x.disk, x);
   return [...m.values()];
--- a/src/shared/system/http-client.ts
+++ b/src/shared/system/http-client.ts
@@ -1,42 +1,42 @@
 import http from 'node:http';
 import { Left, Right } from 'purify-ts';
-import { makeFault, Outcome } from '../errors/errors';
-import { Ask, Reply } from '../ports/ports';
+import { makeError, Result } from '../errors/errors';
+import { HttpRequest, HttpResponse } from '../ports/ports';
 
 const SURE = new Set(['ECONNREFUSED', 'EHOSTUNREACH', 'ENETUNREACH', 'ECONNTIMEOUT']);
 const MOST_CONNECTIONS = 256;
 const KEPT_IDLE = 4000;
 
 /** Makes the client side of HTTP: connections are kept, and one that isn't up within the ms is given up. */
-export function askBy(
+export function makeHttpClient(
   connectWithin: number,
   localAddress: string | undefined,
-): (q: Ask) => Promise<Outcome<Reply>> {
+): (q: HttpRequest) => Promise<Result<HttpResponse>> {
   const agent = new http.Agent({
     keepAlive: true,
     maxSockets: MOST_CONNECTIONS,
     timeout: KEPT_IDLE,
   });
 
-  function ask(q: Ask): Promise<Outcome<Reply>> {
+  function ask(q: HttpRequest): Promise<Result<HttpResponse>> {
     const step = `${q.method} ${q.path}`;
-    const colon = q.at.lastIndexOf(':');
+    const colon = q.address.lastIndexOf(':');
     let fate: { sort: 'refused' | 'unknown'; code: string } | undefined;
     let connected = false;
 
-    function wait(done: (o: Outcome<Reply>) => void): void {
+    function wait(done: (o: Result<HttpResponse>) => void): void {
       const headers: Record<string, string | number> = { ...q.headers };
       if (q.body !== undefined) headers['content-length'] = Buffer.byteLength(q.body);
       const req = http.request({
-        host: q.at.slice(0, colon),
-        port: Number(q.at.slice(colon + 1)),
+        host: q.address.slice(0, colon),
+        port: Number(q.address.slice(colon + 1)),
         method: q.method,
         path: q.path,
         headers,
         agent,
         localAddress,
       });
-      const late = setTimeout(cut, q.within, 'timeout');
+      const late = setTimeout(cut, q.timeoutMs, 'timeout');
       let dialled: ReturnType<typeof setTimeout> | undefined;
 
       function cut(code: string): void {
@@ -51,14 +51,14 @@
       function over(): void {
         clearTimeout(late);
         clearTimeout(dialled);
-        q.gone?.removeEventListener('abort', gone);
+        q.signal?.removeEventListener('abort', gone);
       }
 
       function failed(e: Error & { code?: string }): void {
         over();
         const code = fate?.code ?? e.code;
         const sort = fate?.sort ?? (code !== undefined && SURE.has(code) ? 'refused' : 'unknown');
-        done(Left(makeFault(step, q.at, e, sort, code)));
+        done(Left(makeError(step, q.address, e, sort, code)));
       }
 
       function up(): void {
@@ -84,7 +84,7 @@
       function answered(res: http.IncomingMessage): void {
         const pieces = res[Symbol.asyncIterator]() as AsyncIterator<Buffer>;
         const text = new TextDecoder();
-        async function next(): Promise<Outcome<string | undefined>> {
+        async function next(): Promise<Result<string | undefined>> {
           try {
             const p = await pieces.next();
             if (!p.done) return Right(text.decode(p.value, { stream: true }));
@@ -93,7 +93,7 @@
           } catch (e) {
             over();
             return Left(
-              makeFault(step, q.at, e, 'unknown', fate?.code ?? (e as { code?: string }).code),
+              makeError(step, q.address, e, 'unknown', fate?.code ?? (e as { code?: string }).code),
             );
           }
         }
@@ -106,7 +106,7 @@
           Right({
             status: res.statusCode ?? 0,
             headers: res.headers as Record<string, string | undefined>,
-            next,
+            nextChunk: next,
             cancel,
           }),
         );
@@ -115,8 +115,8 @@
       req.on('error', failed);
       req.on('socket', given);
       req.on('response', answered);
-      if (q.gone?.aborted) cut('timeout');
-      q.gone?.addEventListener('abort', gone, { once: true });
+      if (q.signal?.aborted) cut('timeout');
+      q.signal?.addEventListener('abort', gone, { once: true });
       req.end(q.body);
     }
     return new Promise(wait);
--- a/src/shared/system/http-io.ts
+++ b/src/shared/system/http-io.ts
@@ -4,7 +4,7 @@
 
 import http from 'node:http';
 import { Left, Right } from 'purify-ts';
-import { makeFault, Outcome } from '../errors/errors';
+import { makeError, Result } from '../errors/errors';
 
 /** Parts an address into host and port. */
 export function splitAddress(at: string): { host: string; port: number } {
@@ -16,22 +16,22 @@
 export function ignore(): void {}
 
 /** Reads a whole request body; one of more than `most` bytes is refused, its rest passed over. */
-export function readBody(req: http.IncomingMessage, most: number): Promise<Outcome<Uint8Array>> {
+export function readBody(req: http.IncomingMessage, most: number): Promise<Result<Uint8Array>> {
   const peer = req.socket.remoteAddress ?? '';
   const parts: Buffer[] = [];
   let size = 0;
-  function wait(done: (o: Outcome<Uint8Array>) => void): void {
+  function wait(done: (o: Result<Uint8Array>) => void): void {
     function data(p: Buffer): void {
       size += p.length;
       if (size <= most) parts.push(p);
-      else done(Left(makeFault('read body', peer, `over ${most} bytes`, 'refused', 'too-large')));
+      else done(Left(makeError('read body', peer, `over ${most} bytes`, 'refused', 'too-large')));
     }
     function whole(): void {
       if (req.complete && size <= most)
         done(Right(parts.length === 1 ? parts[0] : Buffer.concat(parts)));
     }
     function broken(): void {
-      done(Left(makeFault('read body', peer, 'broke off', 'refused', 'bad-body')));
+      done(Left(makeError('read body', peer, 'broke off', 'refused', 'bad-body')));
     }
     if (req.destroyed) return broken();
     req.on('data', data);
@@ -42,7 +42,7 @@
 }
 
 /** Writes a piece of an answer and waits until there is room for the next; false once the peer is gone. */
-export function writePiece(
+export function writeChunk(
   res: http.ServerResponse,
   gone: AbortSignal,
   piece: string | Uint8Array,
--- a/src/shared/system/raw-http-client.ts
+++ b/src/shared/system/raw-http-client.ts
@@ -1,8 +1,8 @@
 import http from 'node:http';
 import net from 'node:net';
 import { Left, Right } from 'purify-ts';
-import { makeFault, Outcome } from '../errors/errors';
-import { HttpConnection, RawAsk, RawReply } from '../ports/ports';
+import { makeError, Result } from '../errors/errors';
+import { HttpConnection, RawHttpRequest, RawHttpResponse } from '../ports/ports';
 import { ignore, splitAddress } from './http-io';
 
 /** How long a connection may be without traffic before the kernel probes its peer. */
@@ -22,17 +22,17 @@
 
 function makeReply(
   at: string,
-  q: RawAsk,
+  q: RawHttpRequest,
   req: http.ClientRequest,
   res: http.IncomingMessage,
   over: () => void,
   cut: () => string | undefined,
-): RawReply {
+): RawHttpResponse {
   const step = `${q.method} ${q.target}`;
   const queue: Buffer[] = [];
   const framed = isFramed(q.method, res);
-  let ended: Outcome<undefined> | undefined;
-  let waiter: ((o: Outcome<Uint8Array | undefined>) => void) | undefined;
+  let ended: Result<undefined> | undefined;
+  let waiter: ((o: Result<Uint8Array | undefined>) => void) | undefined;
 
   function data(p: Buffer): void {
     if (waiter === undefined) {
@@ -44,7 +44,7 @@
     waiter = undefined;
     told(Right(p));
   }
-  function finish(o: Outcome<undefined>): void {
+  function finish(o: Result<undefined>): void {
     if (ended !== undefined) return;
     ended = o;
     over();
@@ -53,8 +53,8 @@
   function end(): void {
     finish(res.complete && framed ? Right(undefined) : broken('ended without its end'));
   }
-  function broken(why: unknown): Outcome<undefined> {
-    return Left(makeFault(step, at, why, 'unknown', cut() ?? 'broken'));
+  function broken(why: unknown): Result<undefined> {
+    return Left(makeError(step, at, why, 'unknown', cut() ?? 'broken'));
   }
   function failed(e: Error): void {
     finish(broken(e));
@@ -67,8 +67,8 @@
   res.on('error', failed);
   res.on('close', closed);
 
-  function next(): Promise<Outcome<Uint8Array | undefined>> {
-    function wait(done: (o: Outcome<Uint8Array | undefined>) => void): void {
+  function next(): Promise<Result<Uint8Array | undefined>> {
+    function wait(done: (o: Result<Uint8Array | undefined>) => void): void {
       const p = queue.shift();
       if (p !== undefined) {
         if (queue.length === 0) res.resume();
@@ -86,8 +86,8 @@
   return {
     status: res.statusCode ?? 0,
     headers: res.rawHeaders,
-    fields: res.headers as Record<string, string | undefined>,
-    next,
+    headersByName: res.headers as Record<string, string | undefined>,
+    nextChunk: next,
     cancel,
   };
 }
@@ -141,13 +141,17 @@
     socket.once('close', closed);
   }
 
-  function ask(q: RawAsk, within: number, gone: AbortSignal): Promise<Outcome<RawReply>> {
+  function ask(
+    q: RawHttpRequest,
+    within: number,
+    gone: AbortSignal,
+  ): Promise<Result<RawHttpResponse>> {
     const step = `${q.method} ${q.target}`;
-    function wait(done: (o: Outcome<RawReply>) => void): void {
+    function wait(done: (o: Result<RawHttpResponse>) => void): void {
       if (!fit())
-        return done(Left(makeFault(step, at, 'the connection is not fit', 'refused', 'not-fit')));
+        return done(Left(makeError(step, at, 'the connection is not fit', 'refused', 'not-fit')));
       if (gone.aborted)
-        return done(Left(makeFault(step, at, 'the caller went away', 'refused', 'caller-gone')));
+        return done(Left(makeError(step, at, 'the caller went away', 'refused', 'caller-gone')));
       busy = true;
       uses++;
       let whole = false;
@@ -180,7 +184,7 @@
         if (whole) surplus = true;
         over();
         socket.destroy();
-        done(Left(makeFault(step, at, e, 'unknown', cut ?? e.code)));
+        done(Left(makeError(step, at, e, 'unknown', cut ?? e.code)));
       }
       function answered(res: http.IncomingMessage): void {
         function ended(): void {
@@ -197,7 +201,15 @@
     return new Promise(wait);
   }
 
-  return { at, fit, uses: used, ask, onIdle, done: new Promise(waitClosed), close };
+  return {
+    address: at,
+    isReusable: fit,
+    useCount: used,
+    request: ask,
+    onIdle,
+    closed: new Promise(waitClosed),
+    close,
+  };
 }
 
 /** Connects to a server; a connection that isn't up within the ms is given up. */
@@ -205,8 +217,8 @@
   at: string,
   within: number,
   localAddress: string | undefined,
-): Promise<Outcome<HttpConnection>> {
-  function wait(done: (o: Outcome<HttpConnection>) => void): void {
+): Promise<Result<HttpConnection>> {
+  function wait(done: (o: Result<HttpConnection>) => void): void {
     const socket = net.connect({ ...splitAddress(at), localAddress });
     const t = setTimeout(late, within);
     /** A connection that came up while the event loop was held up counts as in time. */
@@ -216,11 +228,11 @@
     function giveUp(): void {
       if (!socket.connecting) return;
       socket.destroy();
-      done(Left(makeFault('connect', at, 'no connection in time', 'refused', 'timeout')));
+      done(Left(makeError('connect', at, 'no connection in time', 'refused', 'timeout')));
     }
     function failed(e: Error & { code?: string }): void {
       clearTimeout(t);
-      done(Left(makeFault('connect', at, e, 'refused', e.code)));
+      done(Left(makeError('connect', at, e, 'refused', e.code)));
     }
     function up(): void {
       clearTimeout(t);
--- a/src/shared/system/raw-http-connections.ts
+++ b/src/shared/system/raw-http-connections.ts
@@ -17,7 +17,7 @@
 }
 
 /** Watches over the connections of a server's callers: only those at rest are ever closed for idleness or for bytes that are no request. */
-export interface CallerConnections {
+export interface CallerConnectionTracker {
   /** Notes a request; comes once its answer has been written out or its connection is closed. Nothing where its connection takes no more. */
   began(req: http.IncomingMessage, res: http.ServerResponse): Promise<void> | undefined;
   /** Requests on all connections whose answers have not ended. */
@@ -41,7 +41,10 @@
 const BAD_REQUEST = '400 Bad Request';
 
 /** Takes over a server's idle and error handling; `idleMs` is the idle limit of now. */
-export function watchCallers(server: http.Server, idleMs: () => number): CallerConnections {
+export function trackCallerConnections(
+  server: http.Server,
+  idleMs: () => number,
+): CallerConnectionTracker {
   const connections = new Map<net.Socket, CallerConnection>();
   const settling = new Set<() => void>();
   let allUnderWay = 0;
--- a/src/shared/system/raw-http-server.ts
+++ b/src/shared/system/raw-http-server.ts
@@ -2,10 +2,10 @@
 import net from 'node:net';
 import { setImmediate as nextTurn, setTimeout as sleep } from 'node:timers/promises';
 import { Left, Right } from 'purify-ts';
-import { makeFault, Outcome } from '../errors/errors';
-import { RawCall, RawListening, ServeLimits } from '../ports/ports';
-import { CallerConnections, watchCallers } from './raw-http-connections';
-import { ignore, readBody, splitAddress, writePiece } from './http-io';
+import { makeError, Result } from '../errors/errors';
+import { RawIncomingRequest, RawListener, ServeLimits } from '../ports/ports';
+import { CallerConnectionTracker, trackCallerConnections } from './raw-http-connections';
+import { ignore, readBody, splitAddress, writeChunk } from './http-io';
 
 const MOST_HEADER_BYTES = 65536;
 const BACKLOG = 4096;
@@ -19,9 +19,9 @@
   req: http.IncomingMessage,
   res: http.ServerResponse,
   limits: () => ServeLimits,
-  callers: CallerConnections,
+  callers: CallerConnectionTracker,
   written: Promise<void>,
-): RawCall {
+): RawIncomingRequest {
   const gone = new AbortController();
   const peer = req.socket.remoteAddress ?? '';
   function closed(): void {
@@ -31,7 +31,7 @@
   res.on('error', ignore);
   req.on('error', ignore);
 
-  function body(most: number): Promise<Outcome<Uint8Array>> {
+  function body(most: number): Promise<Result<Uint8Array>> {
     return readBody(req, most);
   }
 
@@ -55,7 +55,7 @@
   }
 
   function piece(bytes: Uint8Array): Promise<boolean> {
-    return writePiece(res, gone.signal, bytes);
+    return writeChunk(res, gone.signal, bytes);
   }
 
   function end(bytes?: Uint8Array): void {
@@ -71,14 +71,14 @@
     method: req.method ?? 'GET',
     target: req.url ?? '/',
     headers: req.rawHeaders,
-    fields: req.headers as Record<string, string | undefined>,
+    headersByName: req.headers as Record<string, string | undefined>,
     peer,
-    gone: gone.signal,
+    aborted: gone.signal,
     body,
-    head,
-    piece,
+    writeHead: head,
+    write: piece,
     end,
-    breakOff,
+    destroy: breakOff,
     written,
   };
 }
@@ -87,8 +87,8 @@
 export function serve(
   at: string,
   first: ServeLimits,
-  take: (call: RawCall) => Promise<void>,
-): Promise<Outcome<RawListening>> {
+  take: (call: RawIncomingRequest) => Promise<void>,
+): Promise<Result<RawListener>> {
   let limits = first;
   let arrived = 0;
   function now(): ServeLimits {
@@ -120,7 +120,7 @@
     request,
   );
   server.on('connection', connection);
-  const callers = watchCallers(server, idleMs);
+  const callers = trackCallerConnections(server, idleMs);
   limit(first);
   function limit(l: ServeLimits): void {
     limits = l;
@@ -154,15 +154,24 @@
     }
     return new Promise(wait);
   }
-  function wait(done: (o: Outcome<RawListening>) => void): void {
+  function wait(done: (o: Result<RawListener>) => void): void {
     function failed(e: Error): void {
-      done(Left(makeFault('listen', at, e)));
+      done(Left(makeError('listen', at, e)));
     }
     function up(): void {
       server.off('error', failed);
       server.on('error', ignore);
       const a = server.address() as net.AddressInfo;
-      done(Right({ at: `${a.address}:${a.port}`, close, limit, arrivals, readArrived, settle }));
+      done(
+        Right({
+          address: `${a.address}:${a.port}`,
+          close,
+          setLimits: limit,
+          arrivalCount: arrivals,
+          readArrived,
+          closeGracefully: settle,
+        }),
+      );
     }
     server.once('error', failed);
     server.listen({ ...splitAddress(at), backlog: BACKLOG }, up);
--- a/src/shared/system/system-ports.ts
+++ b/src/shared/system/system-ports.ts
@@ -5,19 +5,19 @@
 import { performance } from 'node:perf_hooks';
 import { Left, Right } from 'purify-ts';
 import bunyan from 'bunyan';
-import { withSuspension } from './suspension-clock';
-import { makeFault, Outcome } from '../errors/errors';
-import { Clock, Dice, Disk, Log } from '../ports/ports';
+import { countingSuspension } from './suspension-clock';
+import { makeError, Result } from '../errors/errors';
+import { Clock, RandomSource, Disk, Logger } from '../ports/ports';
 
 function sinceBoot(): number {
   return uptime() * 1000;
 }
 
 /** The machine's monotonic clock, with the time it was suspended where it may be. */
-export function realClock(suspends = true): Clock {
+export function makeSystemClock(suspends = true): Clock {
   const monotonic = performance.now.bind(performance);
   const now =
-    suspends && process.platform === 'linux' ? withSuspension(monotonic, sinceBoot) : monotonic;
+    suspends && process.platform === 'linux' ? countingSuspension(monotonic, sinceBoot) : monotonic;
   function wall(): string {
     return new Date().toISOString();
   }
@@ -34,16 +34,16 @@
     }
     return off;
   }
-  return { now, wall, sleep, timer };
+  return { now, wallTime: wall, sleep, setTimer: timer };
 }
 
 /** The machine's randomness. */
-export function realDice(): Dice {
-  return { next: Math.random, id: randomUUID };
+export function makeSystemRandom(): RandomSource {
+  return { next: Math.random, uuid: randomUUID };
 }
 
 /** One data folder on the machine's disk; files that are written on stay open, and the folder is synced where a name is new. */
-export function realDisk(folder: string): Disk {
+export function makeFileDisk(folder: string): Disk {
   const kept = new Map<string, FileHandle>();
   const named = new Set<string>();
 
@@ -65,27 +65,27 @@
     return f;
   }
 
-  async function put(step: string, name: string, run: () => Promise<void>): Promise<Outcome<void>> {
+  async function put(step: string, name: string, run: () => Promise<void>): Promise<Result<void>> {
     try {
       await run();
       if (!named.has(name)) await syncFolder();
       named.add(name);
       return Right(undefined);
     } catch (e) {
-      return Left(makeFault(step, name, e, 'failed', 'disk'));
+      return Left(makeError(step, name, e, 'failed', 'disk'));
     }
   }
 
-  async function read(name: string): Promise<Outcome<Uint8Array | undefined>> {
+  async function read(name: string): Promise<Result<Uint8Array | undefined>> {
     try {
       return Right(await readFile(join(folder, name)));
     } catch (e) {
       if ((e as { code?: string }).code === 'ENOENT') return Right(undefined);
-      return Left(makeFault('read file', name, e, 'failed', 'disk'));
+      return Left(makeError('read file', name, e, 'failed', 'disk'));
     }
   }
 
-  function write(name: string, bytes: Uint8Array): Promise<Outcome<void>> {
+  function write(name: string, bytes: Uint8Array): Promise<Result<void>> {
     async function run(): Promise<void> {
       const f = await openTo(name, 'w');
       await f.writeFile(bytes);
@@ -94,7 +94,7 @@
     return put('write file', name, run);
   }
 
-  function append(name: string, bytes: Uint8Array): Promise<Outcome<void>> {
+  function append(name: string, bytes: Uint8Array): Promise<Result<void>> {
     async function run(): Promise<void> {
       const f = kept.get(name) ?? (await openTo(name, 'a'));
       await f.writeFile(bytes);
@@ -106,7 +106,7 @@
 }
 
 /** Bunyan's ring in memory, written out to standard error when something goes wrong; notices are written out at once. */
-export function realLog(program: string, name: string, records = 200): Log {
+export function makeLogger(program: string, name: string, records = 200): Logger {
   const ring = new bunyan.RingBuffer({ limit: records });
   const log = bunyan.createLogger({
     name: program,
--- a/src/shared/system/tcp-network.ts
+++ b/src/shared/system/tcp-network.ts
@@ -2,25 +2,25 @@
 import net from 'node:net';
 import { PackrStream, UnpackrStream } from 'msgpackr';
 import { Left, Right } from 'purify-ts';
-import { makeFault, Outcome } from '../errors/errors';
-import { Call, Listening, Message, Connection, Wire } from '../ports/ports';
-import { askBy } from './http-client';
-import { readBody, splitAddress, writePiece } from './http-io';
-import { makeFeed } from '../util/lib';
+import { makeError, Result } from '../errors/errors';
+import { IncomingRequest, Listener, Message, Connection, Network } from '../ports/ports';
+import { makeHttpClient } from './http-client';
+import { readBody, splitAddress, writeChunk } from './http-io';
+import { makePushStream } from '../util/lib';
 
 function listen(
   server: net.Server,
   at: string,
   close: () => Promise<void>,
-): Promise<Outcome<Listening>> {
-  function wait(done: (o: Outcome<Listening>) => void): void {
+): Promise<Result<Listener>> {
+  function wait(done: (o: Result<Listener>) => void): void {
     function failed(e: Error): void {
-      done(Left(makeFault('listen', at, e)));
+      done(Left(makeError('listen', at, e)));
     }
     function up(): void {
       server.off('error', failed);
       const a = server.address() as net.AddressInfo;
-      done(Right({ at: `${a.address}:${a.port}`, close }));
+      done(Right({ address: `${a.address}:${a.port}`, close }));
     }
     server.once('error', failed);
     server.listen({ ...splitAddress(at), backlog: 1024 }, up);
@@ -32,7 +32,7 @@
   return Buffer.from(bytes.buffer, bytes.byteOffset, bytes.byteLength).toString('utf8');
 }
 
-function makeCall(req: http.IncomingMessage, res: http.ServerResponse): Call {
+function makeCall(req: http.IncomingMessage, res: http.ServerResponse): IncomingRequest {
   const url = new URL(req.url ?? '/', 'http://node');
   const gone = new AbortController();
   function closed(): void {
@@ -44,14 +44,14 @@
   res.on('close', closed);
   res.on('error', broke);
   req.on('error', broke);
-  async function body(most: number): Promise<Outcome<string>> {
+  async function body(most: number): Promise<Result<string>> {
     return (await readBody(req, most)).map(textOf);
   }
   function head(status: number, headers: Record<string, string>): void {
     if (!res.headersSent) res.writeHead(status, headers);
   }
   function piece(text: string): Promise<boolean> {
-    return writePiece(res, gone.signal, text);
+    return writeChunk(res, gone.signal, text);
   }
   function end(text?: string): void {
     res.end(text);
@@ -66,16 +66,19 @@
     query: url.searchParams,
     headers,
     peer: req.socket.remoteAddress ?? '',
-    gone: gone.signal,
+    aborted: gone.signal,
     body,
-    head,
-    piece,
+    writeHead: head,
+    write: piece,
     end,
-    breakOff,
+    destroy: breakOff,
   };
 }
 
-function serve(at: string, take: (call: Call) => Promise<void>): Promise<Outcome<Listening>> {
+function serve(
+  at: string,
+  take: (call: IncomingRequest) => Promise<void>,
+): Promise<Result<Listener>> {
   function arrived(req: http.IncomingMessage, res: http.ServerResponse): void {
     void take(makeCall(req, res));
   }
@@ -93,7 +96,7 @@
 function makeConnection(socket: net.Socket): Connection {
   const out = new PackrStream({ useRecords: false });
   const inn = new UnpackrStream({ useRecords: false });
-  const hand = makeFeed<Message>();
+  const hand = makePushStream<Message>();
   const peer = `${socket.remoteAddress}:${socket.remotePort}`;
   let ended = false;
   socket.setNoDelay(true);
@@ -114,7 +117,7 @@
     inn.on('end', over);
   }
   const done = new Promise<void>(wait);
-  inn.on('data', hand.add);
+  inn.on('data', hand.push);
   function send(m: Message): boolean {
     if (ended) return false;
     return out.write(m);
@@ -122,10 +125,10 @@
   function close(): void {
     socket.destroy();
   }
-  return { peer, feed: hand.feed, done, send, close };
+  return { peer, messages: hand.stream, closed: done, send, close };
 }
 
-function accept(at: string, take: (s: Connection) => void): Promise<Outcome<Listening>> {
+function accept(at: string, take: (s: Connection) => void): Promise<Result<Listener>> {
   const held = new Set<net.Socket>();
   function arrived(socket: net.Socket): void {
     held.add(socket);
@@ -146,8 +149,8 @@
   return listen(server, at, close);
 }
 
-function dial(at: string, within: number, localAddress?: string): Promise<Outcome<Connection>> {
-  function wait(done: (o: Outcome<Connection>) => void): void {
+function dial(at: string, within: number, localAddress?: string): Promise<Result<Connection>> {
+  function wait(done: (o: Result<Connection>) => void): void {
     const socket = net.connect({ ...splitAddress(at), localAddress });
     /** A connection that came up while the event loop was held up counts as in time. */
     function late(): void {
@@ -156,12 +159,12 @@
     function giveUp(): void {
       if (!socket.connecting) return;
       socket.destroy();
-      done(Left(makeFault('dial', at, 'no stream in time', 'refused', 'timeout')));
+      done(Left(makeError('dial', at, 'no stream in time', 'refused', 'timeout')));
     }
     const t = setTimeout(late, within);
     function failed(e: Error & { code?: string }): void {
       clearTimeout(t);
-      done(Left(makeFault('dial', at, e, 'refused', e.code)));
+      done(Left(makeError('dial', at, e, 'refused', e.code)));
     }
     function up(): void {
       clearTimeout(t);
@@ -175,24 +178,27 @@
 }
 
 /** The machine's network: Node's http, and msgpackr over net. */
-export function realWire(connectWithin: number, bind = ''): Wire {
+export function makeSystemNetwork(connectWithin: number, bind = ''): Network {
   const localAddress = bind === '' ? undefined : bind;
   function bound(at: string): string {
     return bind === '' ? at : `${bind}:${splitAddress(at).port}`;
   }
-  function serveHere(at: string, take: (call: Call) => Promise<void>): Promise<Outcome<Listening>> {
+  function serveHere(
+    at: string,
+    take: (call: IncomingRequest) => Promise<void>,
+  ): Promise<Result<Listener>> {
     return serve(bound(at), take);
   }
-  function acceptHere(at: string, take: (s: Connection) => void): Promise<Outcome<Listening>> {
+  function acceptHere(at: string, take: (s: Connection) => void): Promise<Result<Listener>> {
     return accept(bound(at), take);
   }
-  function dialFrom(at: string, within: number): Promise<Outcome<Connection>> {
+  function dialFrom(at: string, within: number): Promise<Result<Connection>> {
     return dial(at, within, localAddress);
   }
   return {
-    serve: serveHere,
-    ask: askBy(connectWithin, localAddress),
-    accept: acceptHere,
-    dial: dialFrom,
+    serveHttp: serveHere,
+    request: makeHttpClient(connectWithin, localAddress),
+    listen: acceptHere,
+    connect: dialFrom,
   };
 }
--- a/src/shared/transport/compressed-requests.ts
+++ b/src/shared/transport/compressed-requests.ts
@@ -3,26 +3,26 @@
  */
 import { pack } from 'msgpackr';
 import { decompress, deflate } from './compression';
-import { Exchange } from './connections';
-import { dispatch, field, Handled, message } from './handlers';
-import { open, Outcome } from '../errors/errors';
+import { PeerChannel } from './connections';
+import { dispatch, bodyField, HandlerResult, messageHandler } from './handlers';
+import { errorOrValue, Result } from '../errors/errors';
 
 /** An ask of more bytes than this is compressed. */
 const PACKED_ABOVE = 4096;
 
 /** An ask of another type whose body is compressed. */
-export class PackedAsk {
-  @field('string') type!: string;
-  @field('any') bytes!: Uint8Array;
+export class CompressedRequest {
+  @bodyField('string') type!: string;
+  @bodyField('any') bytes!: Uint8Array;
 }
 
 /** Takes compressed asks, and hands them to the handlers of what they hold. */
-export class PackedEdge {
+export class CompressedRequestHandlers {
   constructor(private readonly edges: readonly object[]) {}
 
   /** Reads the body and has it handled as if it had come by itself. */
-  @message('packed', PackedAsk)
-  async packed(m: PackedAsk, from: Exchange): Handled {
+  @messageHandler('packed', CompressedRequest)
+  async packed(m: CompressedRequest, from: PeerChannel): HandlerResult {
     const read = decompress('read packed', from.peer, m.bytes);
     if (read.isLeft()) return read;
     return dispatch(this.edges, m.type, read.extract(), from, from.peer);
@@ -41,20 +41,20 @@
 }
 
 /** Bytes of an ask's body where they are compressed, 0 where it is short. */
-export function packedBytes(body: object): number {
+export function compressedBodyBytes(body: object): number {
   return packedBody(body)?.length ?? 0;
 }
 
 /** Asks with a compressed body where it is long; a peer of an earlier release is asked as before. */
-export async function askPacked(
-  exchange: Exchange,
+export async function requestCompressed(
+  exchange: PeerChannel,
   type: string,
   body: object,
   within: number,
-): Promise<Outcome<unknown>> {
+): Promise<Result<unknown>> {
   const bytes = packedBody(body);
-  if (!bytes) return exchange.ask(type, body, within);
-  const reply = await exchange.ask('packed', { type, bytes }, within);
-  const [fault] = open(reply);
-  return fault?.code === 'not-known' ? exchange.ask(type, body, within) : reply;
+  if (!bytes) return exchange.request(type, body, within);
+  const reply = await exchange.request('packed', { type, bytes }, within);
+  const [fault] = errorOrValue(reply);
+  return fault?.code === 'not-known' ? exchange.request(type, body, within) : reply;
 }
--- a/src/shared/transport/compression.ts
+++ b/src/shared/transport/compression.ts
@@ -3,8 +3,8 @@
  */
 import { deflateRawSync, inflateRawSync } from 'node:zlib';
 import { pack, unpack } from 'msgpackr';
-import { Outcome } from '../errors/errors';
-import { guard } from '../util/lib';
+import { Result } from '../errors/errors';
+import { tryCatch } from '../util/lib';
 
 /** Speed before size: controllers have little processor time. */
 const COMPRESSION_LEVEL = 1;
@@ -20,9 +20,9 @@
 }
 
 /** Reads what `compress` made; a fault where the bytes are no such thing. */
-export function decompress(step: string, peer: string, bytes: Uint8Array): Outcome<unknown> {
+export function decompress(step: string, peer: string, bytes: Uint8Array): Result<unknown> {
   function inflate(): unknown {
     return unpack(inflateRawSync(bytes));
   }
-  return guard(step, peer, inflate);
+  return tryCatch(step, peer, inflate);
 }
--- a/src/shared/transport/connections.ts
+++ b/src/shared/transport/connections.ts
@@ -1,15 +1,16 @@
 import { Left, Right } from 'purify-ts';
-import { bad, Fault, makeFault, open, Outcome } from '../errors/errors';
-import { dispatch, Handled, message } from './handlers';
+import { failure, OperationError, makeError, errorOrValue, Result } from '../errors/errors';
+import { dispatch, HandlerResult, messageHandler } from './handlers';
 import { Message, Ports, Connection } from '../ports/ports';
+import { decodeError, encodeError, WireError } from './wire-error';
 
 /** The version of our wire messages; a peer more than one off is refused. */
-export const WIRE_VERSION = 1;
+export const PROTOCOL_VERSION = 1;
 
 /** The first pause before a peer is tried again, as a share of `pause`; each further one is twice as long, up to the longest. */
-export const FIRST_PAUSE = 0.1;
+export const INITIAL_BACKOFF_RATIO = 0.1;
 /** The longest pause before a peer is tried again. */
-export const LONGEST_PAUSE = 0.4;
+export const MAX_BACKOFF_RATIO = 0.4;
 
 /** What a process says first on a connection. */
 export interface Hello {
@@ -22,31 +23,35 @@
 }
 
 /** Asks and returns over one connection, both ways. */
-export interface Exchange {
+export interface PeerChannel {
   connection: Connection;
   peer: string;
   hello?: Hello;
-  done: Promise<void>;
+  closed: Promise<void>;
   /** When something last came from the peer, by the clock port. */
-  heard(): number;
-  ask(type: string, body: unknown, within: number): Promise<Outcome<unknown>>;
-  tell(type: string, body: unknown): boolean;
+  lastReceivedAt(): number;
+  request(type: string, body: unknown, within: number): Promise<Result<unknown>>;
+  notify(type: string, body: unknown): boolean;
   close(): void;
 }
 
 /** Puts asks and returns on a connection; what arrives goes to the marked handlers. */
-export function converse(ports: Ports, connection: Connection, edges: readonly object[]): Exchange {
-  const waiting = new Map<number, (o: Outcome<unknown>) => void>();
+export function openChannel(
+  ports: Ports,
+  connection: Connection,
+  edges: readonly object[],
+): PeerChannel {
+  const waiting = new Map<number, (o: Result<unknown>) => void>();
   let last = 0;
   let over = false;
   let heardAt = ports.clock.now();
-  const ex: Exchange = {
+  const ex: PeerChannel = {
     connection,
     peer: connection.peer,
-    done: connection.done,
-    heard,
-    ask,
-    tell,
+    closed: connection.closed,
+    lastReceivedAt: heard,
+    request: ask,
+    notify: tell,
     close: connection.close,
   };
 
@@ -54,16 +59,16 @@
     return heardAt;
   }
 
-  function ask(type: string, body: unknown, within: number): Promise<Outcome<unknown>> {
+  function ask(type: string, body: unknown, within: number): Promise<Result<unknown>> {
     const id = ++last;
-    function wait(done: (o: Outcome<unknown>) => void): void {
-      if (over) return done(bad(type, ex.peer, 'stream ended', 'refused', 'ended'));
-      const off = ports.clock.timer(within, late);
+    function wait(done: (o: Result<unknown>) => void): void {
+      if (over) return done(failure(type, ex.peer, 'stream ended', 'refused', 'ended'));
+      const off = ports.clock.setTimer(within, late);
       function late(): void {
         waiting.delete(id);
-        done(bad(type, ex.peer, 'no return in time', 'unknown', 'timeout'));
+        done(failure(type, ex.peer, 'no return in time', 'unknown', 'timeout'));
       }
-      function arrived(o: Outcome<unknown>): void {
+      function arrived(o: Result<unknown>): void {
         off();
         waiting.delete(id);
         done(o);
@@ -80,14 +85,14 @@
 
   async function take(m: Message): Promise<void> {
     if (m.re !== undefined) {
-      waiting.get(m.re)?.(m.fault ? Left(m.fault as Fault) : Right(m.body));
+      waiting.get(m.re)?.(m.fault ? Left(decodeError(m.fault as WireError)) : Right(m.body));
       return;
     }
-    const [f, v] = open(await dispatch(edges, m.type ?? '', m.body, ex, ex.peer));
+    const [f, v] = errorOrValue(await dispatch(edges, m.type ?? '', m.body, ex, ex.peer));
     if (m.id === undefined) {
-      if (f) ports.log.warn({ step: f.step, peer: f.peer }, f.why);
+      if (f) ports.logger.warn({ step: f.step, peer: f.peer }, f.reason);
     } else {
-      connection.send(f ? { re: m.id, fault: f } : { re: m.id, body: v });
+      connection.send(f ? { re: m.id, fault: encodeError(f) } : { re: m.id, body: v });
     }
   }
 
@@ -99,16 +104,16 @@
   function ended(): void {
     over = true;
     for (const [, done] of [...waiting])
-      done(bad('ask', ex.peer, 'stream ended', 'unknown', 'ended'));
+      done(failure('ask', ex.peer, 'stream ended', 'unknown', 'ended'));
   }
 
-  void connection.feed.observe(arrived);
-  void connection.done.then(ended);
+  void connection.messages.observe(arrived);
+  void connection.closed.then(ended);
   return ex;
 }
 
 /** Asks a peer one thing over a connection of its own. */
-export async function askOnce(
+export async function requestOnce(
   ports: Ports,
   hello: Hello,
   edges: readonly object[],
@@ -116,44 +121,44 @@
   type: string,
   body: unknown,
   within: number,
-): Promise<Outcome<unknown>> {
-  const [f, connection] = open(await ports.wire.dial(at, within));
+): Promise<Result<unknown>> {
+  const [f, connection] = errorOrValue(await ports.network.connect(at, within));
   if (f) return Left(f);
-  const ex = converse(ports, connection, edges);
-  const h = await ex.ask('hello', hello, within);
-  const o = h.isLeft() ? h : await ex.ask(type, body, within);
+  const ex = openChannel(ports, connection, edges);
+  const h = await ex.request('hello', hello, within);
+  const o = h.isLeft() ? h : await ex.request(type, body, within);
   ex.close();
   return o;
 }
 
 /** A connection that is kept up to one peer. */
-export interface Held {
-  at: string;
-  up(): Exchange | undefined;
+export interface MaintainedConnection {
+  address: string;
+  channel(): PeerChannel | undefined;
   stop(): void;
 }
 
 /** How a held connection is kept up. */
-export interface HoldWays {
+export interface ConnectionOptions {
   hello: Hello;
-  edges: readonly object[];
-  within: number;
-  pause: number;
-  onUp?: (ex: Exchange) => void;
-  onDown?: (ex: Exchange) => void;
-  onRefused?: (f: Fault) => void;
+  handlers: readonly object[];
+  timeoutMs: number;
+  retryPauseMs: number;
+  onUp?: (ex: PeerChannel) => void;
+  onDown?: (ex: PeerChannel) => void;
+  onConnectFailed?: (f: OperationError) => void;
 }
 
 /** Reads a peer's hello, or says why it is refused. */
-export function checkHello(body: unknown, peer: string): Outcome<Hello> {
+export function checkHello(body: unknown, peer: string): Result<Hello> {
   const h = body as Hello | undefined;
   if (!h || typeof h.version !== 'number')
-    return bad('hello', peer, 'no hello', 'refused', 'bad-hello');
-  if (Math.abs(h.version - WIRE_VERSION) > 1)
-    return bad(
+    return failure('hello', peer, 'no hello', 'refused', 'bad-hello');
+  if (Math.abs(h.version - PROTOCOL_VERSION) > 1)
+    return failure(
       'hello',
       peer,
-      `wire version ${h.version} is too far from ${WIRE_VERSION}`,
+      `wire version ${h.version} is too far from ${PROTOCOL_VERSION}`,
       'refused',
       'wire-version',
     );
@@ -161,34 +166,39 @@
 }
 
 /** Keeps a connection up to a peer, one task for each. */
-export function hold(ports: Ports, at: string, ways: HoldWays): Held {
-  let ex: Exchange | undefined;
+export function maintainConnection(
+  ports: Ports,
+  at: string,
+  ways: ConnectionOptions,
+): MaintainedConnection {
+  let ex: PeerChannel | undefined;
   let stopped = false;
 
   async function keep(): Promise<void> {
-    let pause = ways.pause * FIRST_PAUSE;
+    let pause = ways.retryPauseMs * INITIAL_BACKOFF_RATIO;
     while (!stopped) {
-      const [f, connection] = open(await ports.wire.dial(at, ways.within));
+      const [f, connection] = errorOrValue(await ports.network.connect(at, ways.timeoutMs));
       if (f) {
-        ways.onRefused?.(f);
+        ways.onConnectFailed?.(f);
       } else if (stopped) {
         connection.close();
       } else {
         const began = ports.clock.now();
         await live(connection);
-        if (ports.clock.now() - began > ways.pause) pause = ways.pause * FIRST_PAUSE;
+        if (ports.clock.now() - began > ways.retryPauseMs)
+          pause = ways.retryPauseMs * INITIAL_BACKOFF_RATIO;
       }
-      if (!stopped) await ports.clock.sleep(pause * (0.5 + ports.dice.next()));
-      pause = Math.min(pause * 2, ways.pause * LONGEST_PAUSE);
+      if (!stopped) await ports.clock.sleep(pause * (0.5 + ports.random.next()));
+      pause = Math.min(pause * 2, ways.retryPauseMs * MAX_BACKOFF_RATIO);
     }
   }
 
   async function live(connection: Connection): Promise<void> {
-    const one = converse(ports, connection, ways.edges);
+    const one = openChannel(ports, connection, ways.handlers);
     one.peer = at;
-    const [f, h] = open(await one.ask('hello', ways.hello, ways.within));
+    const [f, h] = errorOrValue(await one.request('hello', ways.hello, ways.timeoutMs));
     if (f) {
-      ports.log.warn({ step: f.step, peer: at }, f.why);
+      ports.logger.warn({ step: f.step, peer: at }, f.reason);
       one.close();
       return;
     }
@@ -196,26 +206,26 @@
     ex = one;
     ways.onUp?.(one);
     void beat(one);
-    await one.done;
+    await one.closed;
     ex = undefined;
     ways.onDown?.(one);
   }
 
   /** Pings a peer that has been silent; one that does not return it has no connection any more, whatever its machine's TCP says. */
-  async function beat(one: Exchange): Promise<void> {
+  async function beat(one: PeerChannel): Promise<void> {
     while (!stopped && ex === one) {
-      const silence = ways.pause * 2 * (0.8 + 0.4 * ports.dice.next());
-      const left = one.heard() + silence - ports.clock.now();
+      const silence = ways.retryPauseMs * 2 * (0.8 + 0.4 * ports.random.next());
+      const left = one.lastReceivedAt() + silence - ports.clock.now();
       if (left > 0) {
         await ports.clock.sleep(left);
         continue;
       }
-      const [f] = open(await one.ask('ping', {}, ways.within * 1.25));
+      const [f] = errorOrValue(await one.request('ping', {}, ways.timeoutMs * 1.25));
       if (f) one.close();
     }
   }
 
-  function up(): Exchange | undefined {
+  function up(): PeerChannel | undefined {
     return ex;
   }
 
@@ -225,22 +235,22 @@
   }
 
   void keep();
-  return { at, up, stop };
+  return { address: at, channel: up, stop };
 }
 
 /** Connections that are kept up to all peers of a set that changes. */
-export interface Holds {
-  want(ats: Iterable<string>): void;
-  up(at: string): Exchange | undefined;
-  ats(): string[];
+export interface ConnectionPool {
+  setPeers(ats: Iterable<string>): void;
+  channelTo(at: string): PeerChannel | undefined;
+  peerAddresses(): string[];
   /** The connections that are up. */
-  all(): Exchange[];
+  openChannels(): PeerChannel[];
   stop(): void;
 }
 
 /** Keeps connections up to the wanted peers, and to no others. */
-export function holdAll(ports: Ports, ways: HoldWays): Holds {
-  const helds = new Map<string, Held>();
+export function makeConnectionPool(ports: Ports, ways: ConnectionOptions): ConnectionPool {
+  const helds = new Map<string, MaintainedConnection>();
   let stopped = false;
 
   function want(ats: Iterable<string>): void {
@@ -251,21 +261,21 @@
       h.stop();
       helds.delete(at);
     }
-    for (const at of wanted) if (!helds.has(at)) helds.set(at, hold(ports, at, ways));
+    for (const at of wanted) if (!helds.has(at)) helds.set(at, maintainConnection(ports, at, ways));
   }
 
-  function up(at: string): Exchange | undefined {
-    return helds.get(at)?.up();
+  function up(at: string): PeerChannel | undefined {
+    return helds.get(at)?.channel();
   }
 
   function ats(): string[] {
     return [...helds.keys()];
   }
 
-  function all(): Exchange[] {
-    const out: Exchange[] = [];
+  function all(): PeerChannel[] {
+    const out: PeerChannel[] = [];
     for (const h of helds.values()) {
-      const ex = h.up();
+      const ex = h.channel();
       if (ex) out.push(ex);
     }
     return out;
@@ -276,13 +286,13 @@
     for (const h of helds.values()) h.stop();
   }
 
-  return { want, up, ats, all, stop };
+  return { setPeers: want, channelTo: up, peerAddresses: ats, openChannels: all, stop };
 }
 
 /** Closes taken connections that have been silent, as a peer that holds one never is; it ends with the process. */
-export async function closeSilent(
+export async function closeIdleChannels(
   ports: Ports,
-  taken: ReadonlySet<Exchange>,
+  taken: ReadonlySet<PeerChannel>,
   silence: number,
   stopped: () => boolean,
 ): Promise<void> {
@@ -294,31 +304,31 @@
     const late = now - before > pace * 2;
     before = now;
     if (late) continue;
-    for (const ex of taken) if (now - ex.heard() > silence) ex.close();
+    for (const ex of taken) if (now - ex.lastReceivedAt() > silence) ex.close();
   }
 }
 
 /** A fault for a peer that has no connection up. */
-export function noConnection(step: string, at: string): Fault {
-  return makeFault(step, at, 'no stream up', 'refused', 'no-stream');
+export function notConnected(step: string, at: string): OperationError {
+  return makeError(step, at, 'no stream up', 'refused', 'no-stream');
 }
 
 /** Takes a peer's hello and gives our own. */
-export class HelloEdge {
+export class HelloHandlers {
   constructor(private readonly own: Hello) {}
 
   /** Checks the wire version first of all. */
-  @message('hello')
-  async hello(body: unknown, ex: Exchange): Handled {
-    const [f, h] = open(checkHello(body, ex.peer));
+  @messageHandler('hello')
+  async hello(body: unknown, ex: PeerChannel): HandlerResult {
+    const [f, h] = errorOrValue(checkHello(body, ex.peer));
     if (f) return Left(f);
     ex.hello = h;
     return Right(this.own);
   }
 
   /** Shows that this process still takes turns. */
-  @message('ping')
-  async ping(): Handled {
+  @messageHandler('ping')
+  async ping(): HandlerResult {
     return Right(true);
   }
 }
--- a/src/shared/transport/handlers.ts
+++ b/src/shared/transport/handlers.ts
@@ -1,6 +1,6 @@
 import { Right } from 'purify-ts';
-import { bad, open, Outcome, sayFault } from '../errors/errors';
-import { Call, Log } from '../ports/ports';
+import { failure, errorOrValue, Result, describeError } from '../errors/errors';
+import { IncomingRequest, Logger } from '../ports/ports';
 import { parseJson } from '../util/lib';
 
 type Maker<T> = new () => T;
@@ -20,7 +20,7 @@
 const messagesOf = new Map<unknown, Map<string, { name: string; shape?: Maker<object> }>>();
 
 /** Marks a checked field of something that crosses an edge. */
-export function field(sort: FieldSort, need = true): (target: object, name: string) => void {
+export function bodyField(sort: FieldSort, need = true): (target: object, name: string) => void {
   function mark(target: object, name: string): void {
     const m = fieldsOf.get(target.constructor) ?? new Map<string, FieldRule>();
     m.set(name, { sort, need });
@@ -30,7 +30,7 @@
 }
 
 /** Marks a method as the handler of an HTTP verb and path; `:x` parts match one segment. */
-export function handles(verb: string, path: string): (target: object, name: string) => void {
+export function httpHandler(verb: string, path: string): (target: object, name: string) => void {
   function mark(target: object, name: string): void {
     handlingsOf.set(target.constructor, [
       ...(handlingsOf.get(target.constructor) ?? []),
@@ -41,7 +41,7 @@
 }
 
 /** Marks a method as the handler of a wire message, its body checked against a shape. */
-export function message(
+export function messageHandler(
   type: string,
   shape?: Maker<object>,
 ): (target: object, name: string) => void {
@@ -61,33 +61,33 @@
 }
 
 /** Checks a body against a marked shape; unknown fields are dropped. */
-export function readAs<T extends object>(
+export function parseBody<T extends object>(
   shape: Maker<T>,
   body: unknown,
   step: string,
   peer: string,
-): Outcome<T> {
+): Result<T> {
   if (typeof body !== 'object' || body === null || Array.isArray(body))
-    return bad(step, peer, 'an object is wanted', 'refused', 'bad-shape');
+    return failure(step, peer, 'an object is wanted', 'refused', 'bad-shape');
   const out = new shape() as Record<string, unknown>;
   const src = body as Record<string, unknown>;
   for (const [name, rule] of fieldsOf.get(shape) ?? []) {
     const v = src[name];
     if (v === undefined || v === null) {
-      if (rule.need) return bad(step, peer, `field ${name} is missing`, 'refused', 'bad-shape');
+      if (rule.need) return failure(step, peer, `field ${name} is missing`, 'refused', 'bad-shape');
       continue;
     }
     if (rule.sort !== 'any' && sortOf(v) !== rule.sort)
-      return bad(step, peer, `field ${name} must be a ${rule.sort}`, 'refused', 'bad-shape');
+      return failure(step, peer, `field ${name} must be a ${rule.sort}`, 'refused', 'bad-shape');
     if (rule.sort === 'number' && !Number.isFinite(v))
-      return bad(step, peer, `field ${name} must be finite`, 'refused', 'bad-shape');
+      return failure(step, peer, `field ${name} must be finite`, 'refused', 'bad-shape');
     out[name] = v;
   }
   return Right(out as T);
 }
 
 /** What a message handler gives back. */
-export type Handled = Promise<Outcome<unknown>>;
+export type HandlerResult = Promise<Result<unknown>>;
 
 /** Hands a wire message to the first of the objects that handles its type. */
 export async function dispatch(
@@ -96,31 +96,36 @@
   body: unknown,
   from: unknown,
   peer: string,
-): Handled {
+): HandlerResult {
   for (const e of edges) {
     const h = messagesOf.get(e.constructor)?.get(type);
     if (!h) continue;
-    const [f, v] = open(h.shape ? readAs(h.shape, body, type, peer) : Right(body as object));
-    if (f) return bad(f.step, f.peer, f.why, f.sort, f.code);
-    return (e as unknown as Record<string, (b: unknown, x: unknown) => Handled>)[h.name](v, from);
+    const [f, v] = errorOrValue(
+      h.shape ? parseBody(h.shape, body, type, peer) : Right(body as object),
+    );
+    if (f) return failure(f.step, f.peer, f.reason, f.certainty, f.code);
+    return (e as unknown as Record<string, (b: unknown, x: unknown) => HandlerResult>)[h.name](
+      v,
+      from,
+    );
   }
-  return bad(type, peer, 'message not known here', 'refused', 'not-known');
+  return failure(type, peer, 'message not known here', 'refused', 'not-known');
 }
 
 /** Sends a JSON return whole. */
-export function giveJson(
-  call: Call,
+export function sendJson(
+  call: IncomingRequest,
   status: number,
   body: unknown,
   headers: Record<string, string> = {},
 ): void {
-  call.head(status, { 'content-type': 'application/json', ...headers });
+  call.writeHead(status, { 'content-type': 'application/json', ...headers });
   call.end(JSON.stringify(body) + '\n');
 }
 
 /** Sends the one documented shape of an error. */
-export function giveFault(
-  call: Call,
+export function sendError(
+  call: IncomingRequest,
   status: number,
   sort: string,
   code: string,
@@ -131,35 +136,38 @@
     retryAfter === undefined
       ? {}
       : { 'retry-after': String(Math.max(1, Math.ceil(retryAfter / 1000))) };
-  giveJson(call, status, { error: { class: sort, code, message: why } }, again);
+  sendJson(call, status, { error: { class: sort, code, message: why } }, again);
 }
 
 /** Reads and checks a JSON body; on a fault the return is given and undefined comes back. */
-export async function takeJson(call: Call, most: number): Promise<unknown | undefined> {
-  const [f, text] = open(await call.body(most));
+export async function readJsonBody(
+  call: IncomingRequest,
+  most: number,
+): Promise<unknown | undefined> {
+  const [f, text] = errorOrValue(await call.body(most));
   if (f) {
-    giveFault(call, f.code === 'too-large' ? 413 : 400, 'refused', f.code ?? 'bad-body', f.why);
+    sendError(call, f.code === 'too-large' ? 413 : 400, 'refused', f.code ?? 'bad-body', f.reason);
     return undefined;
   }
-  const [g, v] = open(parseJson(text, 'read body', call.peer));
+  const [g, v] = errorOrValue(parseJson(text, 'read body', call.peer));
   if (g || v === undefined || v === null) {
-    giveFault(call, 400, 'refused', 'bad-json', g ? g.why : 'empty');
+    sendError(call, 400, 'refused', 'bad-json', g ? g.reason : 'empty');
     return undefined;
   }
   return v;
 }
 
 /** Reads a JSON body and checks it against a marked shape; on a fault the return is given and undefined comes back. */
-export async function takeAs<T extends object>(
-  call: Call,
+export async function readBodyAs<T extends object>(
+  call: IncomingRequest,
   shape: Maker<T>,
   most: number,
   step: string,
 ): Promise<T | undefined> {
-  const body = await takeJson(call, most);
+  const body = await readJsonBody(call, most);
   if (body === undefined) return undefined;
-  const [f, v] = open(readAs(shape, body, step, call.peer));
-  if (f) giveFault(call, 400, 'refused', f.code ?? 'bad-shape', f.why);
+  const [f, v] = errorOrValue(parseBody(shape, body, step, call.peer));
+  if (f) sendError(call, 400, 'refused', f.code ?? 'bad-shape', f.reason);
   return v;
 }
 
@@ -176,8 +184,11 @@
 }
 
 /** Makes the taker of HTTP requests for objects with marked handlers. */
-export function takeCalls(edges: readonly object[], log: Log): (call: Call) => Promise<void> {
-  async function take(call: Call): Promise<void> {
+export function makeRequestListener(
+  edges: readonly object[],
+  log: Logger,
+): (call: IncomingRequest) => Promise<void> {
+  async function take(call: IncomingRequest): Promise<void> {
     let known = false;
     for (const e of edges) {
       for (const h of handlingsOf.get(e.constructor) ?? []) {
@@ -185,18 +196,22 @@
         if (!found) continue;
         known = true;
         if (h.verb !== call.method) continue;
-        await (e as unknown as Record<string, (c: Call, ...x: string[]) => Promise<void>>)[h.name](
-          call,
-          ...found,
-        );
+        await (
+          e as unknown as Record<string, (c: IncomingRequest, ...x: string[]) => Promise<void>>
+        )[h.name](call, ...found);
         return;
       }
     }
     log.info(
       { step: 'take call', peer: call.peer },
-      sayFault({ step: call.method, peer: call.peer, why: call.path, sort: 'refused' }),
+      describeError({
+        step: call.method,
+        peer: call.peer,
+        reason: call.path,
+        certainty: 'refused',
+      }),
     );
-    giveFault(
+    sendError(
       call,
       known ? 405 : 404,
       'refused',
--- a/src/shared/transport/quorum-poll.ts
+++ b/src/shared/transport/quorum-poll.ts
@@ -1,25 +1,25 @@
 import { Left, Right } from 'purify-ts';
-import { makeFault, open, Outcome } from '../errors/errors';
-import { allVoters, isQuorum, Voter, Voters } from '../state/words';
+import { makeError, errorOrValue, Result } from '../errors/errors';
+import { allVoters, isQuorum, Voter, VoterSet } from '../state/words';
 
 function sameDisk(r: { disk?: string } | undefined, v: Voter): boolean {
   return r?.disk === v.disk;
 }
 
 /** Asks all voters and comes back as soon as enough said yes, or no longer can; without a test, a yes is the voter's own disk. */
-export async function poll<T>(
-  voters: Voters,
-  ask: (v: Voter) => Promise<Outcome<T>>,
+export async function pollVoters<T>(
+  voters: VoterSet,
+  ask: (v: Voter) => Promise<Result<T>>,
   yes: (r: T, v: Voter) => boolean = sameDisk as never,
-): Promise<Outcome<T[]>> {
+): Promise<Result<T[]>> {
   const all = allVoters(voters);
   const good = new Set<string>();
   const not = new Set<string>();
   const got: T[] = [];
-  function wait(done: (o: Outcome<T[]>) => void): void {
+  function wait(done: (o: Result<T[]>) => void): void {
     for (const v of all) void one(v);
     async function one(v: Voter): Promise<void> {
-      const [f, r] = open(await ask(v));
+      const [f, r] = errorOrValue(await ask(v));
       if (r !== undefined) got.push(r);
       if (!f && yes(r as T, v)) good.add(v.disk);
       else not.add(v.disk);
@@ -28,7 +28,9 @@
       for (const x of all) if (!not.has(x.disk)) rest.add(x.disk);
       if (!isQuorum(voters, rest))
         done(
-          Left(makeFault('poll', v.at, f ? f.why : 'said no', 'unknown', f?.code ?? 'no-quorum')),
+          Left(
+            makeError('poll', v.at, f ? f.reason : 'said no', 'unknown', f?.code ?? 'no-quorum'),
+          ),
         );
     }
   }
--- a/src/shared/util/lib.ts
+++ b/src/shared/util/lib.ts
@@ -1,24 +1,24 @@
 import { createHash } from 'node:crypto';
 import { Either, Left, Right } from 'purify-ts';
 import { Stream as Feed } from 'most';
-import { Fault, makeFault, Outcome } from '../errors/errors';
-import { Ask, Wire } from '../ports/ports';
+import { OperationError, makeError, Result } from '../errors/errors';
+import { HttpRequest, Network } from '../ports/ports';
 
 /** Parses JSON. */
-export function parseJson(text: string, step: string, peer: string): Outcome<unknown> {
+export function parseJson(text: string, step: string, peer: string): Result<unknown> {
   try {
     return Right(JSON.parse(text) as unknown);
   } catch (e) {
-    return Left(makeFault(step, peer, e, 'failed', 'bad-json'));
+    return Left(makeError(step, peer, e, 'failed', 'bad-json'));
   }
 }
 
 /** Runs what a library may throw from. */
-export function guard<T>(step: string, peer: string, run: () => T): Outcome<T> {
+export function tryCatch<T>(step: string, peer: string, run: () => T): Result<T> {
   try {
     return Right(run());
   } catch (e) {
-    return Left(makeFault(step, peer, e));
+    return Left(makeError(step, peer, e));
   }
 }
 
@@ -28,17 +28,17 @@
 }
 
 /** A short hash of bytes in hex. */
-export function hashOfBytes(bytes: Uint8Array): string {
+export function shortHashOfBytes(bytes: Uint8Array): string {
   return createHash('sha256').update(bytes).digest('hex').slice(0, 16);
 }
 
 /** A whole hash of text in hex. */
-export function wholeHash(text: string): string {
+export function sha256Hex(text: string): string {
   return createHash('sha256').update(text).digest('hex');
 }
 
 /** Sorts names by rendezvous hash for a key: the first is the pick. */
-export function rendezvous(key: string, names: readonly string[]): string[] {
+export function rankByRendezvousHash(key: string, names: readonly string[]): string[] {
   const scored = names.map(score);
   function score(name: string): { name: string; s: string } {
     return { name, s: shortHash(`${key}\n${name}`) };
@@ -59,14 +59,14 @@
 }
 
 /** A `most` feed that is pushed by hand; what comes before the first reader waits for it. */
-export interface HandFeed<T> {
-  feed: Feed<T>;
-  add(x: T): void;
+export interface PushStream<T> {
+  stream: Feed<T>;
+  push(x: T): void;
   end(): void;
 }
 
 /** Makes a feed that is pushed by hand. */
-export function makeFeed<T>(): HandFeed<T> {
+export function makePushStream<T>(): PushStream<T> {
   const sinks = new Set<Sink<T>>();
   let waiting: T[] | undefined = [];
   let over = false;
@@ -91,29 +91,30 @@
     }
     return { dispose };
   }
-  return { feed: new Feed<T>({ run } as never), add, end };
+  return { stream: new Feed<T>({ run } as never), push: add, end };
 }
 
 /** Asks over HTTP and reads a JSON return whole. */
-export async function askJson(
-  wire: Wire,
-  q: Ask,
-): Promise<
-  Outcome<{ status: number; body: unknown; headers: Record<string, string | undefined> }>
-> {
+export async function requestJson(
+  wire: Network,
+  q: HttpRequest,
+): Promise<Result<{ status: number; body: unknown; headers: Record<string, string | undefined> }>> {
   const step = `${q.method} ${q.path}`;
-  const r = await wire.ask({ ...q, headers: { 'content-type': 'application/json', ...q.headers } });
-  if (r.isLeft()) return r as Either<Fault, never>;
-  const reply = r.extract() as Exclude<ReturnType<typeof r.extract>, Fault>;
+  const r = await wire.request({
+    ...q,
+    headers: { 'content-type': 'application/json', ...q.headers },
+  });
+  if (r.isLeft()) return r as Either<OperationError, never>;
+  const reply = r.extract() as Exclude<ReturnType<typeof r.extract>, OperationError>;
   let text = '';
   for (;;) {
-    const p = await reply.next();
-    if (p.isLeft()) return p as Either<Fault, never>;
+    const p = await reply.nextChunk();
+    if (p.isLeft()) return p as Either<OperationError, never>;
     const piece = p.extract() as string | undefined;
     if (piece === undefined) break;
     text += piece;
   }
-  const parsed = text === '' ? Right(undefined) : parseJson(text, step, q.at);
+  const parsed = text === '' ? Right(undefined) : parseJson(text, step, q.address);
   function whole(body: unknown): {
     status: number;
     body: unknown;
@@ -125,12 +126,12 @@
 }
 
 /** Cuts pulled pieces into lines; undefined is a whole end, a broken last line is a fault. */
-export function lineReader(
-  next: () => Promise<Outcome<string | undefined>>,
+export function makeLineReader(
+  next: () => Promise<Result<string | undefined>>,
   peer: string,
-): () => Promise<Outcome<string | undefined>> {
+): () => Promise<Result<string | undefined>> {
   let held = '';
-  async function line(): Promise<Outcome<string | undefined>> {
+  async function line(): Promise<Result<string | undefined>> {
     for (;;) {
       const at = held.indexOf('\n');
       if (at >= 0) {
@@ -142,7 +143,7 @@
       if (p.isLeft()) return p;
       const piece = p.extract() as string | undefined;
       if (piece === undefined) {
-        if (held !== '') return Left(makeFault('read lines', peer, 'broken last line'));
+        if (held !== '') return Left(makeError('read lines', peer, 'broken last line'));
         return Right(undefined);
       }
       held += piece;
@@ -152,8 +153,8 @@
 }
 
 /** Reads an answer to its end after its last line, which frees its connection and timer; where more comes, it is cancelled. */
-export async function finishReply(
-  line: () => Promise<Outcome<string | undefined>>,
+export async function readToEnd(
+  line: () => Promise<Result<string | undefined>>,
   cancel: () => void,
 ): Promise<void> {
   const rest = await line();
--- a/test/compatibility/stored.test.ts
+++ b/test/compatibility/stored.test.ts
@@ -7,8 +7,8 @@
 import { tmpdir } from 'node:os';
 import { join } from 'node:path';
 import { Controller } from '../../src/control/controller';
-import { Outcome } from '../../src/shared/errors/errors';
-import { KEYS, Voters } from '../../src/shared/state/words';
+import { Result } from '../../src/shared/errors/errors';
+import { CONTROL_KEYS, VoterSet } from '../../src/shared/state/words';
 import { damagedForms } from '../../tools/compatibility/disk-damage';
 import { cellsOf, DiskFiles, stateOf } from '../../tools/compatibility/disk-state';
 import { DamagedState, ExpectedDisk, expectedOf } from '../../tools/compatibility/expected-disks';
@@ -95,19 +95,19 @@
 async function startsAController(name: string): Promise<void> {
   const { state } = expected.disks[name];
   const controller = await startAlone(loadDisk(name));
-  expect(controller.slots.disk).toBe(state.disk);
-  expect(controller.slots.spoilt).toBe(state.spoilt);
-  expect(learnedOf(cellsOf(controller.slots))).toEqual(learnedOf(state.cells));
+  expect(controller.store.diskId).toBe(state.disk);
+  expect(controller.store.isCorrupt).toBe(state.spoilt);
+  expect(learnedOf(cellsOf(controller.store))).toEqual(learnedOf(state.cells));
   const held = (await controller.votes.held({ begins: '' })).extract() as { votes: unknown };
   expect(held.votes).toEqual(state.votes);
 }
 
 async function jointSetStays(): Promise<void> {
   const controller = await startAlone(loadDisk('joint-core-1'));
-  const voters = controller.voters() as Voters;
+  const voters = controller.voters() as VoterSet;
   expect(voters.now.length).toBe(3);
   expect(voters.next?.length).toBe(3);
-  expect(controller.value(KEYS.voters)?.value).toEqual(voters);
+  expect(controller.committedValue(CONTROL_KEYS.voters)?.value).toEqual(voters);
 }
 
 function fleetDisks(): Map<string, DiskFiles> {
@@ -131,10 +131,10 @@
 }
 
 /** Asks the only controller of a fleet for its vote, and runs virtual time on until it answers. */
-async function voteAt(fleet: SimFleet): Promise<Outcome<unknown>> {
+async function voteAt(fleet: SimFleet): Promise<Result<unknown>> {
   const { votes } = fleet.controllers.get('core-1')!;
-  const answers: Outcome<unknown>[] = [];
-  function answered(answer: Outcome<unknown>): void {
+  const answers: Result<unknown>[] = [];
+  function answered(answer: Result<unknown>): void {
     answers.push(answer);
   }
   void votes.vote({ key: 'other', run: 'run-1' }).then(answered);
@@ -150,10 +150,13 @@
     if (sort !== 'synced data changed') continue;
     tried++;
     const fleet = await startOn(new Map([['core-1', files]]));
-    const { slots } = fleet.controllers.get('core-1')!;
-    expect({ what, spoilt: slots.spoilt }).toEqual({ what, spoilt: true });
-    expect(slots.disk).not.toBe(expected.disks['fleet-core-1'].state.disk);
-    expect((await voteAt(fleet)).extract()).toMatchObject({ sort: 'refused', code: 'no-voter' });
+    const { store: slots } = fleet.controllers.get('core-1')!;
+    expect({ what, spoilt: slots.isCorrupt }).toEqual({ what, spoilt: true });
+    expect(slots.diskId).not.toBe(expected.disks['fleet-core-1'].state.disk);
+    expect((await voteAt(fleet)).extract()).toMatchObject({
+      certainty: 'refused',
+      code: 'no-voter',
+    });
   }
   expect(tried).toBeGreaterThan(2);
   const whole = await startOn(new Map([['core-1', loadDisk('fleet-core-1')]]));
--- a/test/compatibility/wire.test.ts
+++ b/test/compatibility/wire.test.ts
@@ -11,22 +11,22 @@
 import { promisify } from 'node:util';
 import { Right } from 'purify-ts';
 import { Acceptor } from '../../src/control/consensus/acceptor';
-import { Leases } from '../../src/control/leases/lease-registry';
-import { ControlEdge } from '../../src/control/peer-handlers';
-import { ReadEdge } from '../../src/control/consensus/linearizable-read';
-import { ReplicaEdge } from '../../src/control/consensus/replica-sync';
-import { RosterEdge } from '../../src/control/membership/voter-set-controller';
-import { Votes } from '../../src/control/storage/idempotency-votes';
+import { LeaseRegistry } from '../../src/control/leases/lease-registry';
+import { PeerHandlers } from '../../src/control/peer-handlers';
+import { ReadHandlers } from '../../src/control/consensus/linearizable-read';
+import { ReplicaHandlers } from '../../src/control/consensus/replica-sync';
+import { MembershipRequests } from '../../src/control/membership/voter-set-controller';
+import { IdempotencyVotes } from '../../src/control/storage/idempotency-votes';
 import { WeightsEdge } from '../../src/data/gateway/weights';
 import { IndexEdge } from '../../src/index/messages';
 import { OverlapEdge } from '../../src/index/overlap';
 import { WholeEdge } from '../../src/index/repair';
-import { HelloEdge } from '../../src/shared/transport/connections';
+import { HelloHandlers } from '../../src/shared/transport/connections';
 import { dispatch } from '../../src/shared/transport/handlers';
-import { FollowEdge } from '../../src/shared/replication/follower-handlers';
-import { PackedEdge } from '../../src/shared/transport/compressed-requests';
+import { FollowerHandlers } from '../../src/shared/replication/follower-handlers';
+import { CompressedRequestHandlers } from '../../src/shared/transport/compressed-requests';
 import { Message } from '../../src/shared/ports/ports';
-import { realWire } from '../../src/shared/system/tcp-network';
+import { makeSystemNetwork } from '../../src/shared/system/tcp-network';
 import { RecordedExchange, RecordedType, unpackMessage } from '../../tools/compatibility/recording';
 import { readRecording } from '../../tools/compatibility/stored-recording';
 
@@ -38,16 +38,16 @@
 const UNKNOWN = 'no-such-type';
 /** All classes whose methods take messages. */
 const EDGES: readonly { prototype: object }[] = [
-  HelloEdge,
-  PackedEdge,
-  FollowEdge,
+  HelloHandlers,
+  CompressedRequestHandlers,
+  FollowerHandlers,
   Acceptor,
-  ControlEdge,
-  Leases,
-  ReadEdge,
-  ReplicaEdge,
-  RosterEdge,
-  Votes,
+  PeerHandlers,
+  LeaseRegistry,
+  ReadHandlers,
+  ReplicaHandlers,
+  MembershipRequests,
+  IdempotencyVotes,
   WeightsEdge,
   IndexEdge,
   OverlapEdge,
@@ -70,10 +70,10 @@
   for (const file of readdirSync(SOURCES, { recursive: true, encoding: 'utf8' })) {
     if (!file.endsWith('.ts')) continue;
     const text = readFileSync(join(SOURCES, file), 'utf8');
-    const named = [...text.matchAll(/@message\(\s*'([^']+)'/g)];
+    const named = [...text.matchAll(/@messageHandler\(\s*'([^']+)'/g)];
     expect({ file, marks: named.length }).toEqual({
       file,
-      marks: text.split('@message(').length - 1,
+      marks: text.split('@messageHandler(').length - 1,
     });
     for (const [, type] of named) types.add(type);
   }
@@ -128,12 +128,12 @@
   }
   await new Promise<void>(listen);
   const { port } = server.address() as net.AddressInfo;
-  const dialled = await realWire(1000).dial(`127.0.0.1:${port}`, 1000);
+  const dialled = await makeSystemNetwork(1000).connect(`127.0.0.1:${port}`, 1000);
   const connection = dialled.unsafeCoerce();
   function sendBack(message: Message): void {
     connection.send(message);
   }
-  void connection.feed.observe(sendBack);
+  void connection.messages.observe(sendBack);
   await over;
   connection.close();
   server.close();
--- a/test/control/cut-off.test.ts
+++ b/test/control/cut-off.test.ts
@@ -1,7 +1,7 @@
 import { Controller } from '../../src/control/controller';
 import { Settings } from '../../src/shared/settings/settings';
-import { Call } from '../../src/shared/ports/ports';
-import { KEYS } from '../../src/shared/state/words';
+import { IncomingRequest } from '../../src/shared/ports/ports';
+import { CONTROL_KEYS } from '../../src/shared/state/words';
 import { Proc } from '../../tools/sim/simworld';
 import { CoreRig, documentOf, Heard, makeCore, PATHS } from './deploymentrig';
 
@@ -131,8 +131,8 @@
 }
 
 /** What the controller owns that is cut off: one key at least, or not the deployment. */
-type Role = typeof KEYS.deployment | typeof KEYS.engines | 'no owner';
-const ROLES: Role[] = [KEYS.deployment, KEYS.engines, 'no owner'];
+type Role = typeof CONTROL_KEYS.deployment | typeof CONTROL_KEYS.engines | 'no owner';
+const ROLES: Role[] = [CONTROL_KEYS.deployment, CONTROL_KEYS.engines, 'no owner'];
 
 interface Scene {
   f: CoreRig;
@@ -154,18 +154,18 @@
     duties: true,
   });
   const polls = new Map<string, number>();
-  async function list(call: Call): Promise<void> {
+  async function list(call: IncomingRequest): Promise<void> {
     polls.set(call.peer, (polls.get(call.peer) ?? 0) + 1);
-    call.head(200, { 'content-type': 'application/json' });
+    call.writeHead(200, { 'content-type': 'application/json' });
     call.end(JSON.stringify({ instances: [], nextPageToken: null }));
   }
-  await f.net.ports(f.w.proc('platform', PLATFORM)).wire.serve(`${PLATFORM}:9000`, list);
+  await f.net.ports(f.w.proc('platform', PLATFORM)).network.serveHttp(`${PLATFORM}:9000`, list);
   const first = await f.settled(f.insist(0, PATHS.replace, 0, documentOf(10, ['/a/']), 12000));
   expect(first?.status).toBe(200);
   await f.pass(3000);
   function hasRole(p: Proc): boolean {
-    const { owns } = f.controllers.get(p.name)!.owner;
-    return role === 'no owner' ? !owns(KEYS.deployment) : owns(role);
+    const { owns } = f.controllers.get(p.name)!.keyOwner;
+    return role === 'no owner' ? !owns(CONTROL_KEYS.deployment) : owns(role);
   }
   const cutOff = f.core.filter(hasRole)[0];
   function isOther(p: Proc): boolean {
@@ -225,7 +225,7 @@
   const polled = s.polls.get(cutOff.ip) ?? 0;
   for (const wait of [1000, 5000, 5000]) {
     await f.pass(wait);
-    const owned = controllerOf(s).owner.owned();
+    const owned = controllerOf(s).keyOwner.ownedKeys();
     if (owned.length > 0) note(`still owns ${owned.join()}`);
     for (const a of await probe(f, cutOff, probesOn(10, 13)))
       if (isWrong(a)) note(`later ${inShort(a)}`);
@@ -269,7 +269,7 @@
   const faults: string[] = [];
   for (const size of [3, 5]) {
     for (const told of BOUNDS) {
-      const s = await begin(size, size, told, KEYS.deployment);
+      const s = await begin(size, size, told, CONTROL_KEYS.deployment);
       slowLinks(s.f, s.cutOff, s.others);
       for (const a of await probe(s.f, s.cutOff, [probesOn(10, 11)[0]]))
         if (a.took >= SECOND) faults.push(`size ${size}: ${inShort(a)}`);
--- a/test/control/deployment-histories.test.ts
+++ b/test/control/deployment-histories.test.ts
@@ -1,6 +1,6 @@
-import { makeOrder } from '../../src/control/configuration/deployment-change';
+import { makeDeploymentOperation } from '../../src/control/configuration/deployment-change';
 import { DeploymentValue, StoredOrder } from '../../src/shared/state/deployment';
-import { Clock, Dice } from '../../src/shared/ports/ports';
+import { Clock, RandomSource } from '../../src/shared/ports/ports';
 import { seededDice } from '../../tools/sim/dice';
 import { Proc } from '../../tools/sim/simworld';
 import { begin, CoreRig, documentOf, isolate, PATHS } from './deploymentrig';
@@ -25,12 +25,15 @@
   statuses: number[];
 }
 
-function choose<T>(dice: Dice, from: T[]): T {
+function choose<T>(dice: RandomSource, from: T[]): T {
   return from[Math.floor(dice.next() * from.length)];
 }
 
 /** An order on top of what its operator takes for the newest, or a mistaken one. */
-function drawOrder(dice: Dice, newest: number): { body: Record<string, unknown>; sent: SentOrder } {
+function drawOrder(
+  dice: RandomSource,
+  newest: number,
+): { body: Record<string, unknown>; sent: SentOrder } {
   const mistake = dice.next();
   const base = mistake < 0.1 ? Math.floor(dice.next() * newest) : newest;
   const rise = 1 + Math.floor(dice.next() * 3);
@@ -43,7 +46,7 @@
     return { ...route, service };
   }
   const body = { ...whole, routes };
-  const { sum } = makeOrder(base, 'replace', body);
+  const { sum } = makeDeploymentOperation(base, 'replace', body);
   const isValid = revision > base && service === 'engines';
   return { body, sent: { base, revision, sum: sum!, isValid, statuses: [] } };
 }
@@ -51,7 +54,7 @@
 async function sendUntilClear(
   rig: CoreRig,
   clock: Clock,
-  dice: Dice,
+  dice: RandomSource,
   body: unknown,
   sent: SentOrder,
 ): Promise<number | undefined> {
@@ -66,7 +69,7 @@
 }
 
 /** The newest revision, asked of one controller after the other. */
-async function readNewest(rig: CoreRig, clock: Clock, dice: Dice): Promise<number> {
+async function readNewest(rig: CoreRig, clock: Clock, dice: RandomSource): Promise<number> {
   for (;;) {
     const heard = await rig.call(choose(dice, rig.core), 'GET', PATHS.describe);
     if (heard?.status === 200) return heard.body.revision as number;
@@ -74,7 +77,12 @@
   }
 }
 
-async function operate(rig: CoreRig, clock: Clock, dice: Dice, all: SentOrder[]): Promise<void> {
+async function operate(
+  rig: CoreRig,
+  clock: Clock,
+  dice: RandomSource,
+  all: SentOrder[],
+): Promise<void> {
   let newest = 1;
   for (let i = 0; i < ORDERS_PER_OPERATOR; i++) {
     const { body, sent } = drawOrder(dice, newest);
@@ -85,7 +93,7 @@
   }
 }
 
-async function trouble(rig: CoreRig, dice: Dice): Promise<void> {
+async function trouble(rig: CoreRig, dice: RandomSource): Promise<void> {
   const victim = choose(dice, rig.core);
   const others = rig.core.filter(isOther);
   function isOther(p: Proc): boolean {
@@ -110,7 +118,7 @@
 function takenOrders(rig: CoreRig): StoredOrder[] {
   let newest: DeploymentValue | undefined;
   for (const controller of rig.controllers.values()) {
-    const value = controller.value<DeploymentValue>('deployment')?.value;
+    const value = controller.committedValue<DeploymentValue>('deployment')?.value;
     if (value && value.revision > (newest?.revision ?? 0)) newest = value;
   }
   return newest!.taken;
--- a/test/control/deployment-memory.test.ts
+++ b/test/control/deployment-memory.test.ts
@@ -1,13 +1,13 @@
 import { Packr } from 'msgpackr';
 import {
   DeploymentOperation,
-  makeDeployment,
-  makeOrder,
+  computeDeployment,
+  makeDeploymentOperation,
 } from '../../src/control/configuration/deployment-change';
-import { REMEMBERED_ORDERS } from '../../src/control/configuration/accepted-changes';
+import { MAX_ACCEPTED_CHANGES } from '../../src/control/configuration/accepted-changes';
 import { DeploymentValue } from '../../src/shared/state/deployment';
-import { Fault } from '../../src/shared/errors/errors';
-import { Numbered } from '../../src/shared/state/words';
+import { OperationError } from '../../src/shared/errors/errors';
+import { VersionedValue } from '../../src/shared/state/words';
 import { platform } from '../../platform/dialect';
 import { documentOf } from './deploymentrig';
 
@@ -17,7 +17,7 @@
 /** A caller's pause, a minute, at ten changes a second. */
 const CHANGES_IN_A_PAUSE = 600;
 
-function standing(value: DeploymentValue | undefined): Numbered | undefined {
+function standing(value: DeploymentValue | undefined): VersionedValue | undefined {
   return value && { key: 'deployment', epoch: 1, by: 'a', number: 1, value };
 }
 
@@ -26,14 +26,17 @@
 }
 
 function take(value: DeploymentValue | undefined, op: DeploymentOperation): DeploymentValue {
-  return makeDeployment(op, standing(value), platform).extract() as DeploymentValue;
+  return computeDeployment(op, standing(value), platform).extract() as DeploymentValue;
 }
 
-function refusal(value: DeploymentValue | undefined, op: DeploymentOperation): Partial<Fault> {
-  const outcome = makeDeployment(op, standing(value), platform);
+function refusal(
+  value: DeploymentValue | undefined,
+  op: DeploymentOperation,
+): Partial<OperationError> {
+  const outcome = computeDeployment(op, standing(value), platform);
   expect(outcome.isLeft()).toBe(true);
-  const { code, sort } = outcome.extract() as Fault;
-  return { code, sort };
+  const { code, certainty: sort } = outcome.extract() as OperationError;
+  return { code, certainty: sort };
 }
 
 /** Takes orders whose revisions are 10, 20, 30 and so on. */
@@ -49,32 +52,35 @@
 
 function knownAfterPause(): void {
   const value = takeMany(CHANGES_IN_A_PAUSE + 1);
-  expect(refusal(value, replace(0, 10))).toEqual({ code: 'stands', sort: 'refused' });
+  expect(refusal(value, replace(0, 10))).toEqual({ code: 'stands', certainty: 'refused' });
   expect(refusal(value, replace(10, 20)).code).toBe('stands');
 }
 
 function olderThanMemory(): void {
-  const value = takeMany(REMEMBERED_ORDERS + 3);
+  const value = takeMany(MAX_ACCEPTED_CHANGES + 3);
   const oldestBase = 30;
-  expect(value.taken.length).toBe(REMEMBERED_ORDERS);
+  expect(value.taken.length).toBe(MAX_ACCEPTED_CHANGES);
   expect(value.taken[0]).toMatchObject({ base: oldestBase, revision: oldestBase + 10 });
-  expect(refusal(value, replace(10, 20))).toEqual({ code: 'forgotten', sort: 'unknown' });
-  expect(refusal(value, replace(20, oldestBase))).toEqual({ code: 'forgotten', sort: 'unknown' });
+  expect(refusal(value, replace(10, 20))).toEqual({ code: 'forgotten', certainty: 'unknown' });
+  expect(refusal(value, replace(20, oldestBase))).toEqual({
+    code: 'forgotten',
+    certainty: 'unknown',
+  });
   const change = { revision: 20, remove: { routes: ['r-a-'] } };
   expect(refusal(value, { kind: 'deployment', base: 10, change }).code).toBe('forgotten');
 }
 
 function neverTaken(): void {
-  const value = takeMany(REMEMBERED_ORDERS + 3);
+  const value = takeMany(MAX_ACCEPTED_CHANGES + 3);
   const oldestBase = 30;
-  const conflict = { code: 'conflict', sort: 'refused' };
+  const conflict = { code: 'conflict', certainty: 'refused' };
   expect(refusal(value, replace(10, oldestBase + 1))).toEqual(conflict);
   expect(refusal(value, replace(10, 10))).toEqual(conflict);
   expect(refusal(value, replace(10, 5))).toEqual(conflict);
   expect(refusal(value, replace(oldestBase, oldestBase + 5))).toEqual(conflict);
   expect(refusal(value, { kind: 'deployment', base: 10, doc: { revision: 20 } })).toEqual({
     code: 'bad-deployment',
-    sort: 'refused',
+    certainty: 'refused',
   });
 }
 
@@ -102,22 +108,22 @@
   const text = JSON.stringify(documentOf(10, ['/a/']));
   for (const note of ODD_NOTES) {
     const body: unknown = JSON.parse(`${text.slice(0, -1)},"note":${note}}`);
-    const op = makeOrder(0, 'replace', body);
+    const op = makeDeploymentOperation(0, 'replace', body);
     expect([note, refusal(take(undefined, op), asForwarded(op)).code]).toEqual([note, 'stands']);
     expect([note, refusal(take(undefined, asForwarded(op)), op).code]).toEqual([note, 'stands']);
   }
 }
 
 function appendOnly(): void {
-  let value = takeMany(REMEMBERED_ORDERS - 2);
-  for (let i = REMEMBERED_ORDERS - 1; i < REMEMBERED_ORDERS + 3; i++) {
+  let value = takeMany(MAX_ACCEPTED_CHANGES - 2);
+  for (let i = MAX_ACCEPTED_CHANGES - 1; i < MAX_ACCEPTED_CHANGES + 3; i++) {
     const next = take(value, replace((i - 1) * 10, i * 10));
-    const dropped = Math.max(0, value.taken.length + 1 - REMEMBERED_ORDERS);
+    const dropped = Math.max(0, value.taken.length + 1 - MAX_ACCEPTED_CHANGES);
     expect(next.taken.slice(0, -1)).toEqual(value.taken.slice(dropped));
     expect(next.taken.at(-1)).toMatchObject({ base: value.revision, revision: i * 10 });
     value = next;
   }
-  expect(new Set(value.taken.map(sumOf)).size).toBe(REMEMBERED_ORDERS);
+  expect(new Set(value.taken.map(sumOf)).size).toBe(MAX_ACCEPTED_CHANGES);
   expect(JSON.stringify(value.taken).length).toBeLessThan(64 * 1024);
 }
 
--- a/test/control/deployment.test.ts
+++ b/test/control/deployment.test.ts
@@ -1,22 +1,25 @@
-import { applyNamed, makeDeployment } from '../../src/control/configuration/deployment-change';
+import {
+  applyNamedChange,
+  computeDeployment,
+} from '../../src/control/configuration/deployment-change';
 import { DeploymentValue } from '../../src/shared/state/deployment';
 import { platform } from '../../platform/dialect';
 import { CoreRig, documentOf, Heard, makeCore, PATHS } from './deploymentrig';
 
 function codeOf(base: number, doc: unknown, stands?: DeploymentValue): string {
   const now = stands && { key: 'deployment', epoch: 1, by: 'a', number: 1, value: stands };
-  const o = makeDeployment({ kind: 'deployment', base, doc }, now, platform);
+  const o = computeDeployment({ kind: 'deployment', base, doc }, now, platform);
   return o.isLeft() ? String((o.extract() as { code?: string }).code) : 'taken';
 }
 
 function changeCode(base: number, change: unknown, stands?: DeploymentValue): string {
   const now = stands && { key: 'deployment', epoch: 1, by: 'a', number: 1, value: stands };
-  const o = makeDeployment({ kind: 'deployment', base, change }, now, platform);
+  const o = computeDeployment({ kind: 'deployment', base, change }, now, platform);
   return o.isLeft() ? String((o.extract() as { code?: string }).code) : 'taken';
 }
 
 function taken(doc: Record<string, unknown>): DeploymentValue {
-  return makeDeployment(
+  return computeDeployment(
     { kind: 'deployment', base: 0, doc },
     undefined,
     platform,
@@ -85,7 +88,7 @@
     upsert: { routes: [(documentOf(9, ['/b/']) as { routes: object[] }).routes[0]] },
     remove: { routes: ['r-a-'] },
   };
-  const o = makeDeployment(
+  const o = computeDeployment(
     { kind: 'deployment', base: 5, change },
     { key: 'deployment', epoch: 1, by: 'a', number: 1, value: stands },
     platform,
@@ -105,7 +108,7 @@
     services: [{ name: 's' }],
     limits: { x: 1 },
   };
-  const out = applyNamed(doc, {
+  const out = applyNamedChange(doc, {
     revision: 2,
     upsert: { routes: [{ name: 'd' }, { name: 'a' }], tenants: [{ name: 't' }] },
     remove: { routes: ['b', 'none'] },
@@ -160,7 +163,7 @@
   ])
     expect((await ask(f, i, PATHS.weights, undefined, { model: 'm', revision })).status).toBe(200);
   for (const c of f.controllers.values())
-    expect(c.value<{ weights: string; rank: number }>('weights/m')?.value).toMatchObject({
+    expect(c.committedValue<{ weights: string; rank: number }>('weights/m')?.value).toMatchObject({
       weights: '3',
       rank: 3,
     });
--- a/test/control/deploymentrig.ts
+++ b/test/control/deploymentrig.ts
@@ -1,8 +1,8 @@
 import { Controller, startController } from '../../src/control/controller';
 import { serveDeployment } from '../../src/control/api/deployment-api';
-import { startDuties } from '../../src/control/singletons/background-tasks';
-import { open } from '../../src/shared/errors/errors';
-import { askJson } from '../../src/shared/util/lib';
+import { startBackgroundTasks } from '../../src/control/singletons/background-tasks';
+import { errorOrValue } from '../../src/shared/errors/errors';
+import { requestJson } from '../../src/shared/util/lib';
 import { defaultSettings, Settings } from '../../src/shared/settings/settings';
 import { platform } from '../../platform/dialect';
 import { makeNet, SimNet } from '../../tools/sim/simwire';
@@ -123,7 +123,7 @@
     void run();
     async function run(): Promise<void> {
       const ports = net.ports(p);
-      const [f, c] = open(
+      const [f, c] = errorOrValue(
         await startController(
           ports,
           { ...settingsOf(p.name, p.ip, seeds, !started.has(p.name)), ...ways.told },
@@ -131,10 +131,10 @@
         ),
       );
       started.add(p.name);
-      if (f) return w.trace(`${p.name} did not start: ${f.why}`);
+      if (f) return w.trace(`${p.name} did not start: ${f.reason}`);
       controllers.set(p.name, c);
       await serveDeployment(c, ports, platform);
-      if (ways.duties) startDuties(c, ports, platform);
+      if (ways.duties) startBackgroundTasks(c, ports, platform);
     }
   }
 
@@ -164,14 +164,14 @@
       base === undefined ? {} : { 'plumhollow-base-version': String(base) };
     const at = `${p.ip}:8000`;
     const text = typeof body === 'string' ? body : JSON.stringify(body);
-    const [f, r] = open(
-      await askJson(net.ports(operator).wire, {
-        at,
+    const [f, r] = errorOrValue(
+      await requestJson(net.ports(operator).network, {
+        address: at,
         method,
         path,
         headers,
         body: body === undefined ? undefined : text,
-        within: SILENCE,
+        timeoutMs: SILENCE,
       }),
     );
     return f ? undefined : { status: r.status, body: (r.body ?? {}) as Record<string, unknown> };
--- a/test/control/disk-killed.test.ts
+++ b/test/control/disk-killed.test.ts
@@ -3,9 +3,13 @@
  * read was never synced, and is gone then.
  */
 
-import { openSlots, Slots } from '../../src/control/storage/control-store';
-import { KeptVotes, readVotes, Votes } from '../../src/control/storage/idempotency-votes';
-import { open } from '../../src/shared/errors/errors';
+import { openControlStore, ControlStore } from '../../src/control/storage/control-store';
+import {
+  StoredVotes,
+  readStoredVotes,
+  IdempotencyVotes,
+} from '../../src/control/storage/idempotency-votes';
+import { errorOrValue } from '../../src/shared/errors/errors';
 import { Ports } from '../../src/shared/ports/ports';
 import { Folder, makeFolder, Remainder } from '../../tools/model/disk';
 import { acceptedLine, numberOf, portsOn } from './diskrig';
@@ -24,15 +28,19 @@
 }
 
 /** Starts a life as a controller does; undefined where it did not come that far. */
-async function start(folder: Folder, life: number, syncs: number): Promise<Slots | undefined> {
+async function start(
+  folder: Folder,
+  life: number,
+  syncs: number,
+): Promise<ControlStore | undefined> {
   const ports = portsOf(folder, life, syncs);
   function nobody(): undefined {
     return undefined;
   }
-  async function run(): Promise<Slots> {
-    const kept = (await readVotes(ports)).extract() as KeptVotes;
-    const [, slots] = open(await openSlots(ports, 1 << 20, kept));
-    await new Votes(slots!, ports, nobody, KEEP_MS).begin(kept);
+  async function run(): Promise<ControlStore> {
+    const kept = (await readStoredVotes(ports)).extract() as StoredVotes;
+    const [, slots] = errorOrValue(await openControlStore(ports, 1 << 20, kept));
+    await new IdempotencyVotes(slots!, ports, nobody, KEEP_MS).start(kept);
     await slots!.put(acceptedLine(life));
     return slots!;
   }
@@ -53,7 +61,7 @@
     for (const remainder of REMAINDERS) {
       const folder = makeFolder();
       let disk = '';
-      for (let life = 1; life <= 4; life++) disk = (await start(folder, life, Infinity))!.disk;
+      for (let life = 1; life <= 4; life++) disk = (await start(folder, life, Infinity))!.diskId;
       await start(folder, 5, syncs);
       await start(folder, 6, Infinity);
       const names = folder.unsynced();
@@ -65,8 +73,8 @@
       const what = { syncs, remainder, names };
       expect({
         ...what,
-        disk: again!.disk,
-        spoilt: again!.spoilt,
+        disk: again!.diskId,
+        spoilt: again!.isCorrupt,
         number: numberOf(again!),
       }).toEqual({
         ...what,
--- a/test/control/disk-spoilt.test.ts
+++ b/test/control/disk-spoilt.test.ts
@@ -1,8 +1,12 @@
 import { crc32 } from 'node:zlib';
 import { pack } from 'msgpackr';
-import { openSlots } from '../../src/control/storage/control-store';
-import { KeptVotes, readVotes, Votes } from '../../src/control/storage/idempotency-votes';
-import { open } from '../../src/shared/errors/errors';
+import { openControlStore } from '../../src/control/storage/control-store';
+import {
+  StoredVotes,
+  readStoredVotes,
+  IdempotencyVotes,
+} from '../../src/control/storage/idempotency-votes';
+import { errorOrValue } from '../../src/shared/errors/errors';
 import { acceptedLine, Files, numberOf, opened, portsOn, spoils } from './diskrig';
 
 async function everyCut(): Promise<void> {
@@ -23,11 +27,11 @@
       const torn: Files = new Map(files);
       torn.set('log-1', Buffer.concat([log.subarray(0, cut), Buffer.alloc(hole)]));
       const again = await opened(torn, 9);
-      expect({ cut, hole, number: numberOf(again), disk: again.disk }).toEqual({
+      expect({ cut, hole, number: numberOf(again), disk: again.diskId }).toEqual({
         cut,
         hole,
         number: want,
-        disk: s.disk,
+        disk: s.diskId,
       });
     }
   }
@@ -42,18 +46,22 @@
   let kept = 0;
   for (const x of spoils(files)) {
     const again = await opened(x.files, 9);
-    const same = again.disk === first.disk;
+    const same = again.diskId === first.diskId;
     if (same) kept++;
-    expect({ what: x.what, forgot: same && numberOf(again) !== 4, spoilt: again.spoilt }).toEqual({
+    expect({
+      what: x.what,
+      forgot: same && numberOf(again) !== 4,
+      spoilt: again.isCorrupt,
+    }).toEqual({
       what: x.what,
       forgot: false,
       spoilt: !same,
     });
     const later = await opened(x.files, 10);
-    expect({ what: x.what, disk: later.disk, spoilt: later.spoilt }).toEqual({
+    expect({ what: x.what, disk: later.diskId, spoilt: later.isCorrupt }).toEqual({
       what: x.what,
-      disk: again.disk,
-      spoilt: again.spoilt,
+      disk: again.diskId,
+      spoilt: again.isCorrupt,
     });
   }
   expect(kept).toBeGreaterThan(files.get('slot-0')!.length + files.get('slot-1')!.length);
@@ -93,17 +101,17 @@
     ['votes-0', oldFrame({ gen: 3 })],
   ]);
   for (let i = 0; i < 4; i++) {
-    const kept = (await readVotes(portsOn(files))).extract() as KeptVotes;
-    const [, s] = open(await openSlots(portsOn(files), 1 << 20, kept));
+    const kept = (await readStoredVotes(portsOn(files))).extract() as StoredVotes;
+    const [, s] = errorOrValue(await openControlStore(portsOn(files), 1 << 20, kept));
     expect({
       i,
-      disk: s!.disk,
-      spoilt: s!.spoilt,
+      disk: s!.diskId,
+      spoilt: s!.isCorrupt,
       number: numberOf(s!),
-      learned: s!.cells.get('k')?.learned?.number,
+      learned: s!.registers.get('k')?.learned?.number,
     }).toEqual({ i, disk: 'd', spoilt: false, number: 5, learned: 5 });
-    const votes = new Votes(s!, portsOn(files), nobody, 1000);
-    await votes.begin(kept);
+    const votes = new IdempotencyVotes(s!, portsOn(files), nobody, 1000);
+    await votes.start(kept);
     expect((await votes.held({ begins: 'x' })).extract()).toMatchObject({ votes: [vote] });
   }
   function nobody(): undefined {
@@ -115,11 +123,11 @@
   const files: Files = new Map();
   const s = await opened(files);
   await s.put(acceptedLine(1));
-  for (const disk of [s.disk, '']) {
-    const [, again] = open(
-      await openSlots(portsOn(new Map(files), 9), 1 << 20, { disk, spoilt: false }),
+  for (const disk of [s.diskId, '']) {
+    const [, again] = errorOrValue(
+      await openControlStore(portsOn(new Map(files), 9), 1 << 20, { disk, isCorrupt: false }),
     );
-    expect(again!.disk === s.disk).toBe(disk === s.disk);
+    expect(again!.diskId === s.diskId).toBe(disk === s.diskId);
   }
 }
 
--- a/test/control/disk-torn.test.ts
+++ b/test/control/disk-torn.test.ts
@@ -3,8 +3,8 @@
  */
 
 import * as fc from 'fast-check';
-import { openSlots, Slots } from '../../src/control/storage/control-store';
-import { open, Outcome } from '../../src/shared/errors/errors';
+import { openControlStore, ControlStore } from '../../src/control/storage/control-store';
+import { errorOrValue, Result } from '../../src/shared/errors/errors';
 import { Ports } from '../../src/shared/ports/ports';
 import { Files, numberOf, portsOn } from './diskrig';
 
@@ -15,7 +15,7 @@
 const PART_BYTES = 512 * 1024;
 const VALUE_BYTES = 1_300_000;
 
-function largeLine(n: number, bytes: number): Parameters<Slots['put']>[0] {
+function largeLine(n: number, bytes: number): Parameters<ControlStore['put']>[0] {
   return {
     key: 'k',
     promised: { epoch: 1, by: 'a' },
@@ -49,7 +49,7 @@
 function notingPorts(files: Files): { ports: Ports; appends: { append: Append; files: Files }[] } {
   const ports = portsOn(files);
   const appends: { append: Append; files: Files }[] = [];
-  function append(name: string, bytes: Uint8Array): Promise<Outcome<void>> {
+  function append(name: string, bytes: Uint8Array): Promise<Result<void>> {
     const before = files.get(name) ?? new Uint8Array(0);
     appends.push({
       append: { name, before, bytes: Uint8Array.from(bytes) },
@@ -65,7 +65,7 @@
 async function inTheMidst(): Promise<void> {
   const files: Files = new Map();
   const { ports, appends } = notingPorts(files);
-  const [, slots] = open(await openSlots(ports, 1 << 20));
+  const [, slots] = errorOrValue(await openControlStore(ports, 1 << 20));
   await slots!.put(largeLine(1, 10));
   appends.length = 0;
   await slots!.put(largeLine(2, VALUE_BYTES));
@@ -75,13 +75,13 @@
     const { append, files: found } = appends[at];
     const after = new Map(found);
     after.set(append.name, leftOf(append.before, append.bytes, fates));
-    const [, again] = open(await openSlots(portsOn(after, 9), 1 << 20));
+    const [, again] = errorOrValue(await openControlStore(portsOn(after, 9), 1 << 20));
     const calls = fates.slice(0, Math.ceil(append.bytes.length / PART_BYTES));
     const isWhole = at === appends.length - 1 && calls.every(isThere);
-    expect({ at, fates, disk: again!.disk, number: numberOf(again!) }).toEqual({
+    expect({ at, fates, disk: again!.diskId, number: numberOf(again!) }).toEqual({
       at,
       fates,
-      disk: slots!.disk,
+      disk: slots!.diskId,
       number: isWhole ? 2 : 1,
     });
   }
@@ -95,13 +95,13 @@
   const files: Files = new Map();
   const ports = portsOn(files);
   const writes: { append: Append; files: Files }[] = [];
-  function write(name: string, bytes: Uint8Array): Promise<Outcome<void>> {
+  function write(name: string, bytes: Uint8Array): Promise<Result<void>> {
     const append = { name, before: new Uint8Array(0), bytes: Uint8Array.from(bytes) };
     writes.push({ append, files: new Map(files) });
     return ports.disk.write(name, bytes);
   }
   const noting: Ports = { ...ports, disk: { ...ports.disk, write } };
-  const [, slots] = open(await openSlots(noting, 1 << 20));
+  const [, slots] = errorOrValue(await openControlStore(noting, 1 << 20));
   await slots!.put(largeLine(1, VALUE_BYTES));
   await slots!.put(largeLine(2, VALUE_BYTES));
   writes.length = 0;
@@ -112,11 +112,11 @@
     const { append, files: found } = writes[at];
     const after = new Map(found);
     after.set(append.name, leftOf(append.before, append.bytes, fates));
-    const [, again] = open(await openSlots(portsOn(after, 9), 1 << 20));
-    expect({ at, fates, disk: again!.disk, number: numberOf(again!) }).toEqual({
+    const [, again] = errorOrValue(await openControlStore(portsOn(after, 9), 1 << 20));
+    expect({ at, fates, disk: again!.diskId, number: numberOf(again!) }).toEqual({
       at,
       fates,
-      disk: slots!.disk,
+      disk: slots!.diskId,
       number: 2,
     });
   }
--- a/test/control/disk.test.ts
+++ b/test/control/disk.test.ts
@@ -1,9 +1,13 @@
 import { Right } from 'purify-ts';
 import { Acceptor } from '../../src/control/consensus/acceptor';
-import { openSlots } from '../../src/control/storage/control-store';
-import { KeptVotes, readVotes, Votes } from '../../src/control/storage/idempotency-votes';
+import { openControlStore } from '../../src/control/storage/control-store';
+import {
+  StoredVotes,
+  readStoredVotes,
+  IdempotencyVotes,
+} from '../../src/control/storage/idempotency-votes';
 import { dispatch } from '../../src/shared/transport/handlers';
-import { bad, open, Outcome } from '../../src/shared/errors/errors';
+import { failure, errorOrValue, Result } from '../../src/shared/errors/errors';
 import { Ports } from '../../src/shared/ports/ports';
 import { Files, opened, portsOn, spoils, three, value } from './diskrig';
 
@@ -31,7 +35,7 @@
   expect((await (await t.node(0, 'a.1', first)).change('k', value('lost'))).isLeft()).toBe(true);
   await t.lose(0);
   const again = await t.node(0, 'a.2', second);
-  for (let i = 0; i < 3; i++) await again.own('k');
+  for (let i = 0; i < 3; i++) await again.acquire('k');
   expect((await again.change('k', value('acknowledged'))).isRight()).toBe(true);
   expect([0, 1, 2].map(t.cell)).toEqual(['acknowledged', 'acknowledged', 'acknowledged']);
 }
@@ -55,37 +59,53 @@
   const ports = portsOn(files);
   let fails = false;
   let held: (() => void)[] | undefined = [];
-  async function append(name: string, bytes: Uint8Array): Promise<Outcome<void>> {
+  async function append(name: string, bytes: Uint8Array): Promise<Result<void>> {
     function wait(go: () => void): void {
       if (held) held.push(go);
       else go();
     }
     await new Promise<void>(wait);
     return fails
-      ? bad('append', name, 'no space', 'failed', 'disk')
+      ? failure('append', name, 'no space', 'failed', 'disk')
       : ports.disk.append(name, bytes);
   }
-  async function write(name: string, bytes: Uint8Array): Promise<Outcome<void>> {
-    return fails ? bad('write', name, 'no space', 'failed', 'disk') : ports.disk.write(name, bytes);
+  async function write(name: string, bytes: Uint8Array): Promise<Result<void>> {
+    return fails
+      ? failure('write', name, 'no space', 'failed', 'disk')
+      : ports.disk.write(name, bytes);
   }
   const slow: Ports = { ...ports, disk: { ...ports.disk, append, write } };
-  const [, slots] = open(await openSlots(slow, 1 << 20));
-  const set = { now: [{ disk: slots!.disk, at: '0' }] };
+  const [, slots] = errorOrValue(await openControlStore(slow, 1 << 20));
+  const set = { now: [{ disk: slots!.diskId, at: '0' }] };
   function voters(): typeof set {
     return set;
   }
   function nothing(): void {}
-  async function never(): Promise<Outcome<unknown>> {
-    return bad('ask', '', 'nobody', 'refused', 'none');
+  async function never(): Promise<Result<unknown>> {
+    return failure('ask', '', 'nobody', 'refused', 'none');
   }
   const acceptor = new Acceptor(
     slots!,
-    { by: 'a.1', within: 1, voters, ask: never, learned: nothing, learnHere: never },
+    {
+      ownerId: 'a.1',
+      timeoutMs: 1,
+      voters,
+      request: never,
+      onLearned: nothing,
+      learnLocally: never,
+    },
     slow,
   );
-  const votes = new Votes(slots!, slow, voters, 1000);
-  await votes.begin({ votes: [], file: 0, gen: 0, disk: '', spoilt: false, sync: nothingToSync });
-  async function nothingToSync(): Promise<Outcome<void>> {
+  const votes = new IdempotencyVotes(slots!, slow, voters, 1000);
+  await votes.start({
+    votes: [],
+    fileIndex: 0,
+    generation: 0,
+    disk: '',
+    isCorrupt: false,
+    sync: nothingToSync,
+  });
+  async function nothingToSync(): Promise<Result<void>> {
     return Right(undefined);
   }
   const change = { key: 'k', epoch: 1, by: 'a.1', number: 1, value: 1 };
@@ -96,7 +116,7 @@
     [votes, 'vote', { key: 'x', run: 'r2' }],
     [votes, 'run', { key: 'x', run: 'r1', state: 'done' }],
   ] as const;
-  const told: Promise<Outcome<unknown>>[] = [];
+  const told: Promise<Result<unknown>>[] = [];
   for (const [edge, type, body] of [...acts, ...acts]) {
     told.push(dispatch([edge], type, body, undefined, ''));
     expect({ type, back: await isBack(told[told.length - 1]) }).toEqual({ type, back: false });
@@ -117,19 +137,19 @@
       kept: true,
     });
   const after = await opened(files);
-  expect(after.cells.get('k')?.learned).toEqual(change);
+  expect(after.registers.get('k')?.learned).toEqual(change);
 }
 
 async function voteKept(): Promise<void> {
   const files: Files = new Map();
   const disk = await opened(files);
-  const voters = { now: [{ disk: disk.disk, at: '127.10.1.1:7000' }] };
+  const voters = { now: [{ disk: disk.diskId, at: '127.10.1.1:7000' }] };
   function set(): typeof voters {
     return voters;
   }
-  async function votesOn(): Promise<Votes> {
-    const v = new Votes(disk, portsOn(files), set, 1000);
-    await v.begin((await readVotes(portsOn(files))).extract() as KeptVotes);
+  async function votesOn(): Promise<IdempotencyVotes> {
+    const v = new IdempotencyVotes(disk, portsOn(files), set, 1000);
+    await v.start((await readStoredVotes(portsOn(files))).extract() as StoredVotes);
     return v;
   }
   const one = await votesOn();
@@ -165,7 +185,7 @@
     if (/emptied|gone/.test(x.what)) continue;
     expect({
       what: x.what,
-      spoilt: ((await readVotes(portsOn(x.files))).extract() as KeptVotes).spoilt,
+      spoilt: ((await readStoredVotes(portsOn(x.files))).extract() as StoredVotes).isCorrupt,
     }).toEqual({ what: x.what, spoilt: true });
   }
 }
--- a/test/control/diskrig.ts
+++ b/test/control/diskrig.ts
@@ -3,13 +3,13 @@
  */
 
 import { Right } from 'purify-ts';
-import { Acceptor, Reach } from '../../src/control/consensus/acceptor';
-import { makeOwner } from '../../src/control/consensus/key-owner';
-import { openSlots, Slots } from '../../src/control/storage/control-store';
+import { Acceptor, VoterTransport } from '../../src/control/consensus/acceptor';
+import { makeKeyOwner } from '../../src/control/consensus/key-owner';
+import { openControlStore, ControlStore } from '../../src/control/storage/control-store';
 import { dispatch } from '../../src/shared/transport/handlers';
-import { bad, open, Outcome } from '../../src/shared/errors/errors';
+import { failure, errorOrValue, Result } from '../../src/shared/errors/errors';
 import { Ports } from '../../src/shared/ports/ports';
-import { Voter, Voters } from '../../src/shared/state/words';
+import { Voter, VoterSet } from '../../src/shared/state/words';
 import { seededDice } from '../../tools/sim/dice';
 import { makeNet } from '../../tools/sim/simwire';
 import { makeWorld } from '../../tools/sim/simworld';
@@ -21,23 +21,23 @@
 export function portsOn(files: Files, seed = 3): Ports {
   const w = makeWorld(1, false);
   const base = makeNet(w).ports(w.proc('node', '127.10.1.1'));
-  async function read(name: string): Promise<Outcome<Uint8Array | undefined>> {
+  async function read(name: string): Promise<Result<Uint8Array | undefined>> {
     return Right(files.get(name));
   }
-  async function write(name: string, bytes: Uint8Array): Promise<Outcome<void>> {
+  async function write(name: string, bytes: Uint8Array): Promise<Result<void>> {
     files.set(name, Uint8Array.from(bytes));
     return Right(undefined);
   }
-  async function append(name: string, bytes: Uint8Array): Promise<Outcome<void>> {
+  async function append(name: string, bytes: Uint8Array): Promise<Result<void>> {
     files.set(name, Buffer.concat([files.get(name) ?? new Uint8Array(0), bytes]));
     return Right(undefined);
   }
-  return { ...base, dice: seededDice(seed), disk: { read, write, append } };
+  return { ...base, random: seededDice(seed), disk: { read, write, append } };
 }
 
 /** Opens the slots on these files. */
-export async function opened(files: Files, seed = 3): Promise<Slots> {
-  const [f, s] = open(await openSlots(portsOn(files, seed), 1 << 20));
+export async function opened(files: Files, seed = 3): Promise<ControlStore> {
+  const [f, s] = errorOrValue(await openControlStore(portsOn(files, seed), 1 << 20));
   expect(f).toBeUndefined();
   return s!;
 }
@@ -48,22 +48,22 @@
     i: number,
     life: string,
     passes: (to: number, type: string) => boolean,
-  ) => Promise<ReturnType<typeof makeOwner>>;
+  ) => Promise<ReturnType<typeof makeKeyOwner>>;
   cell: (i: number) => unknown;
   lose: (i: number) => Promise<void>;
   replace: (i: number) => Promise<void>;
 }> {
   const files: Files[] = [new Map(), new Map(), new Map()];
-  const slots: Slots[] = [];
+  const slots: ControlStore[] = [];
   const acceptors: Acceptor[] = [];
   const set: Voter[] = [];
   for (const [i, x] of files.entries()) {
     slots.push(await opened(x, i));
-    set.push({ disk: slots[i].disk, at: String(i) });
+    set.push({ disk: slots[i].diskId, at: String(i) });
   }
   const kept = files.map(copyOf);
   let next: Voter[] | undefined;
-  function voters(): Voters {
+  function voters(): VoterSet {
     return { now: set, next };
   }
   function nothing(): void {}
@@ -71,20 +71,27 @@
     i: number,
     life: string,
     passes: (to: number, type: string) => boolean,
-  ): Promise<ReturnType<typeof makeOwner>> {
-    const reach: Reach = { by: life, within: 100, voters, ask, learned: nothing, learnHere };
+  ): Promise<ReturnType<typeof makeKeyOwner>> {
+    const reach: VoterTransport = {
+      ownerId: life,
+      timeoutMs: 100,
+      voters,
+      request: ask,
+      onLearned: nothing,
+      learnLocally: learnHere,
+    };
     async function learnHere(): Promise<unknown> {
       return undefined;
     }
-    async function ask(v: Voter, type: string, body: unknown): Promise<Outcome<unknown>> {
-      if (!passes(Number(v.at), type)) return bad(type, v.at, 'cut', 'unknown', 'timeout');
+    async function ask(v: Voter, type: string, body: unknown): Promise<Result<unknown>> {
+      if (!passes(Number(v.at), type)) return failure(type, v.at, 'cut', 'unknown', 'timeout');
       return dispatch([acceptors[Number(v.at)]], type, body, undefined, v.at);
     }
     for (const [k, s] of slots.entries()) acceptors[k] = new Acceptor(s, reach, portsOn(files[k]));
-    return makeOwner(slots[i], reach);
+    return makeKeyOwner(slots[i], reach);
   }
   function cell(i: number): unknown {
-    return slots[i].cells.get('k')?.learned?.value;
+    return slots[i].registers.get('k')?.learned?.value;
   }
   async function lose(i: number): Promise<void> {
     files[i] = copyOf(kept[i]);
@@ -93,7 +100,7 @@
   async function replace(i: number): Promise<void> {
     files[i] = new Map();
     slots[i] = await opened(files[i], i + 20);
-    next = set.with(i, { disk: slots[i].disk, at: String(i) });
+    next = set.with(i, { disk: slots[i].diskId, at: String(i) });
   }
   return { node, cell, lose, replace };
 }
@@ -103,20 +110,20 @@
 }
 
 /** An operation that succeeds with this value. */
-export function value(v: string): () => Outcome<unknown> {
-  function make(): Outcome<unknown> {
+export function value(v: string): () => Result<unknown> {
+  function make(): Result<unknown> {
     return Right(v);
   }
   return make;
 }
 
 /** The number of the value that was learned or accepted last. */
-export function numberOf(s: Slots): number {
-  return s.cells.get('k')?.accepted?.number ?? 0;
+export function numberOf(s: ControlStore): number {
+  return s.registers.get('k')?.accepted?.number ?? 0;
 }
 
 /** A log entry that accepts this number. */
-export function acceptedLine(n: number): Parameters<Slots['put']>[0] {
+export function acceptedLine(n: number): Parameters<ControlStore['put']>[0] {
   return {
     key: 'k',
     promised: { epoch: 1, by: 'a' },
--- a/test/control/follower-lag.test.ts
+++ b/test/control/follower-lag.test.ts
@@ -1,8 +1,8 @@
-import { lagRows, makeFollowerLag } from '../../src/control/leases/follower-lag';
-import { KEYS, Place } from '../../src/shared/state/words';
+import { lagMetricRows, makeFollowerLag } from '../../src/control/leases/follower-lag';
+import { CONTROL_KEYS, Version } from '../../src/shared/state/words';
 import { makeNewsRig } from '../../tools/sim/news/rig';
 
-function placeAt(number: number): Place {
+function placeAt(number: number): Version {
   return { epoch: 1, by: 'core', number };
 }
 
@@ -29,20 +29,20 @@
   for (const proc of rig.followerProcs) rig.startFollower(proc);
   await rig.pass(2000);
   for (let i = 1; i <= 5; i++) rig.world.cut(`10.1.0.${i}`, rig.followerProcs[0].ip, true);
-  const { leases } = rig.ownerOf(KEYS.engines)!;
-  void rig.ownerOf(KEYS.engines)!.change({ kind: 'engines', engines: [] });
+  const { leases } = rig.ownerOf(CONTROL_KEYS.engines)!;
+  void rig.ownerOf(CONTROL_KEYS.engines)!.change({ kind: 'engines', engines: [] });
   await rig.pass(1100);
-  expect(leases.routerLagMs(KEYS.engines)).toBeGreaterThanOrEqual(1000);
+  expect(leases.routerLagMs(CONTROL_KEYS.engines)).toBeGreaterThanOrEqual(1000);
   expect(leases.lagRows().join()).toMatch(/router_lag_ms\{key="engines"\} 1\d\d\d/);
   await rig.pass(2000);
-  expect(leases.routerLagMs(KEYS.engines)).toBe(0);
+  expect(leases.routerLagMs(CONTROL_KEYS.engines)).toBe(0);
 }
 
 function asRows(): void {
   function lagOf(key: string): number {
     return key.length + 0.4;
   }
-  expect(lagRows(['a', 'bcd'], lagOf)).toEqual([
+  expect(lagMetricRows(['a', 'bcd'], lagOf)).toEqual([
     'plumhollow_controller_router_lag_ms{key="a"} 1',
     'plumhollow_controller_router_lag_ms{key="bcd"} 3',
   ]);
--- a/test/control/founding.test.ts
+++ b/test/control/founding.test.ts
@@ -40,8 +40,8 @@
   return test;
 }
 
-function inMajority(c: { hasMajority(): boolean }): boolean {
-  return c.hasMajority();
+function inMajority(c: { hasQuorum(): boolean }): boolean {
+  return c.hasQuorum();
 }
 
 async function lateFounder(): Promise<void> {
@@ -85,7 +85,7 @@
     return v !== undefined && !v.next && allVoters(v).some(mine);
   }
   function mine(x: { disk: string }): boolean {
-    return x.disk === f.controllers.get('core-3')!.slots.disk;
+    return x.disk === f.controllers.get('core-3')!.store.diskId;
   }
   expect(await until(f, 20000, joined)).toBeDefined();
   f.w.kill(f.w.procAt(at[1].split(':')[0])!, true);
@@ -125,7 +125,9 @@
   await f.w.run(f.w.now() + 8000);
   const r = await asked(f, 'POST', '/v1/found', { without: [f.d.core[2].wire] });
   expect(r.status).not.toBe(200);
-  expect(f.controllers.get(f.core[2])!.value<{ doc: unknown }>('intents')?.place.number).toBe(1);
+  expect(
+    f.controllers.get(f.core[2])!.committedValue<{ doc: unknown }>('intents')?.place.number,
+  ).toBe(1);
 }
 
 function named(n: string): (p: { name: string }) => boolean {
--- a/test/control/full-disk-core.test.ts
+++ b/test/control/full-disk-core.test.ts
@@ -19,7 +19,7 @@
 
 function ownerOf(f: CoreRig): Proc {
   function owns(p: Proc): boolean {
-    return controllerAt(f, p).owner.owns('deployment');
+    return controllerAt(f, p).keyOwner.owns('deployment');
   }
   return f.core.filter(owns)[0];
 }
@@ -76,7 +76,7 @@
       trouble(f, victim, false);
       await f.pass(300);
       await step(victim, 2000);
-      if (!controllerAt(f, victim).slots.fit()) note('does not join again');
+      if (!controllerAt(f, victim).store.isWritable()) note('does not join again');
       for (const p of f.core) f.w.kill(p, true);
       await f.pass(500);
       for (const p of f.core) {
@@ -144,7 +144,7 @@
         faults.push(`${name} wiped ${wiped}: change took ${took}`);
       trouble(f, p, false);
       await f.pass(6000);
-      if (!f.controllers.get(p.name)?.slots.fit())
+      if (!f.controllers.get(p.name)?.store.isWritable())
         faults.push(`${name} wiped ${wiped}: not fit with room`);
       f.w.kill(f.core[2], true);
       const alone = await change(f, f.core[0], 2);
--- a/test/control/full-disk.test.ts
+++ b/test/control/full-disk.test.ts
@@ -1,10 +1,14 @@
 import { isDeepStrictEqual } from 'node:util';
 import { Acceptor } from '../../src/control/consensus/acceptor';
-import { openSlots, Slots } from '../../src/control/storage/control-store';
-import { KeptVotes, readVotes, Votes } from '../../src/control/storage/idempotency-votes';
+import { openControlStore, ControlStore } from '../../src/control/storage/control-store';
+import {
+  StoredVotes,
+  readStoredVotes,
+  IdempotencyVotes,
+} from '../../src/control/storage/idempotency-votes';
 import { dispatch } from '../../src/shared/transport/handlers';
-import { bad, open, Outcome } from '../../src/shared/errors/errors';
-import { Numbered, Voters } from '../../src/shared/state/words';
+import { failure, errorOrValue, Result } from '../../src/shared/errors/errors';
+import { VersionedValue, VoterSet } from '../../src/shared/state/words';
 import { makeNet, SimNet } from '../../tools/sim/simwire';
 import { makeWorld, Proc, World } from '../../tools/sim/simworld';
 
@@ -35,27 +39,29 @@
 }
 
 interface Opened {
-  slots: Slots;
-  votes: Votes;
+  slots: ControlStore;
+  votes: IdempotencyVotes;
 }
 
 function openAll(m: Machine): Promise<Opened> {
   const ports = m.net.ports(m.p);
   async function run(): Promise<Opened> {
-    const kept = (await readVotes(ports)).extract() as KeptVotes;
-    const slots = (await openSlots(ports, MOST_LOG, kept, OPEN_WITHIN)).extract() as Slots;
-    function voters(): Voters {
-      return { now: [{ disk: slots.disk, at: '10.1.0.1:7000' }] };
+    const kept = (await readStoredVotes(ports)).extract() as StoredVotes;
+    const slots = (
+      await openControlStore(ports, MOST_LOG, kept, OPEN_WITHIN)
+    ).extract() as ControlStore;
+    function voters(): VoterSet {
+      return { now: [{ disk: slots.diskId, at: '10.1.0.1:7000' }] };
     }
-    const votes = new Votes(slots, ports, voters, 400);
-    await votes.begin(kept, OPEN_WITHIN);
+    const votes = new IdempotencyVotes(slots, ports, voters, 400);
+    await votes.start(kept, OPEN_WITHIN);
     return { slots, votes };
   }
   return run();
 }
 
 /** A change with a value that is stored whole, or with one that is long enough to be stored as a difference. */
-function accepted(number: number, long = false): Numbered {
+function accepted(number: number, long = false): VersionedValue {
   const value = long ? { items: itemsOf(number) } : 'v'.repeat(50 + number * 7);
   return { key: 'k', epoch: 1, by: 'a.1', number, value };
 }
@@ -83,7 +89,7 @@
   for (let n = 1; n <= 24; n++) {
     if (m.p.disk.room < -refused) m.p.disk.room = Infinity;
     const change = accepted(n, long);
-    const [f] = open(
+    const [f] = errorOrValue(
       (await settled(
         m.w,
         slots.put({ key: 'k', promised: { epoch: 1, by: 'a.1' }, accepted: change }),
@@ -97,14 +103,14 @@
       faults.push(`change ${n} is not taken though there is room`);
     faults.push(...(await foundAnew(m, slots, acked, voted.slice(-20))));
   }
-  if (!slots.fit()) faults.push('not fit at the end');
+  if (!slots.isWritable()) faults.push('not fit at the end');
   return faults;
 }
 
 /** What a restart from the files as they are would have lost. */
 async function foundAnew(
   m: Machine,
-  was: Slots,
+  was: ControlStore,
   acked: number,
   voted: string[],
 ): Promise<string[]> {
@@ -112,9 +118,10 @@
   const copy = machine(7);
   for (const [name, bytes] of m.p.files) copy.p.files.set(name, bytes);
   const { slots, votes } = (await settled(copy.w, openAll(copy)))!;
-  const number = slots.cells.get('k')?.accepted?.number ?? 0;
-  if (slots.disk !== was.disk || slots.spoilt) faults.push(`counts as a new disk at ${acked}`);
-  const whole = slots.cells.get('k')?.accepted;
+  const number = slots.registers.get('k')?.accepted?.number ?? 0;
+  if (slots.diskId !== was.diskId || slots.isCorrupt)
+    faults.push(`counts as a new disk at ${acked}`);
+  const whole = slots.registers.get('k')?.accepted;
   const long = typeof whole?.value === 'object';
   if (whole && !isDeepStrictEqual(whole, accepted(number, long)))
     faults.push(`holds another value at ${number}`);
@@ -152,15 +159,15 @@
     }
     m.p.disk.full = true;
     const { slots, votes } = (await settled(m.w, openAll(m)))!;
-    expect(slots.fit()).toBe(false);
-    expect(slots.cells.get('k')?.accepted?.number).toBe(kept ? 1 : undefined);
+    expect(slots.isWritable()).toBe(false);
+    expect(slots.registers.get('k')?.accepted?.number).toBe(kept ? 1 : undefined);
     const line = { key: 'k', accepted: accepted(2) };
     expect((await settled(m.w, slots.put(line)))!.isLeft()).toBe(true);
     expect((await settled(m.w, votes.vote({ key: 'x', run: 'r' })))!.isLeft()).toBe(true);
     m.p.disk.full = false;
     expect((await settled(m.w, slots.put(line)))!.isRight()).toBe(true);
     expect((await settled(m.w, votes.vote({ key: 'x', run: 'r' })))!.isRight()).toBe(true);
-    expect(slots.fit()).toBe(true);
+    expect(slots.isWritable()).toBe(true);
   }
 }
 
@@ -176,15 +183,15 @@
     const opened = await settled(m.w, openAll(m), 1500);
     expect({ kept, opened: opened !== undefined }).toEqual({ kept, opened: true });
     const { slots, votes } = opened!;
-    expect(slots.fit()).toBe(false);
-    expect(slots.cells.get('k')?.accepted?.number).toBe(kept ? 1 : undefined);
+    expect(slots.isWritable()).toBe(false);
+    expect(slots.registers.get('k')?.accepted?.number).toBe(kept ? 1 : undefined);
     const put = slots.put({ key: 'k', accepted: accepted(2) });
     const vote = votes.vote({ key: 'x', run: 'r' });
     expect(await settled(m.w, put, 300)).toBeUndefined();
     m.w.stall(m.p, false);
     expect((await settled(m.w, put))!.isRight()).toBe(true);
     expect((await settled(m.w, vote))!.isRight()).toBe(true);
-    expect(slots.fit()).toBe(true);
+    expect(slots.isWritable()).toBe(true);
     expect(await foundAnew(m, slots, 2, ['x'])).toEqual([]);
   }
 }
@@ -193,20 +200,20 @@
 async function answersWhenSynced(): Promise<void> {
   const m = machine(5);
   const { slots } = (await settled(m.w, openAll(m)))!;
-  function voters(): Voters {
-    return { now: [{ disk: slots.disk, at: '10.1.0.1:7000' }] };
+  function voters(): VoterSet {
+    return { now: [{ disk: slots.diskId, at: '10.1.0.1:7000' }] };
   }
   function nothing(): void {}
-  async function nobody(): Promise<Outcome<unknown>> {
-    return bad('ask', '', 'nobody', 'refused', 'none');
+  async function nobody(): Promise<Result<unknown>> {
+    return failure('ask', '', 'nobody', 'refused', 'none');
   }
   const reach = {
-    by: 'a.1',
-    within: 1,
+    ownerId: 'a.1',
+    timeoutMs: 1,
     voters,
-    ask: nobody,
-    learned: nothing,
-    learnHere: nobody,
+    request: nobody,
+    onLearned: nothing,
+    learnLocally: nobody,
   };
   const acceptor = new Acceptor(slots, reach, m.net.ports(m.p));
   const change = { ...accepted(1), epoch: 5 };
@@ -218,7 +225,7 @@
     ['prepare', { key: 'k', epoch: 6, by: 'b.1' }],
     ['prepare', { key: 'k', epoch: 7, by: 'c.1' }],
   ];
-  function send([type, body]: [string, object]): Promise<Outcome<unknown>> {
+  function send([type, body]: [string, object]): Promise<Result<unknown>> {
     return dispatch([acceptor], type, body, undefined, 'node');
   }
   m.w.stall(m.p, true);
@@ -235,7 +242,7 @@
   expect(next.extract()).toMatchObject({ ok: true, accepted: change });
   const copy = machine(8);
   for (const [name, bytes] of m.p.files) copy.p.files.set(name, bytes);
-  const again = (await settled(copy.w, openAll(copy)))!.slots.cells.get('k')!;
+  const again = (await settled(copy.w, openAll(copy)))!.slots.registers.get('k')!;
   expect(again).toEqual({
     promised: { epoch: 8, by: 'e.1' },
     accepted: change,
--- a/test/control/hand-over.test.ts
+++ b/test/control/hand-over.test.ts
@@ -1,15 +1,15 @@
 import { Right } from 'purify-ts';
-import { handOver } from '../../src/control/configuration/change-forwarding';
-import { makeOrder } from '../../src/control/configuration/deployment-change';
-import { boundsOf } from '../../src/shared/settings/time-limits';
-import { Exchange } from '../../src/shared/transport/connections';
-import { bad, Outcome } from '../../src/shared/errors/errors';
+import { forwardChange } from '../../src/control/configuration/change-forwarding';
+import { makeDeploymentOperation } from '../../src/control/configuration/deployment-change';
+import { timeLimitsOf } from '../../src/shared/settings/time-limits';
+import { PeerChannel } from '../../src/shared/transport/connections';
+import { failure, Result } from '../../src/shared/errors/errors';
 import { Clock } from '../../src/shared/ports/ports';
 import { defaultSettings } from '../../src/shared/settings/settings';
 import { drawnDocument } from '../../tools/sim/news/rig';
 
 const OWNER = '10.1.0.2:7000';
-const BOUNDS = boundsOf(defaultSettings());
+const BOUNDS = timeLimitsOf(defaultSettings());
 const MADE = { place: { epoch: 1, by: 'owner', number: 1 }, inEffect: false };
 
 /** How an owner behaves, and what it was asked. */
@@ -20,48 +20,48 @@
   silentMs: number;
   /** How long the change itself may take. */
   withinMs: number;
-  outcome: Promise<Outcome<unknown>>;
+  outcome: Promise<Result<unknown>>;
 }
 
 /** Hands an order of so many routes over to an owner that does not answer by itself. */
 function handed(routes: number, isAlive: boolean): FakeOwner {
   const fake: FakeOwner = { make, silentMs: 0, withinMs: 0, outcome: undefined as never };
-  let answer: (o: Outcome<unknown>) => void;
+  let answer: (o: Result<unknown>) => void;
   function make(): void {
     answer(Right(MADE));
   }
-  function onAnswer(done: (o: Outcome<unknown>) => void): void {
+  function onAnswer(done: (o: Result<unknown>) => void): void {
     answer = done;
   }
-  const change = new Promise<Outcome<unknown>>(onAnswer);
+  const change = new Promise<Result<unknown>>(onAnswer);
   async function sleep(ms: number): Promise<void> {
     fake.silentMs += ms;
   }
-  async function ask(type: string, _body: unknown, within: number): Promise<Outcome<unknown>> {
+  async function ask(type: string, _body: unknown, within: number): Promise<Result<unknown>> {
     if (type !== 'order-under-way') {
       fake.withinMs = within;
       return change;
     }
     fake.silentMs += within;
-    return isAlive ? Right(true) : bad(type, OWNER, 'no return in time', 'unknown', 'timeout');
+    return isAlive ? Right(true) : failure(type, OWNER, 'no return in time', 'unknown', 'timeout');
   }
-  const parts = { clock: { sleep } as unknown as Clock, bounds: BOUNDS };
-  const owner = { peer: OWNER, ask } as unknown as Exchange;
-  const order = makeOrder(0, 'replace', drawnDocument(1, routes));
-  fake.outcome = handOver(parts, owner, order, 'an order');
+  const parts = { clock: { sleep } as unknown as Clock, timeLimits: BOUNDS };
+  const owner = { peer: OWNER, request: ask } as unknown as PeerChannel;
+  const order = makeDeploymentOperation(0, 'replace', drawnDocument(1, routes));
+  fake.outcome = forwardChange(parts, owner, order, 'an order');
   return fake;
 }
 
 async function waitedFor(routes: number): Promise<number> {
   const fake = handed(routes, false);
-  expect((await fake.outcome).extract()).toMatchObject({ code: 'timeout', sort: 'unknown' });
+  expect((await fake.outcome).extract()).toMatchObject({ code: 'timeout', certainty: 'unknown' });
   return fake.silentMs;
 }
 
 async function byItsLength(): Promise<void> {
-  expect(await waitedFor(0)).toBeLessThan(BOUNDS.handOver * 1.05);
+  expect(await waitedFor(0)).toBeLessThan(BOUNDS.forwardTimeoutMs * 1.05);
   const many = await waitedFor(2800);
-  expect(many).toBeGreaterThan(BOUNDS.handOver * 1.5);
+  expect(many).toBeGreaterThan(BOUNDS.forwardTimeoutMs * 1.5);
   expect(await waitedFor(5600)).toBeGreaterThan(many * 1.3);
 }
 
--- a/test/control/lease-costs.test.ts
+++ b/test/control/lease-costs.test.ts
@@ -1,27 +1,27 @@
 import { Right } from 'purify-ts';
-import { LeaseAsk, Leases } from '../../src/control/leases/lease-registry';
-import { ControlEdge } from '../../src/control/peer-handlers';
-import { Slots } from '../../src/control/storage/control-store';
+import { LeaseRequest, LeaseRegistry } from '../../src/control/leases/lease-registry';
+import { PeerHandlers } from '../../src/control/peer-handlers';
+import { ControlStore } from '../../src/control/storage/control-store';
 import { ChangeMessage } from '../../src/shared/replication/change-message';
-import { Exchange } from '../../src/shared/transport/connections';
-import { open } from '../../src/shared/errors/errors';
-import { FollowEdge } from '../../src/shared/replication/follower-handlers';
-import { makeJournal } from '../../src/shared/replication/key-journal';
+import { PeerChannel } from '../../src/shared/transport/connections';
+import { errorOrValue } from '../../src/shared/errors/errors';
+import { FollowerHandlers } from '../../src/shared/replication/follower-handlers';
+import { makeKeyJournal } from '../../src/shared/replication/key-journal';
 import { Ports } from '../../src/shared/ports/ports';
-import { boundsOf } from '../../src/shared/settings/time-limits';
+import { timeLimitsOf } from '../../src/shared/settings/time-limits';
 import { defaultSettings } from '../../src/shared/settings/settings';
-import { Member, Numbered, Voters } from '../../src/shared/state/words';
+import { Member, VersionedValue, VoterSet } from '../../src/shared/state/words';
 
 interface Answer {
   granted: boolean;
-  missing: Numbered[];
-  voters?: Voters;
+  missing: VersionedValue[];
+  voters?: VoterSet;
   members?: Member[];
   joined?: Member[];
   left?: string[];
 }
 
-function numbered(key: string, number: number): Numbered {
+function numbered(key: string, number: number): VersionedValue {
   return { key, epoch: 1, by: 'core', number, value: `${key} ${number}` };
 }
 
@@ -31,14 +31,18 @@
 
 /** Leases over made-up slots and a clock that stands until it is moved. */
 function rig(keys: number): {
-  leases: Leases;
-  slots: Slots;
-  learn(n: Numbered): void;
+  leases: LeaseRegistry;
+  slots: ControlStore;
+  learn(n: VersionedValue): void;
   move(ms: number): void;
-  ask(m: Partial<LeaseAsk> & { member: Member }, ex: Exchange): Promise<Answer>;
+  ask(m: Partial<LeaseRequest> & { member: Member }, ex: PeerChannel): Promise<Answer>;
 } {
-  const learned = makeJournal();
-  const slots = { disk: 'd', cells: new Map(), learned } as unknown as Slots;
+  const learned = makeKeyJournal();
+  const slots = {
+    diskId: 'd',
+    registers: new Map(),
+    learnedKeys: learned,
+  } as unknown as ControlStore;
   let now = 0;
   function clockNow(): number {
     return now;
@@ -46,33 +50,36 @@
   function move(ms: number): void {
     now += ms;
   }
-  function learn(n: Numbered): void {
-    slots.cells.set(n.key, { promised: { epoch: 1, by: 'core' }, learned: n });
+  function learn(n: VersionedValue): void {
+    slots.registers.set(n.key, { promised: { epoch: 1, by: 'core' }, learned: n });
     learned.add(n.key);
   }
   for (let i = 0; i < keys; i++) learn(numbered(`k${i}`, 1));
-  const voters: Voters = { now: [{ disk: 'd', at: 'a' }] };
-  function votersOf(): Voters {
+  const voters: VoterSet = { now: [{ disk: 'd', at: 'a' }] };
+  function votersOf(): VoterSet {
     return voters;
   }
-  const leases = new Leases(
+  const leases = new LeaseRegistry(
     slots,
-    { clock: { now: clockNow }, log: { warn: clockNow } } as unknown as Ports,
-    boundsOf(defaultSettings()),
+    { clock: { now: clockNow }, logger: { warn: clockNow } } as unknown as Ports,
+    timeLimitsOf(defaultSettings()),
     votersOf,
   );
-  async function ask(m: Partial<LeaseAsk> & { member: Member }, ex: Exchange): Promise<Answer> {
-    const [, a] = open(await leases.lease(m as LeaseAsk, ex));
+  async function ask(
+    m: Partial<LeaseRequest> & { member: Member },
+    ex: PeerChannel,
+  ): Promise<Answer> {
+    const [, a] = errorOrValue(await leases.lease(m as LeaseRequest, ex));
     return a as Answer;
   }
   return { leases, slots, learn, move, ask };
 }
 
-function exchange(): Exchange {
-  return {} as Exchange;
+function exchange(): PeerChannel {
+  return {} as PeerChannel;
 }
 
-function hasOf(n: Numbered): [string, number, string, number] {
+function hasOf(n: VersionedValue): [string, number, string, number] {
   return [n.key, n.epoch, n.by, n.number];
 }
 
@@ -145,7 +152,7 @@
     left: ['b one'],
   });
   expect(await r.ask({ member: { ...c } }, old)).toMatchObject({ members: [a, c] });
-  r.move(boundsOf(defaultSettings()).leaseHeld - 1);
+  r.move(timeLimitsOf(defaultSettings()).leaseExpiryMs - 1);
   await r.ask({ member: { ...a }, deltas: true }, ex);
   r.move(2);
   expect(await r.ask({ member: { ...a }, deltas: true }, ex)).toMatchObject({
@@ -159,7 +166,7 @@
   const r = rig(0);
   const member = memberOf('a');
   await r.ask({ member, has: [] }, exchange());
-  const [f] = open(await r.leases.lease({ member, deltas: true }, exchange()));
+  const [f] = errorOrValue(await r.leases.lease({ member, deltas: true }, exchange()));
   expect(f?.code).toBe('tell-all');
 }
 
@@ -168,15 +175,15 @@
   function unused(): never {
     throw new Error('not asked here');
   }
-  const edge = new ControlEdge({
-    by: 'life-1',
-    slots: r.slots,
-    mayFound: false,
+  const edge = new PeerHandlers({
+    ownerId: 'life-1',
+    store: r.slots,
+    mayBootstrap: false,
     voters: unused,
-    changeHere: unused,
-    isUnderWay: unused,
-    committed: unused,
-    hinted: unused,
+    changeAsOwner: unused,
+    isInProgress: unused,
+    committedValues: unused,
+    onCoreHint: unused,
     isUp: unused,
     wake: unused,
   });
@@ -196,24 +203,24 @@
 
 async function newsThatIsThere(): Promise<void> {
   const held = numbered('k0', 3);
-  const took: Numbered[] = [];
-  function take(list: Numbered[]): boolean {
+  const took: VersionedValue[] = [];
+  function take(list: VersionedValue[]): boolean {
     took.push(...list);
     return true;
   }
   function none(): undefined {
     return undefined;
   }
-  function heldOf(): Numbered {
+  function heldOf(): VersionedValue {
     return held;
   }
-  const edge = new FollowEdge({
+  const edge = new FollowerHandlers({
     apply: take,
-    held: heldOf,
+    appliedVersion: heldOf,
     fetchOffer: none,
-    whereCore: none,
-    coreFound: none,
-    enginesLeave: none,
+    coreLocation: none,
+    onCoreFound: none,
+    onEnginesDraining: none,
   });
   const delta = {
     key: 'k0',
@@ -258,18 +265,18 @@
     kinds.push(message.kind);
     return Right({ lacking: message.kind === 'delta' ? [hasOf(base)] : [] });
   }
-  const ex = { ask } as unknown as Exchange;
+  const ex = { request: ask } as unknown as PeerChannel;
   r.learn(base);
-  r.leases.push(base);
+  r.leases.publish(base);
   await r.ask({ member: memberOf('edge-1'), has: [hasOf(base)] }, ex);
   const later = largeValue(2);
   r.learn(later);
-  r.leases.push(later);
+  r.leases.publish(later);
   for (let i = 0; i < 50; i++) await Promise.resolve();
   expect(kinds).toEqual(['delta', 'compressed']);
 }
 
-function largeValue(number: number): Numbered {
+function largeValue(number: number): VersionedValue {
   const items = Array.from({ length: 200 }, itemOf);
   function itemOf(_: unknown, i: number): object {
     return { name: `item-${i}`, at: i === 7 ? number : 0 };
--- a/test/control/leases.test.ts
+++ b/test/control/leases.test.ts
@@ -1,15 +1,15 @@
-import { Leases } from '../../src/control/leases/lease-registry';
-import { openSlots } from '../../src/control/storage/control-store';
-import { open } from '../../src/shared/errors/errors';
-import { boundsOf } from '../../src/shared/settings/time-limits';
-import { Exchange } from '../../src/shared/transport/connections';
-import { Numbered } from '../../src/shared/state/words';
+import { LeaseRegistry } from '../../src/control/leases/lease-registry';
+import { openControlStore } from '../../src/control/storage/control-store';
+import { errorOrValue } from '../../src/shared/errors/errors';
+import { timeLimitsOf } from '../../src/shared/settings/time-limits';
+import { PeerChannel } from '../../src/shared/transport/connections';
+import { VersionedValue } from '../../src/shared/state/words';
 import { makeSimFleet } from '../../tools/sim/simfleet';
 import { makeNet } from '../../tools/sim/simwire';
 import { makeWorld } from '../../tools/sim/simworld';
 
 interface Desk {
-  leases: Leases;
+  leases: LeaseRegistry;
   lease(life: string, has: number): Promise<boolean>;
   leave(life: string): Promise<void>;
   learn(number: number): Promise<void>;
@@ -21,7 +21,9 @@
 async function desk(): Promise<Desk> {
   const w = makeWorld(1, false);
   const ports = makeNet(w).ports(w.proc('node', '127.10.1.1'));
-  const bounds = boundsOf(makeSimFleet(1, 'saffron-bay', 1, 1, false).settings('c', '', '', ''));
+  const bounds = timeLimitsOf(
+    makeSimFleet(1, 'saffron-bay', 1, 1, false).settings('c', '', '', ''),
+  );
   let upTo = 0;
   async function pass(ms: number): Promise<void> {
     await w.run((upTo += ms));
@@ -35,12 +37,12 @@
     while (!done) await pass(10);
     return p;
   }
-  const [, slots] = open(await drive(openSlots(ports, 1 << 20)));
+  const [, slots] = errorOrValue(await drive(openControlStore(ports, 1 << 20)));
   function voters(): { now: [] } {
     return { now: [] };
   }
-  const leases = new Leases(slots!, ports, bounds, voters);
-  const deaf = { ask: never } as unknown as Exchange;
+  const leases = new LeaseRegistry(slots!, ports, bounds, voters);
+  const deaf = { request: never } as unknown as PeerChannel;
   function never(): Promise<never> {
     return new Promise(nothing);
   }
@@ -48,7 +50,7 @@
   function place(number: number): { key: string; epoch: number; by: string; number: number } {
     return { key: 'k', epoch: 1, by: 'a', number };
   }
-  function asks(life: string, has: number): Parameters<Leases['lease']>[0] {
+  function asks(life: string, has: number): Parameters<LeaseRegistry['lease']>[0] {
     return {
       member: { name: 'edge-1', role: 'router', at: '', http: '', zone: '', life },
       has: [['k', 1, 'a', has]],
@@ -61,14 +63,14 @@
     await leases.leave(asks(life, 0));
   }
   async function learn(number: number): Promise<void> {
-    const n: Numbered = { ...place(number), value: number };
+    const n: VersionedValue = { ...place(number), value: number };
     await drive(slots!.put({ key: 'k', learned: n }));
-    leases.push(n);
+    leases.publish(n);
   }
   async function effect(number: number): Promise<boolean> {
     return (await drive(leases.effect({ ...place(number), within: 20 }))).isRight();
   }
-  await pass(bounds.leaseHeld + 10);
+  await pass(bounds.leaseExpiryMs + 10);
   return { leases, lease, leave, learn, effect, pass };
 }
 
--- a/test/control/leave.test.ts
+++ b/test/control/leave.test.ts
@@ -1,5 +1,5 @@
-import { Outcome } from '../../src/shared/errors/errors';
-import { askJson } from '../../src/shared/util/lib';
+import { Result } from '../../src/shared/errors/errors';
+import { requestJson } from '../../src/shared/util/lib';
 import {
   back,
   lose,
@@ -28,7 +28,7 @@
 }
 
 function revisionAt(f: SimFleet, name: string): number {
-  return f.controllers.get(name)!.value('intents')?.place.number ?? 0;
+  return f.controllers.get(name)!.committedValue('intents')?.place.number ?? 0;
 }
 
 /** One voter is away and another is told to end: with a third machine at hand a majority is left all the same. */
@@ -90,7 +90,7 @@
   const tookMs = await terminated(f, 'core-2');
   expect(tookMs).toBeGreaterThan(1400);
   expect(tookMs).toBeLessThan(1500 + QUICK_MS);
-  expect(f.controllers.get('core-1')!.hasMajority()).toBe(true);
+  expect(f.controllers.get('core-1')!.hasQuorum()).toBe(true);
   await applied(f, o);
   expect(f.w.now() - began).toBeLessThan(4000);
 }
@@ -109,7 +109,7 @@
 async function rollingRestart(): Promise<void> {
   const f = await founded(63);
   const o = makeOperator(f);
-  const gapMs = 2 * f.controllers.get('core-1')!.bounds.lease;
+  const gapMs = 2 * f.controllers.get('core-1')!.timeLimits.leaseMs;
   await f.w.run(f.w.now() + gapMs);
   o.go();
   for (const n of CORE) {
@@ -143,7 +143,7 @@
   expect(second).toBeGreaterThan(RESTART_MS);
   expect(second).toBeLessThan(RESTART_MS + 2 * QUICK_MS);
   await applied(f, o);
-  expect(f.controllers.get('core-3')!.hasMajority()).toBe(true);
+  expect(f.controllers.get('core-3')!.hasQuorum()).toBe(true);
 }
 
 /** All controllers are told to end, one shortly after the other: none waits for long. */
@@ -163,11 +163,13 @@
   const at = f.d.core[CORE.indexOf(name)].http;
   const path = '/v1/intents';
   let status: number | undefined;
-  function told(o: Outcome<{ status: number }>): void {
+  function told(o: Result<{ status: number }>): void {
     status = o.isRight() ? (o.extract() as { status: number }).status : 0;
   }
   const text = body && JSON.stringify(body);
-  void askJson(f.ops.wire, { at, method, path, body: text, within: 6000 }).then(told);
+  void requestJson(f.ops.network, { address: at, method, path, body: text, timeoutMs: 6000 }).then(
+    told,
+  );
   function isBack(): boolean {
     return status !== undefined;
   }
--- a/test/control/leaving-engines.test.ts
+++ b/test/control/leaving-engines.test.ts
@@ -1,10 +1,10 @@
 import { Right } from 'purify-ts';
 import { Controller } from '../../src/control/controller';
-import { watchPlatform } from '../../src/control/singletons/background-tasks';
-import { boundsOf } from '../../src/shared/settings/time-limits';
+import { watchEngineList } from '../../src/control/singletons/background-tasks';
+import { timeLimitsOf } from '../../src/shared/settings/time-limits';
 import { Ports } from '../../src/shared/ports/ports';
 import { defaultSettings } from '../../src/shared/settings/settings';
-import { Engine, KEYS } from '../../src/shared/state/words';
+import { Engine, CONTROL_KEYS } from '../../src/shared/state/words';
 import { makeNewsRig, NEWS_BOUNDS, NewsRig } from '../../tools/sim/news/rig';
 import { makeWorld } from '../../tools/sim/simworld';
 
@@ -19,7 +19,7 @@
 const FOLLOWERS = 3;
 
 async function listed(rig: NewsRig, engines: Engine[]): Promise<void> {
-  const owner = rig.ownerOf(KEYS.engines)!;
+  const owner = rig.ownerOf(CONTROL_KEYS.engines)!;
   await owner.change({ kind: 'engines', engines });
 }
 
@@ -27,8 +27,8 @@
   return [...rig.followers.values()].map(hasHeard);
 }
 
-function hasHeard(follower: { leaving(id: string): boolean }): boolean {
-  return follower.leaving(ENGINE.id);
+function hasHeard(follower: { isDraining(id: string): boolean }): boolean {
+  return follower.isDraining(ENGINE.id);
 }
 
 async function startRig(): Promise<NewsRig> {
@@ -42,7 +42,7 @@
 /** A list that was read before the engine left, and is committed after routers heard that it leaves. */
 async function outlastsOlderList(): Promise<void> {
   const rig = await startRig();
-  rig.ownerOf(KEYS.engines)!.leases.tell('leaving', [ENGINE.id]);
+  rig.ownerOf(CONTROL_KEYS.engines)!.leases.notifyAll('leaving', [ENGINE.id]);
   await rig.pass(100);
   expect(heardOf(rig)).toEqual([true, true, true]);
   void listed(rig, [ENGINE]);
@@ -58,7 +58,7 @@
 /** An engine that no list shows as leaving any more serves again after the bound. */
 async function endsWithTheBound(): Promise<void> {
   const rig = await startRig();
-  rig.ownerOf(KEYS.engines)!.leases.tell('leaving', [ENGINE.id]);
+  rig.ownerOf(CONTROL_KEYS.engines)!.leases.notifyAll('leaving', [ENGINE.id]);
   void listed(rig, [ENGINE]);
   await rig.pass(NEWS_BOUNDS.leavingBoundMs + 100);
   expect(heardOf(rig)).toEqual([false, false, false]);
@@ -95,21 +95,21 @@
   }
   const controller = {
     settings,
-    bounds: boundsOf(settings),
-    stopped: no,
-    chosen: yes,
-    hasMajority: yes,
-    owner: { owns: yes },
-    value,
+    timeLimits: timeLimitsOf(settings),
+    isStopped: no,
+    isPreferredOwner: yes,
+    hasQuorum: yes,
+    keyOwner: { owns: yes },
+    committedValue: value,
     change: never,
-    leases: { tell },
+    leases: { notifyAll: tell },
   } as unknown as Controller;
   const ports = {
     clock: world.clock(proc),
-    wire: { ask },
-    log: world.log(proc),
+    network: { request: ask },
+    logger: world.log(proc),
   } as unknown as Ports;
-  void watchPlatform(controller, ports);
+  void watchEngineList(controller, ports);
   await world.run(2000);
   expect(told).toEqual([['leaving', [ENGINE.id]]]);
 }
--- a/test/control/log-differences.test.ts
+++ b/test/control/log-differences.test.ts
@@ -1,13 +1,17 @@
 import { Right } from 'purify-ts';
-import { Cell, openSlots, Slots } from '../../src/control/storage/control-store';
-import { frame } from '../../src/control/storage/frames';
+import {
+  RegisterState,
+  openControlStore,
+  ControlStore,
+} from '../../src/control/storage/control-store';
+import { encodeFrame } from '../../src/control/storage/frames';
 import { Acceptor } from '../../src/control/consensus/acceptor';
-import { makeOwner } from '../../src/control/consensus/key-owner';
+import { makeKeyOwner } from '../../src/control/consensus/key-owner';
 import { makeDelta } from '../../src/shared/replication/delta';
 import { dispatch } from '../../src/shared/transport/handlers';
-import { open, Outcome } from '../../src/shared/errors/errors';
+import { errorOrValue, Result } from '../../src/shared/errors/errors';
 import { Disk, Ports } from '../../src/shared/ports/ports';
-import { Numbered, Voter, Voters } from '../../src/shared/state/words';
+import { VersionedValue, Voter, VoterSet } from '../../src/shared/state/words';
 import { makeNet } from '../../tools/sim/simwire';
 import { makeWorld } from '../../tools/sim/simworld';
 
@@ -23,19 +27,19 @@
 
 /** A disk in memory that counts what is written on it. */
 function diskOn(w: Written): Disk {
-  async function read(name: string): Promise<Outcome<Uint8Array | undefined>> {
+  async function read(name: string): Promise<Result<Uint8Array | undefined>> {
     return Right(w.files.get(name));
   }
   function count(bytes: Uint8Array): void {
     w.bytes += bytes.length;
     w.writes++;
   }
-  async function write(name: string, bytes: Uint8Array): Promise<Outcome<void>> {
+  async function write(name: string, bytes: Uint8Array): Promise<Result<void>> {
     count(bytes);
     w.files.set(name, Uint8Array.from(bytes));
     return Right(undefined);
   }
-  async function append(name: string, bytes: Uint8Array): Promise<Outcome<void>> {
+  async function append(name: string, bytes: Uint8Array): Promise<Result<void>> {
     count(bytes);
     w.files.set(name, Buffer.concat([w.files.get(name) ?? new Uint8Array(0), bytes]));
     return Right(undefined);
@@ -48,8 +52,8 @@
   return { ...makeNet(world).ports(world.proc('node', '10.1.0.1')), disk: diskOn(w) };
 }
 
-async function opened(w: Written): Promise<Slots> {
-  return (await openSlots(portsOn(w), MOST_LOG)).extract() as Slots;
+async function opened(w: Written): Promise<ControlStore> {
+  return (await openControlStore(portsOn(w), MOST_LOG)).extract() as ControlStore;
 }
 
 /** A document of some hundred kilobytes, of which a change touches one route. */
@@ -77,21 +81,30 @@
 }
 
 /** One controller's register on a disk of its own, which is its only voter. */
-async function alone(w: Written): Promise<{ slots: Slots; owner: ReturnType<typeof makeOwner> }> {
+async function alone(
+  w: Written,
+): Promise<{ slots: ControlStore; owner: ReturnType<typeof makeKeyOwner> }> {
   const slots = await opened(w);
-  function voters(): Voters {
-    return { now: [{ disk: slots.disk, at: 'here' }] };
+  function voters(): VoterSet {
+    return { now: [{ disk: slots.diskId, at: 'here' }] };
   }
-  function ask(_: Voter, type: string, body: unknown): Promise<Outcome<unknown>> {
+  function ask(_: Voter, type: string, body: unknown): Promise<Result<unknown>> {
     return dispatch([acceptor], type, body, undefined, 'here');
   }
   function nothing(): void {}
-  function learnHere(change: Numbered): Promise<unknown> {
+  function learnHere(change: VersionedValue): Promise<unknown> {
     return acceptor.learn({ change });
   }
-  const reach = { by: 'a.1', within: 1, voters, ask, learned: nothing, learnHere };
+  const reach = {
+    ownerId: 'a.1',
+    timeoutMs: 1,
+    voters,
+    request: ask,
+    onLearned: nothing,
+    learnLocally: learnHere,
+  };
   const acceptor = new Acceptor(slots, reach, portsOn(w));
-  return { slots, owner: makeOwner(slots, reach) };
+  return { slots, owner: makeKeyOwner(slots, reach) };
 }
 
 const CHANGES = 150;
@@ -102,18 +115,18 @@
   const whole = JSON.stringify(documentAt(1)).length;
   expect(whole).toBeGreaterThan(300_000);
   for (let revision = 1; revision <= CHANGES; revision++) {
-    function make(): Outcome<unknown> {
+    function make(): Result<unknown> {
       return Right(documentAt(revision));
     }
-    expect(open(await owner.change('deployment', make))[0]).toBeUndefined();
+    expect(errorOrValue(await owner.change('deployment', make))[0]).toBeUndefined();
     if (revision % 10 === 0) {
       const again = await opened({ files: new Map(w.files), bytes: 0, writes: 0 });
-      expect(again.disk).toBe(slots.disk);
-      expect(again.spoilt).toBe(false);
-      expect(again.cells.get('deployment')).toEqual(slots.cells.get('deployment'));
+      expect(again.diskId).toBe(slots.diskId);
+      expect(again.isCorrupt).toBe(false);
+      expect(again.registers.get('deployment')).toEqual(slots.registers.get('deployment'));
     }
   }
-  const held = slots.cells.get('deployment')!;
+  const held = slots.registers.get('deployment')!;
   expect(held.accepted).toBe(held.learned);
   expect(w.bytes / CHANGES).toBeLessThan(whole * 0.06);
   let kept = 0;
@@ -126,43 +139,43 @@
   const learned = { key: 'k', epoch: 1, by: 'a', number: 1, value: documentAt(1) };
   const next = { ...learned, number: 2, value: documentAt(2) };
   for (const base of [learned, { ...learned, number: 7 }]) {
-    const cell: Cell = { promised: { epoch: 1, by: 'a' }, accepted: base, learned: base };
+    const cell: RegisterState = { promised: { epoch: 1, by: 'a' }, accepted: base, learned: base };
     const files: Files = new Map([
-      ['slot-1', frame({ gen: 1, disk: 'd', cells: [['k', cell]] })],
+      ['slot-1', encodeFrame({ gen: 1, disk: 'd', cells: [['k', cell]] })],
       [
         'log-1',
         Buffer.concat([
-          frame({ gen: 1 }),
-          frame([{ key: 'k', acceptedDelta: makeDelta(learned, next) }]),
+          encodeFrame({ gen: 1 }),
+          encodeFrame([{ key: 'k', acceptedDelta: makeDelta(learned, next) }]),
         ]),
       ],
     ]);
     const s = await opened({ files, bytes: 0, writes: 0 });
     const fits = base === learned;
-    expect({ fits, kept: s.disk === 'd', spoilt: s.spoilt }).toEqual({
+    expect({ fits, kept: s.diskId === 'd', spoilt: s.isCorrupt }).toEqual({
       fits,
       kept: fits,
       spoilt: !fits,
     });
-    if (fits) expect(s.cells.get('k')?.accepted).toEqual(next);
+    if (fits) expect(s.registers.get('k')?.accepted).toEqual(next);
   }
 }
 
 /** A folder whose slots hold both values of each cell and whose log holds whole ones, as all did before. */
 async function wholeFolder(): Promise<void> {
-  function at(number: number): Numbered {
+  function at(number: number): VersionedValue {
     return { key: 'k', epoch: 1, by: 'a', number, value: documentAt(number) };
   }
-  const cell: Cell = { promised: { epoch: 1, by: 'a' }, accepted: at(2), learned: at(1) };
+  const cell: RegisterState = { promised: { epoch: 1, by: 'a' }, accepted: at(2), learned: at(1) };
   const files: Files = new Map([
-    ['slot-1', frame({ gen: 1, disk: 'd', cells: [['k', cell]] })],
+    ['slot-1', encodeFrame({ gen: 1, disk: 'd', cells: [['k', cell]] })],
     [
       'log-1',
       Buffer.concat([
-        frame({ gen: 1 }),
-        frame([{ key: 'k', learned: true }]),
-        frame([{ key: 'k', promised: { epoch: 1, by: 'a' }, accepted: at(3) }]),
-        frame([
+        encodeFrame({ gen: 1 }),
+        encodeFrame([{ key: 'k', learned: true }]),
+        encodeFrame([{ key: 'k', promised: { epoch: 1, by: 'a' }, accepted: at(3) }]),
+        encodeFrame([
           { key: 'k', learned: true },
           { key: 'k', accepted: at(4) },
         ]),
@@ -171,9 +184,9 @@
   ]);
   for (let i = 0; i < 3; i++) {
     const s = await opened({ files, bytes: 0, writes: 0 });
-    expect(s.disk).toBe('d');
-    expect(s.spoilt).toBe(false);
-    expect(s.cells.get('k')).toEqual({ ...cell, accepted: at(4), learned: at(3) });
+    expect(s.diskId).toBe('d');
+    expect(s.isCorrupt).toBe(false);
+    expect(s.registers.get('k')).toEqual({ ...cell, accepted: at(4), learned: at(3) });
   }
 }
 
--- a/test/control/news-sender.test.ts
+++ b/test/control/news-sender.test.ts
@@ -1,26 +1,26 @@
 import { Left, Right } from 'purify-ts';
-import { makeNewsSender, NewsSender } from '../../src/control/leases/change-sender';
+import { makeChangeSender, ChangeSender } from '../../src/control/leases/change-sender';
 import { makeVersionHistory } from '../../src/control/leases/version-history';
 import { AppliedEntry, ChangeMessage, targetOf } from '../../src/shared/replication/change-message';
-import { Exchange } from '../../src/shared/transport/connections';
-import { makeFault, Outcome } from '../../src/shared/errors/errors';
-import { Log } from '../../src/shared/ports/ports';
-import { Numbered, Place } from '../../src/shared/state/words';
+import { PeerChannel } from '../../src/shared/transport/connections';
+import { makeError, Result } from '../../src/shared/errors/errors';
+import { Logger } from '../../src/shared/ports/ports';
+import { VersionedValue, Version } from '../../src/shared/state/words';
 
 /** One follower whose answers are given by hand. */
 interface Follower {
-  sender: NewsSender;
-  applied: Map<string, Place>;
+  sender: ChangeSender;
+  applied: Map<string, Version>;
   /** What was sent, oldest first. */
   sent: { type: string; body: unknown }[];
   learn(number: number): void;
   /** Answers the oldest message that waits for its answer. */
-  answer(outcome: Outcome<unknown>): Promise<void>;
+  answer(outcome: Result<unknown>): Promise<void>;
 }
 
 const KEY = 'deployment';
 
-function versionOf(number: number): Numbered {
+function versionOf(number: number): VersionedValue {
   const items = Array.from({ length: 100 }, itemOf);
   function itemOf(_: unknown, i: number): object {
     return { name: `route-${i}`, service: i === number % 100 ? `service-${number}` : 'engines' };
@@ -30,29 +30,29 @@
 
 function makeFollower(): Follower {
   const history = makeVersionHistory();
-  const applied = new Map<string, Place>();
+  const applied = new Map<string, Version>();
   const sent: Follower['sent'] = [];
-  const waiting: ((outcome: Outcome<unknown>) => void)[] = [];
-  let newest: Numbered | undefined;
-  function ask(type: string, body: unknown): Promise<Outcome<unknown>> {
+  const waiting: ((outcome: Result<unknown>) => void)[] = [];
+  let newest: VersionedValue | undefined;
+  function ask(type: string, body: unknown): Promise<Result<unknown>> {
     sent.push({ type, body });
-    function wait(done: (outcome: Outcome<unknown>) => void): void {
+    function wait(done: (outcome: Result<unknown>) => void): void {
       waiting.push(done);
     }
     return new Promise(wait);
   }
   function nothing(): void {}
-  function newestOf(): Numbered | undefined {
+  function newestOf(): VersionedValue | undefined {
     return newest;
   }
-  function messageFor(change: Numbered, held: Place | undefined): ChangeMessage {
+  function messageFor(change: VersionedValue, held: Version | undefined): ChangeMessage {
     return history.messageFor(change, held, true);
   }
-  const sender = makeNewsSender({
-    exchange: { ask } as unknown as Exchange,
+  const sender = makeChangeSender({
+    channel: { request: ask } as unknown as PeerChannel,
     name: 'edge-1',
-    within: 1000,
-    log: { warn: nothing } as unknown as Log,
+    timeoutMs: 1000,
+    logger: { warn: nothing } as unknown as Logger,
     applied,
     newest: newestOf,
     messageFor,
@@ -63,14 +63,14 @@
     history.note(newest);
     sender.send(KEY);
   }
-  async function answer(outcome: Outcome<unknown>): Promise<void> {
+  async function answer(outcome: Result<unknown>): Promise<void> {
     waiting.shift()!(outcome);
     for (let i = 0; i < 20; i++) await Promise.resolve();
   }
   return { sender, applied, sent, learn, answer };
 }
 
-function read(...lacking: AppliedEntry[]): Outcome<unknown> {
+function read(...lacking: AppliedEntry[]): Result<unknown> {
   return Right({ lacking });
 }
 
@@ -107,7 +107,7 @@
   const follower = makeFollower();
   follower.learn(1);
   follower.learn(2);
-  await follower.answer(Left(makeFault('changes', 'edge-1', 'no return in time')));
+  await follower.answer(Left(makeError('changes', 'edge-1', 'no return in time')));
   expect(follower.sent).toHaveLength(1);
   follower.learn(3);
   expect(follower.sent).toHaveLength(2);
@@ -119,7 +119,7 @@
   follower.learn(1);
   await follower.answer(read());
   follower.learn(2);
-  await follower.answer(Left(makeFault('changes', 'edge-1', 'no return in time')));
+  await follower.answer(Left(makeError('changes', 'edge-1', 'no return in time')));
   follower.sender.confirm(KEY);
   expect(follower.sent[2]).toMatchObject({ type: 'has', body: { key: KEY, number: 2 } });
   await follower.answer(Right(true));
--- a/test/control/orders-resent.test.ts
+++ b/test/control/orders-resent.test.ts
@@ -1,4 +1,4 @@
-import { KEYS } from '../../src/shared/state/words';
+import { CONTROL_KEYS } from '../../src/shared/state/words';
 import { defaultSettings } from '../../src/shared/settings/settings';
 import { seededDice } from '../../tools/sim/dice';
 import { begin, CoreRig, documentOf, Heard, PATHS, statusOf } from './deploymentrig';
@@ -7,7 +7,7 @@
 function promisedEpoch(rig: CoreRig): number {
   let most = 0;
   for (const c of rig.controllers.values())
-    most = Math.max(most, c.slots.cells.get(KEYS.deployment)?.promised.epoch ?? 0);
+    most = Math.max(most, c.store.registers.get(CONTROL_KEYS.deployment)?.promised.epoch ?? 0);
   return most;
 }
 
--- a/test/control/orders.test.ts
+++ b/test/control/orders.test.ts
@@ -1,5 +1,5 @@
 import { platform } from '../../platform/dialect';
-import { OrderAnswer } from '../../src/shared/platform-adapter/platform-adapter';
+import { OrderReply } from '../../src/shared/platform-adapter/platform-adapter';
 
 const { order, report } = platform.engines;
 
@@ -38,7 +38,7 @@
 }
 
 function answers(): void {
-  const want: [number, OrderAnswer][] = [
+  const want: [number, OrderReply][] = [
     [200, 'holds'],
     [202, 'taken'],
     [400, 'bad'],
--- a/test/control/reads.test.ts
+++ b/test/control/reads.test.ts
@@ -1,12 +1,16 @@
 import { Right } from 'purify-ts';
-import { ReadEdge, ReadParts, readNewest } from '../../src/control/consensus/linearizable-read';
-import { Acceptor, Reach } from '../../src/control/consensus/acceptor';
-import { makeOwner, Owner } from '../../src/control/consensus/key-owner';
-import { openSlots, Slots } from '../../src/control/storage/control-store';
+import {
+  ReadHandlers,
+  ReadDependencies,
+  readLinearizable,
+} from '../../src/control/consensus/linearizable-read';
+import { Acceptor, VoterTransport } from '../../src/control/consensus/acceptor';
+import { makeKeyOwner, KeyOwner } from '../../src/control/consensus/key-owner';
+import { openControlStore, ControlStore } from '../../src/control/storage/control-store';
 import { dispatch } from '../../src/shared/transport/handlers';
-import { bad, open, Outcome } from '../../src/shared/errors/errors';
+import { failure, errorOrValue, Result } from '../../src/shared/errors/errors';
 import { Ports } from '../../src/shared/ports/ports';
-import { KEYS, Numbered, Voter, Voters } from '../../src/shared/state/words';
+import { CONTROL_KEYS, VersionedValue, Voter, VoterSet } from '../../src/shared/state/words';
 import { makeNet } from '../../tools/sim/simwire';
 import { makeWorld, Proc, World } from '../../tools/sim/simworld';
 
@@ -15,17 +19,17 @@
 /** One control machine without its duties: its disk, and what it answers. */
 interface Machine {
   proc: Proc;
-  slots: Slots;
-  owner: Owner;
+  slots: ControlStore;
+  owner: KeyOwner;
   edges: object[];
-  reads: ReadParts;
+  reads: ReadDependencies;
 }
 
 /** Control machines whose messages reach only those that `passes` lets through. */
 interface Rig {
   w: World;
   machines: Map<string, Machine>;
-  founding: Voters;
+  founding: VoterSet;
   passes(from: string, to: string, type: string): boolean;
   /** Holds a message up for as long as the promise lasts. */
   delays(from: string, to: string, type: string): Promise<void> | undefined;
@@ -55,9 +59,9 @@
     return got?.v;
   }
 
-  async function opened(ports: Ports): Promise<Slots> {
-    const o = await settled(openSlots(ports, 1 << 20));
-    return open(o!)[1]!;
+  async function opened(ports: Ports): Promise<ControlStore> {
+    const o = await settled(openControlStore(ports, 1 << 20));
+    return errorOrValue(o!)[1]!;
   }
 
   async function add(at: string): Promise<Machine> {
@@ -67,40 +71,50 @@
   async function start(at: string, proc: Proc): Promise<Machine> {
     const ports = net.ports(proc);
     const slots = await opened(ports);
-    function voters(): Voters {
-      return (slots.cells.get(KEYS.voters)?.learned?.value as Voters | undefined) ?? rig.founding;
+    function voters(): VoterSet {
+      return (
+        (slots.registers.get(CONTROL_KEYS.voters)?.learned?.value as VoterSet | undefined) ??
+        rig.founding
+      );
     }
-    async function ask(v: Voter, type: string, body: unknown): Promise<Outcome<unknown>> {
+    async function ask(v: Voter, type: string, body: unknown): Promise<Result<unknown>> {
       await rig.delays(at, v.at, type);
       const to = machines.get(v.at);
       if (!to || (v.at !== at && !rig.passes(at, v.at, type)))
-        return bad(type, v.at, 'cut off', 'unknown', 'timeout');
+        return failure(type, v.at, 'cut off', 'unknown', 'timeout');
       const edges = to.edges;
       return dispatch(edges, type, structuredClone(body), undefined, v.at);
     }
     function nothing(): void {}
-    async function learnHere(change: Numbered): Promise<unknown> {
+    async function learnHere(change: VersionedValue): Promise<unknown> {
       return acceptor.learn({ change });
     }
-    const reach: Reach = {
-      by: `${at}.${slots.disk}`,
-      within: 100,
+    const reach: VoterTransport = {
+      ownerId: `${at}.${slots.diskId}`,
+      timeoutMs: 100,
       voters,
-      ask,
-      learned: nothing,
-      learnHere,
+      request: ask,
+      onLearned: nothing,
+      learnLocally: learnHere,
     };
     const acceptor = new Acceptor(slots, reach, ports);
-    const owner = makeOwner(slots, reach);
-    async function ofOwner(key: string, type: string, body: unknown): Promise<Outcome<unknown>> {
+    const owner = makeKeyOwner(slots, reach);
+    async function ofOwner(key: string, type: string, body: unknown): Promise<Result<unknown>> {
       return dispatch(machine.edges, type, body, undefined, key);
     }
-    const reads: ReadParts = { slots, owner, voters, askVoter: ask, ofOwner, learnHere };
+    const reads: ReadDependencies = {
+      store: slots,
+      keyOwner: owner,
+      voters,
+      requestVoter: ask,
+      requestOwner: ofOwner,
+      learnLocally: learnHere,
+    };
     const machine: Machine = {
       proc,
       slots,
       owner,
-      edges: [acceptor, new ReadEdge(reads)],
+      edges: [acceptor, new ReadHandlers(reads)],
       reads,
     };
     machines.set(at, machine);
@@ -116,7 +130,7 @@
   }
 
   function voterOf(at: string): Voter {
-    return { disk: machines.get(at)!.slots.disk, at };
+    return { disk: machines.get(at)!.slots.diskId, at };
   }
 
   function never(): undefined {
@@ -145,40 +159,40 @@
 }
 
 async function put(r: Rig, at: string, key: string, value: unknown): Promise<void> {
-  function make(): Outcome<unknown> {
+  function make(): Result<unknown> {
     return Right(value);
   }
   const o = await r.settled(r.machines.get(at)!.owner.change(key, make));
-  expect(open(o!)[0]).toBeUndefined();
+  expect(errorOrValue(o!)[0]).toBeUndefined();
 }
 
 async function own(r: Rig, at: string, key: string): Promise<void> {
   const { owner } = r.machines.get(at)!;
-  owner.disown(key);
-  expect(open((await r.settled(owner.own(key)))!)[0]).toBeUndefined();
+  owner.release(key);
+  expect(errorOrValue((await r.settled(owner.acquire(key)))!)[0]).toBeUndefined();
 }
 
 /** What a read gives: a value, or the code of its fault. */
 async function read(r: Rig, at: string): Promise<unknown> {
-  const o = await r.settled(readNewest(r.machines.get(at)!.reads, KEY));
-  const [f, n] = open(o!);
+  const o = await r.settled(readLinearizable(r.machines.get(at)!.reads, KEY));
+  const [f, n] = errorOrValue(o!);
   return f ? f.code : n?.value;
 }
 
 /** Brings a set of voters about by the steps that controllers take: the joint set, all keys anew, the new set alone. */
 async function moveVoters(r: Rig, at: string, now: Voter[], next: Voter[]): Promise<void> {
-  await put(r, at, KEYS.voters, { now, next });
+  await put(r, at, CONTROL_KEYS.voters, { now, next });
   await catchUpOnVoters(r, at);
   await own(r, at, KEY);
-  await put(r, at, KEYS.voters, { now: next });
+  await put(r, at, CONTROL_KEYS.voters, { now: next });
   await catchUpOnVoters(r, at);
 }
 
 /** Has those in reach learn the voters that stand at one of them, as they do when they catch up. */
 async function catchUpOnVoters(r: Rig, from: string): Promise<void> {
-  const change = r.machines.get(from)!.slots.cells.get(KEYS.voters)!.learned!;
+  const change = r.machines.get(from)!.slots.registers.get(CONTROL_KEYS.voters)!.learned!;
   for (const [at, m] of r.machines)
-    if (r.passes(from, at, 'learn')) await r.settled(m.reads.learnHere(change));
+    if (r.passes(from, at, 'learn')) await r.settled(m.reads.learnLocally(change));
 }
 
 function without(names: string[]): (from: string, to: string) => boolean {
@@ -196,8 +210,8 @@
   r.passes = without(['c']);
   const [a, b, c, d, e] = ['a', 'b', 'c', 'd', 'e'].map(r.voterOf);
   await moveVoters(r, 'a', [a, b, c], [a, d, c]);
-  const carried = r.machines.get('a')!.slots.cells.get(KEY)!.learned!;
-  await r.settled(r.machines.get('c')!.reads.learnHere(carried));
+  const carried = r.machines.get('a')!.slots.registers.get(KEY)!.learned!;
+  await r.settled(r.machines.get('c')!.reads.learnLocally(carried));
   r.passes = without(['c', 'b']);
   await moveVoters(r, 'a', [a, d, c], [e, d, c]);
   r.passes = without(['a', 'b', 'c']);
@@ -237,16 +251,16 @@
   }
   r.delays = learnsOfA;
   const { owner, reads } = r.machines.get('a')!;
-  owner.disown(KEY);
-  void owner.own(KEY);
+  owner.release(KEY);
+  void owner.acquire(KEY);
   await pass(r, 100);
   r.passes = without(['a']);
   await put(r, 'c', KEY, 'second');
   r.passes = without([]);
-  const seen = readNewest(reads, KEY);
+  const seen = readLinearizable(reads, KEY);
   await pass(r, 100);
   release();
-  expect(open((await r.settled(seen))!)[1]?.value).toBe('second');
+  expect(errorOrValue((await r.settled(seen))!)[1]?.value).toBe('second');
 }
 
 function nothing(): void {}
@@ -265,9 +279,9 @@
     const change = r.machines.get('a')!.owner.change(KEY, makeOther);
     await pass(r, 500);
     const began = r.w.now();
-    const seen = await r.settled(readNewest(r.machines.get('b')!.reads, KEY));
+    const seen = await r.settled(readLinearizable(r.machines.get('b')!.reads, KEY));
     if (trouble === 'full') expect(r.w.now() - began).toBeLessThan(100);
-    expect(seen === undefined || open(seen)[1]?.value !== 'older').toBe(true);
+    expect(seen === undefined || errorOrValue(seen)[1]?.value !== 'older').toBe(true);
     for (const at of ['b', 'c']) {
       const { proc } = r.machines.get(at)!;
       proc.disk.full = false;
@@ -278,7 +292,7 @@
     for (const at of ['a', 'b', 'c']) expect(await read(r, at)).toBe('other');
     await put(r, 'a', KEY, 'first');
   }
-  function makeOther(): Outcome<unknown> {
+  function makeOther(): Result<unknown> {
     return Right('other');
   }
 }
--- a/test/control/recommitted.test.ts
+++ b/test/control/recommitted.test.ts
@@ -6,10 +6,10 @@
 import {
   InlineChange,
   isCurrent,
-  isReached,
+  isAtLeast,
   readChange,
 } from '../../src/shared/replication/change-message';
-import { KEYS, Numbered } from '../../src/shared/state/words';
+import { CONTROL_KEYS, VersionedValue } from '../../src/shared/state/words';
 import { back, lose, makeOperator, running, until } from '../../tools/sim/simcore';
 import { SimFleet } from '../../tools/sim/simfleet';
 import { all, applied, CORE, founded } from './rosterrig';
@@ -20,14 +20,14 @@
   return { name: `route-${index}`, path: `/a/long/enough/path/${index}/` };
 }
 
-function version(epoch: number, by: string, number: number, value: unknown): Numbered {
+function version(epoch: number, by: string, number: number, value: unknown): VersionedValue {
   return { key: 'k', epoch, by, number, value };
 }
 
 function sameNumber(): void {
   const held = version(1, 'a', 5, VALUE);
   const anew = version(4, 'b', 5, VALUE);
-  expect({ current: isCurrent(held, anew), reached: isReached(held, anew) }).toEqual({
+  expect({ current: isCurrent(held, anew), reached: isAtLeast(held, anew) }).toEqual({
     current: true,
     reached: false,
   });
@@ -51,7 +51,7 @@
 function ownersOf(f: SimFleet): Set<string> {
   const owners = new Set<string>();
   for (const c of running(f)) {
-    const learned = c.slots.cells.get(KEYS.intents)?.learned;
+    const learned = c.store.registers.get(CONTROL_KEYS.intents)?.learned;
     if (learned) owners.add(learned.by);
   }
   return owners;
--- a/test/control/register.test.ts
+++ b/test/control/register.test.ts
@@ -1,16 +1,16 @@
 import { Right } from 'purify-ts';
-import { Acceptor, Reach } from '../../src/control/consensus/acceptor';
-import { makeOwner, Owner } from '../../src/control/consensus/key-owner';
-import { openSlots } from '../../src/control/storage/control-store';
+import { Acceptor, VoterTransport } from '../../src/control/consensus/acceptor';
+import { makeKeyOwner, KeyOwner } from '../../src/control/consensus/key-owner';
+import { openControlStore } from '../../src/control/storage/control-store';
 import { dispatch } from '../../src/shared/transport/handlers';
-import { bad, open, Outcome } from '../../src/shared/errors/errors';
-import { Numbered, Voter, Voters } from '../../src/shared/state/words';
+import { failure, errorOrValue, Result } from '../../src/shared/errors/errors';
+import { VersionedValue, Voter, VoterSet } from '../../src/shared/state/words';
 import { makeNet } from '../../tools/sim/simwire';
 import { makeWorld, World } from '../../tools/sim/simworld';
 
 interface Three {
   w: World;
-  owner(by: string): Owner;
+  owner(by: string): KeyOwner;
   drive<T>(p: Promise<T>): Promise<T>;
 }
 
@@ -19,7 +19,7 @@
   const w = makeWorld(3, false);
   const net = makeNet(w);
   const acceptors = new Map<string, Acceptor>();
-  const voters: Voters = { now: [] };
+  const voters: VoterSet = { now: [] };
   let upTo = 0;
   async function drive<T>(p: Promise<T>): Promise<T> {
     let done = false;
@@ -30,40 +30,50 @@
     while (!done) await w.run((upTo += 10));
     return p;
   }
-  function given(): Voters {
+  function given(): VoterSet {
     return voters;
   }
   function nothing(): void {}
-  function reachOf(by: string): Reach {
-    function ask(v: Voter, type: string, body: unknown): Promise<Outcome<unknown>> {
+  function reachOf(by: string): VoterTransport {
+    function ask(v: Voter, type: string, body: unknown): Promise<Result<unknown>> {
       return dispatch([acceptors.get(v.disk)!], type, body, undefined, by);
     }
-    return { by, within: 500, voters: given, ask, learned: nothing, learnHere: nowhere };
+    return {
+      ownerId: by,
+      timeoutMs: 500,
+      voters: given,
+      request: ask,
+      onLearned: nothing,
+      learnLocally: nowhere,
+    };
   }
   async function nowhere(): Promise<void> {}
   for (const n of ['1', '2', '3']) {
     const ports = net.ports(w.proc(`disk-${n}`, `127.30.1.${n}`));
-    const [, slots] = open(await drive(openSlots(ports, 1 << 20)));
-    voters.now.push({ disk: slots!.disk, at: n });
-    acceptors.set(slots!.disk, new Acceptor(slots!, reachOf(`voter-${n}`), ports));
+    const [, slots] = errorOrValue(await drive(openControlStore(ports, 1 << 20)));
+    voters.now.push({ disk: slots!.diskId, at: n });
+    acceptors.set(slots!.diskId, new Acceptor(slots!, reachOf(`voter-${n}`), ports));
   }
-  async function blank(): Promise<Outcome<void>> {
+  async function blank(): Promise<Result<void>> {
     return Right(undefined);
   }
-  function owner(by: string): Owner {
-    return makeOwner(
-      { disk: by, cells: new Map(), put: blank, settled: blank } as never,
+  function owner(by: string): KeyOwner {
+    return makeKeyOwner(
+      { diskId: by, registers: new Map(), put: blank, flush: blank } as never,
       reachOf(by),
     );
   }
   return { w, owner, drive };
 }
 
-function onTopOf(base: unknown, value: unknown): (now: Numbered | undefined) => Outcome<unknown> {
-  function make(now: Numbered | undefined): Outcome<unknown> {
+function onTopOf(
+  base: unknown,
+  value: unknown,
+): (now: VersionedValue | undefined) => Result<unknown> {
+  function make(now: VersionedValue | undefined): Result<unknown> {
     return now?.value === base
       ? Right(value)
-      : bad('change', 'k', `${String(now?.value)} stands`, 'refused', 'conflict');
+      : failure('change', 'k', `${String(now?.value)} stands`, 'refused', 'conflict');
   }
   return make;
 }
@@ -71,9 +81,9 @@
 /** Changes as callers do: again where the owner first had to hear of a higher epoch. */
 async function twice(
   t: Three,
-  o: Owner,
-  make: (now: Numbered | undefined) => Outcome<unknown>,
-): Promise<Outcome<Numbered>> {
+  o: KeyOwner,
+  make: (now: VersionedValue | undefined) => Result<unknown>,
+): Promise<Result<VersionedValue>> {
   const r = await t.drive(o.change('k', make));
   return r.isLeft() ? t.drive(o.change('k', make)) : r;
 }
@@ -88,7 +98,7 @@
   expect(o.map(valueOf).extract()).toBe('three');
   expect((await t.drive(a.change('k', onTopOf('two', 'four')))).extract()).toMatchObject({
     code: 'conflict',
-    sort: 'refused',
+    certainty: 'refused',
   });
 }
 
@@ -98,8 +108,10 @@
     const t = await three();
     const a = t.owner('a');
     const b = t.owner('b');
-    function unlessOne(now: Numbered | undefined): Outcome<unknown> {
-      return now?.value === 'one' ? bad('change', 'k', 'one stands', 'refused', code) : Right('x');
+    function unlessOne(now: VersionedValue | undefined): Result<unknown> {
+      return now?.value === 'one'
+        ? failure('change', 'k', 'one stands', 'refused', code)
+        : Right('x');
     }
     expect((await t.drive(a.change('k', onTopOf(undefined, 'one')))).isRight()).toBe(true);
     expect((await t.drive(a.change('k', unlessOne))).extract()).toMatchObject({ code });
@@ -113,18 +125,18 @@
   const t = await three();
   const a = t.owner('a');
   expect((await t.drive(a.change('k', onTopOf(undefined, 'one')))).isRight()).toBe(true);
-  const first = a.ownAnew('k');
+  const first = a.reacquire('k');
   await Promise.resolve();
   await Promise.resolve();
-  const later = [a.ownAnew('k'), a.ownAnew('k'), a.ownAnew('k'), a.ownAnew('k')];
+  const later = [a.reacquire('k'), a.reacquire('k'), a.reacquire('k'), a.reacquire('k')];
   const all = await t.drive(Promise.all([first, ...later]));
   const epochs = new Set<number>();
-  for (const o of all) epochs.add((o.extract() as Numbered).epoch);
+  for (const o of all) epochs.add((o.extract() as VersionedValue).epoch);
   expect([...epochs]).toEqual([2, 3]);
-  expect((await t.drive(a.ownAnew('k'))).extract()).toMatchObject({ epoch: 4, value: 'one' });
+  expect((await t.drive(a.reacquire('k'))).extract()).toMatchObject({ epoch: 4, value: 'one' });
 }
 
-function valueOf(n: Numbered): unknown {
+function valueOf(n: VersionedValue): unknown {
   return n.value;
 }
 
--- a/test/control/repair-retries.test.ts
+++ b/test/control/repair-retries.test.ts
@@ -3,7 +3,7 @@
  * commit every key anew, which would be news to every follower and to the newcomer.
  */
 
-import { KEYS } from '../../src/shared/state/words';
+import { CONTROL_KEYS } from '../../src/shared/state/words';
 import { back, lose, makeOperator, procOf, running, until } from '../../tools/sim/simcore';
 import { all, applied, CORE, founded } from './rosterrig';
 
@@ -21,7 +21,7 @@
       return Math.max(...epochs);
     }
     function epochAt(c: ReturnType<typeof running>[number]): number {
-      return c.slots.cells.get(KEYS.intents)?.learned?.epoch ?? 0;
+      return c.store.registers.get(CONTROL_KEYS.intents)?.learned?.epoch ?? 0;
     }
     lose(f, 'core-2', true);
     await f.w.run(f.w.now() + 300);
--- a/test/control/repair.test.ts
+++ b/test/control/repair.test.ts
@@ -1,16 +1,16 @@
 import { Right } from 'purify-ts';
 import { Controller } from '../../src/control/controller';
-import { Outcome } from '../../src/shared/errors/errors';
-import { bringUpToDate } from '../../src/control/consensus/replica-sync';
-import { Cell, Slots } from '../../src/control/storage/control-store';
-import { isVoter, KEYS, Numbered, Voter } from '../../src/shared/state/words';
+import { Result } from '../../src/shared/errors/errors';
+import { syncReplica } from '../../src/control/consensus/replica-sync';
+import { RegisterState, ControlStore } from '../../src/control/storage/control-store';
+import { isVoter, CONTROL_KEYS, VersionedValue, Voter } from '../../src/shared/state/words';
 import { asked, back, lose, makeOperator, procOf, running, until } from '../../tools/sim/simcore';
 import { SimFleet } from '../../tools/sim/simfleet';
 import { all, applied, CORE, founded } from './rosterrig';
 
 const FIVE = [...CORE, 'core-4', 'core-5'];
 /** Keys that go on changing by themselves. */
-const LIVELY = [KEYS.duty, KEYS.engines, KEYS.voters];
+const LIVELY = [CONTROL_KEYS.duty, CONTROL_KEYS.engines, CONTROL_KEYS.voters];
 /** How much slower than others a newcomer's disk is. */
 const SLOW_DISK = 30;
 /** What a disk that is not slow needs for two syncs, one after the other. */
@@ -22,7 +22,7 @@
 
 /** Whether some running controller knows the set that ends a joint one, with a machine's new disk in it. */
 function isTakenIn(f: SimFleet, name: string): boolean {
-  const disk = f.controllers.get(name)?.slots.disk;
+  const disk = f.controllers.get(name)?.store.diskId;
   function knows(c: Controller): boolean {
     const v = c.voters();
     return v !== undefined && !v.next && v.now.some(isNew);
@@ -45,9 +45,9 @@
   return LIVELY.some(begins);
 }
 
-function restingPlaces(c: Controller): Numbered[] {
-  const out: Numbered[] = [];
-  for (const [key, cell] of c.slots.cells)
+function restingPlaces(c: Controller): VersionedValue[] {
+  const out: VersionedValue[] = [];
+  for (const [key, cell] of c.store.registers)
     if (cell.learned && !isLively(key)) out.push(cell.learned);
   return out;
 }
@@ -59,7 +59,7 @@
 }
 
 /** Whether a disk holds a change or a later one; a takeover gives the same change a higher epoch, and may come from the newcomer itself. */
-function holdsChange(learned: Numbered | undefined, change: Numbered): boolean {
+function holdsChange(learned: VersionedValue | undefined, change: VersionedValue): boolean {
   if (!learned || learned.number < change.number) return false;
   const isSame = JSON.stringify(learned.value) === JSON.stringify(change.value);
   return learned.number > change.number || isSame;
@@ -84,7 +84,7 @@
       return f.controllers.has('core-3');
     }
     await until(f, f.w.now() + 1000, started, 0.1);
-    const { cells } = f.controllers.get('core-3')!.slots;
+    const { registers: cells } = f.controllers.get('core-3')!.store;
     const lacking: string[] = [];
     for (const n of wanted) if (!holdsChange(cells.get(n.key)?.learned, n)) lacking.push(n.key);
     expect({ seed, lacking }).toEqual({ seed, lacking: [] });
@@ -145,7 +145,7 @@
     const v = f.controllers.get(name)?.voters();
     return v !== undefined && !v.next && names.every(votes);
     function votes(n: string): boolean {
-      return isVoter(v, f.controllers.get(n)?.slots.disk ?? '');
+      return isVoter(v, f.controllers.get(n)?.store.diskId ?? '');
     }
   }
   function isEnded(): boolean {
@@ -243,9 +243,9 @@
 
 /** What a far voter is asked and sent, told by an imagined voter that lacks everything. */
 async function boundedBatches(): Promise<void> {
-  const cells = new Map<string, Cell>();
+  const cells = new Map<string, RegisterState>();
   for (let i = 0; i < 1000; i++) {
-    const learned: Numbered = { key: `keys/${i}`, epoch: 1, by: 'a', number: 1, value: i };
+    const learned: VersionedValue = { key: `keys/${i}`, epoch: 1, by: 'a', number: 1, value: i };
     cells.set(learned.key, { promised: { epoch: 1, by: 'a' }, learned });
   }
   const to: Voter = { disk: 'd9', at: '10.0.0.9:7000' };
@@ -253,13 +253,13 @@
   let mostPlaces = 0;
   let mostOnWay = 0;
   let onWay = 0;
-  async function askVoter(_: Voter, type: string, body: unknown): Promise<Outcome<unknown>> {
+  async function askVoter(_: Voter, type: string, body: unknown): Promise<Result<unknown>> {
     if (type === 'lacking') return Right(lacking(body as { places: { key: string }[] }));
     onWay++;
     mostOnWay = Math.max(mostOnWay, onWay);
     await Promise.resolve();
     onWay--;
-    has.add((body as { change: Numbered }).change.key);
+    has.add((body as { change: VersionedValue }).change.key);
     return Right({ disk: to.disk });
   }
   function lacking({ places }: { places: { key: string }[] }): object {
@@ -272,7 +272,10 @@
   function isLacking(key: string): boolean {
     return !has.has(key);
   }
-  const o = await bringUpToDate({ slots: { cells } as Slots, askVoter }, to);
+  const o = await syncReplica(
+    { store: { registers: cells } as ControlStore, requestVoter: askVoter },
+    to,
+  );
   expect({ fine: o.isRight(), has: has.size }).toEqual({ fine: true, has: 1000 });
   expect(mostPlaces).toBeLessThanOrEqual(256);
   expect(mostOnWay).toBeLessThanOrEqual(16);
--- a/test/control/return.test.ts
+++ b/test/control/return.test.ts
@@ -1,26 +1,37 @@
-import { converse, HelloEdge, WIRE_VERSION } from '../../src/shared/transport/connections';
-import { follow, Follower } from '../../src/shared/replication/follower';
-import { boundsOf } from '../../src/shared/settings/time-limits';
+import {
+  openChannel,
+  HelloHandlers,
+  PROTOCOL_VERSION,
+} from '../../src/shared/transport/connections';
+import { followCore, Follower } from '../../src/shared/replication/follower';
+import { timeLimitsOf } from '../../src/shared/settings/time-limits';
 import { defaultSettings } from '../../src/shared/settings/settings';
 import { Proc } from '../../tools/sim/simworld';
 import { CoreRig, makeCore, documentOf, PATHS } from './deploymentrig';
 
-const BOUNDS = boundsOf({ ...defaultSettings(), strict: false });
+const BOUNDS = timeLimitsOf({ ...defaultSettings(), strict: false });
 
 function followAt(f: CoreRig, p: Proc): Follower {
   const ports = f.net.ports(p);
   const at = `${p.ip}:7000`;
-  const hello = { version: WIRE_VERSION, name: p.name, role: 'router', at, zone: p.name };
-  const edges: object[] = [new HelloEdge(hello)];
-  void ports.wire.accept(at, taken);
-  function taken(c: Parameters<typeof converse>[1]): void {
-    converse(ports, c, edges);
+  const hello = { version: PROTOCOL_VERSION, name: p.name, role: 'router', at, zone: p.name };
+  const edges: object[] = [new HelloHandlers(hello)];
+  void ports.network.listen(at, taken);
+  function taken(c: Parameters<typeof openChannel>[1]): void {
+    openChannel(ports, c, edges);
   }
-  return follow(
+  return followCore(
     ports,
     BOUNDS,
     hello,
-    { name: p.name, role: 'router', at, http: at, zone: p.name, life: ports.dice.id().slice(0, 8) },
+    {
+      name: p.name,
+      role: 'router',
+      at,
+      http: at,
+      zone: p.name,
+      life: ports.random.uuid().slice(0, 8),
+    },
     f.core.map(wireOf),
     edges,
   );
@@ -49,7 +60,7 @@
   await f.pass(late[1]);
   f.start(f.core[(seed + 1) % 3]);
   const began = f.w.now();
-  while (!follower.live() && f.w.now() < began + 5000) await f.pass(5);
+  while (!follower.hasLease() && f.w.now() < began + 5000) await f.pass(5);
   f.start(f.core[(seed + 2) % 3]);
   await f.pass(late[2] - late[1]);
   expect(follower.value<{ revision: number }>('deployment')?.value.revision).toBe(1);
@@ -59,7 +70,7 @@
 async function soon(): Promise<void> {
   const took: number[] = [];
   for (let seed = 1; seed <= 12; seed++) took.push(await returns(seed));
-  for (const ms of took) expect(ms).toBeLessThan(BOUNDS.pause * 1.2);
+  for (const ms of took) expect(ms).toBeLessThan(BOUNDS.retryPauseMs * 1.2);
 }
 
 test('after all lost power, a router has its leases soon after a majority is up', soon);
--- a/test/control/rolloutdesk.ts
+++ b/test/control/rolloutdesk.ts
@@ -1,9 +1,9 @@
 import { platform } from '../../platform/dialect';
 import { Controller, startController } from '../../src/control/controller';
-import { rollOut } from '../../src/control/singletons/weights-rollout';
-import { giveJson, takeJson } from '../../src/shared/transport/handlers';
-import { open } from '../../src/shared/errors/errors';
-import { Call, Ports } from '../../src/shared/ports/ports';
+import { runWeightsRollout } from '../../src/control/singletons/weights-rollout';
+import { sendJson, readJsonBody } from '../../src/shared/transport/handlers';
+import { errorOrValue } from '../../src/shared/errors/errors';
+import { IncomingRequest, Ports } from '../../src/shared/ports/ports';
 import { defaultSettings, Settings } from '../../src/shared/settings/settings';
 import { Engine } from '../../src/shared/state/words';
 import { makeNet, SimNet } from '../../tools/sim/simwire';
@@ -124,10 +124,10 @@
     void go();
     async function go(): Promise<void> {
       const ports = net.ports(proc(n));
-      const [f, c] = open(await startController(ports, settings(n)));
+      const [f, c] = errorOrValue(await startController(ports, settings(n)));
       if (f) return;
       controllers.set(n, c);
-      void rollOut(c, ports, platform.engines);
+      void runWeightsRollout(c, ports, platform.engines);
     }
   }
 
@@ -169,17 +169,17 @@
       w.after(REPORT_AGE / 2, look);
     }
     look();
-    void ports.wire.serve(at, take);
-    async function take(call: Call): Promise<void> {
+    void ports.network.serveHttp(at, take);
+    async function take(call: IncomingRequest): Promise<void> {
       if (call.path === '/api/report') {
         reports.n++;
-        return giveJson(call, 200, {
+        return sendJson(call, 200, {
           models: [{ name: 'm', revision: shown.weights }],
           busy: shown.busy,
           callCount: shown.calls,
         });
       }
-      const b = (await takeJson(call, 1e4)) as {
+      const b = (await readJsonBody(call, 1e4)) as {
         model: string;
         revision: number;
         holder: string;
@@ -197,7 +197,7 @@
         status,
         late: w.now() - calm.at < THAW,
       });
-      if (!e.mute) giveJson(call, status, {});
+      if (!e.mute) sendJson(call, status, {});
     }
     function judge(b: { revision: number; fenceToken: number; expectedCount?: number }): number {
       if (b.fenceToken < e.fence) return 412;
@@ -247,11 +247,11 @@
     method(listing[0]);
     const c = [...controllers.values()].find(fit);
     const key = JSON.stringify(listing[0].list);
-    if (c && JSON.stringify(c.value('engines')?.value) !== key)
+    if (c && JSON.stringify(c.committedValue('engines')?.value) !== key)
       void c.change({ kind: 'engines', engines: listing[0].list });
     w.after(LIST_AGE / 2, tellList);
     function fit(x: Controller): boolean {
-      return !proc(x.name).frozen && x.hasMajority();
+      return !proc(x.name).frozen && x.hasQuorum();
     }
   }
 
--- a/test/control/roster-late.test.ts
+++ b/test/control/roster-late.test.ts
@@ -58,7 +58,7 @@
     f.lost.delete(into);
     f.starts.get(into)!();
     await f.w.run(f.w.now() + 300);
-    void f.controllers.get(n)!.leave();
+    void f.controllers.get(n)!.drain();
     await f.w.run(f.w.now() + 2500);
     lose(f, n, true);
     f.lost.add(n);
--- a/test/control/roster.test.ts
+++ b/test/control/roster.test.ts
@@ -1,4 +1,4 @@
-import { nextSet, Standing } from '../../src/control/membership/voter-set-controller';
+import { planVoterSet, VoterHealth } from '../../src/control/membership/voter-set-controller';
 import { Voter } from '../../src/shared/state/words';
 import {
   back,
@@ -20,15 +20,15 @@
   now: Voter[],
   joiners: Voter[],
   target: number,
-  stands: Record<string, Standing> = {},
+  stands: Record<string, VoterHealth> = {},
 ): string {
-  function standing(x: Voter): Standing {
+  function standing(x: Voter): VoterHealth {
     return stands[x.disk] ?? 'here';
   }
   function disk(x: Voter): string {
     return x.disk;
   }
-  return nextSet(now, joiners, standing, target)?.map(disk).join(' ') ?? 'as it is';
+  return planVoterSet(now, joiners, standing, target)?.map(disk).join(' ') ?? 'as it is';
 }
 
 function plans(): void {
@@ -85,8 +85,8 @@
     }
     expect((await until(f, 3000, up, 5))!).toBeLessThan(400);
   }
-  function knows(c: { value(key: string): unknown }): boolean {
-    return c.value('voters') !== undefined;
+  function knows(c: { committedValue(key: string): unknown }): boolean {
+    return c.committedValue('voters') !== undefined;
   }
 }
 
@@ -166,7 +166,7 @@
     f.starts.get(into)!();
     await f.w.run(f.w.now() + 300);
     if (leaves) {
-      void f.controllers.get(n)!.leave();
+      void f.controllers.get(n)!.drain();
       await f.w.run(f.w.now() + 100);
     }
     lose(f, n, leaves);
@@ -214,7 +214,7 @@
   }
   expect(await until(f, f.w.now() + 8000, settled)).toBeDefined();
   for (const n of ['core-2', 'core-3']) {
-    void f.controllers.get(n)!.leave();
+    void f.controllers.get(n)!.drain();
     await f.w.run(f.w.now() + 1000);
     lose(f, n, true);
     f.controllers.delete(n);
@@ -226,8 +226,8 @@
   const c = 'core-1';
   function knows(): boolean {
     return (
-      f.controllers.get(c)?.value<unknown>('intents')?.place.number === o.acked() &&
-      f.controllers.get(c)!.hasMajority()
+      f.controllers.get(c)?.committedValue<unknown>('intents')?.place.number === o.acked() &&
+      f.controllers.get(c)!.hasQuorum()
     );
   }
   expect(await until(f, f.w.now() + 6000, knows)).toBeDefined();
@@ -260,8 +260,8 @@
   function isJoint(c: { voters(): { next?: unknown } | undefined }): boolean {
     return c.voters()?.next !== undefined;
   }
-  function ownsVoters(c: { owner: { owns(key: string): boolean }; name: string }): boolean {
-    return c.owner.owns('voters');
+  function ownsVoters(c: { keyOwner: { owns(key: string): boolean }; name: string }): boolean {
+    return c.keyOwner.owns('voters');
   }
 }
 
--- a/test/control/takeover.test.ts
+++ b/test/control/takeover.test.ts
@@ -20,7 +20,7 @@
 
 function ownerOf(f: SimFleet, key: string): string {
   function owns(c: Controller): boolean {
-    return c.owner.owns(key) && c.chosen(key);
+    return c.keyOwner.owns(key) && c.isPreferredOwner(key);
   }
   return running(f).find(owns)!.name;
 }
@@ -135,7 +135,7 @@
     }
     await f.w.run(f.w.now() + 2000);
     function revision(c: Controller): number {
-      return c.value('intents')!.place.number;
+      return c.committedValue('intents')!.place.number;
     }
     expect({ seed, all: running(f).map(revision) }).toEqual({
       seed,
--- a/test/control/voter-status.test.ts
+++ b/test/control/voter-status.test.ts
@@ -81,17 +81,17 @@
   const o = makeOperator(f);
   await applied(f, o);
   const [first, , third] = CORE;
-  const { slots } = f.controllers.get(third)!;
-  const before = slots.cells.get('intents')!.learned!;
+  const { store: slots } = f.controllers.get(third)!;
+  const before = slots.registers.get('intents')!.learned!;
   await applied(f, o);
   await applied(f, o);
   await f.w.run(f.w.now() + 500);
-  slots.cells.get('intents')!.learned = before;
+  slots.registers.get('intents')!.learned = before;
   const s = await standing(f);
   expect(s.voters[2].behind).toBe(2);
   expect(s.bearsLoss).toBe(false);
   expect(reasonsOf(s)).toEqual(['voter-behind']);
-  expect(f.controllers.get(first)!.hasMajority()).toBe(true);
+  expect(f.controllers.get(first)!.hasQuorum()).toBe(true);
 }
 
 test('a set whose voters are here and whole bears a loss', bearsALoss);
--- a/test/control/weights-naming.test.ts
+++ b/test/control/weights-naming.test.ts
@@ -1,25 +1,25 @@
-import { makeValue } from '../../src/control/configuration/operations';
-import { Fault } from '../../src/shared/errors/errors';
+import { computeNextValue } from '../../src/control/configuration/operations';
+import { OperationError } from '../../src/shared/errors/errors';
 import { NamedWeights } from '../../src/shared/state/weights';
-import { Numbered } from '../../src/shared/state/words';
+import { VersionedValue } from '../../src/shared/state/words';
 import { seededDice } from '../../tools/sim/dice';
 import { begin, CoreRig, insisted, isolate, PATHS, post, SILENCE } from './deploymentrig';
 
 const MODEL = 'm';
 
-function standing(value: NamedWeights | undefined): Numbered | undefined {
+function standing(value: NamedWeights | undefined): VersionedValue | undefined {
   return value && { key: `weights/${MODEL}`, epoch: 1, by: 'a', number: 1, value };
 }
 
 function name(value: NamedWeights | undefined, weights: string, rank?: number): NamedWeights {
   const op = { kind: 'weights', model: MODEL, weights, rank } as const;
-  return makeValue(op, standing(value)).extract() as NamedWeights;
+  return computeNextValue(op, standing(value)).extract() as NamedWeights;
 }
 
 function codeOf(value: NamedWeights, rank: number): string | undefined {
   const op = { kind: 'weights', model: MODEL, weights: String(rank), rank } as const;
-  const outcome = makeValue(op, standing(value));
-  return outcome.isLeft() ? (outcome.extract() as Fault).code : undefined;
+  const outcome = computeNextValue(op, standing(value));
+  return outcome.isLeft() ? (outcome.extract() as OperationError).code : undefined;
 }
 
 function rankRises(): void {
@@ -42,8 +42,9 @@
 }
 
 function namedAt(rig: CoreRig, controller: number): NamedWeights | undefined {
-  return rig.controllers.get(rig.core[controller].name)?.value<NamedWeights>(`weights/${MODEL}`)
-    ?.value;
+  return rig.controllers
+    .get(rig.core[controller].name)
+    ?.committedValue<NamedWeights>(`weights/${MODEL}`)?.value;
 }
 
 async function send(
