--- a/test/data/gateway-connections.test.ts
+++ b/test/data/gateway-connections.test.ts
@@ -1,7 +1,7 @@
 import { keepConnections } from '../../src/data/gateway/pools';
 import { makeRetryBudget } from '../../src/data/gateway/budget';
-import { bad, open, Outcome } from '../../src/shared/errors/errors';
-import { Clock, HttpConnection, HttpWire } from '../../src/shared/ports/ports';
+import { failure, errorOrValue, Result } from '../../src/shared/errors/errors';
+import { Clock, HttpConnection, RawHttpNetwork } from '../../src/shared/ports/ports';
 import { Right } from 'purify-ts';
 import { defaultSettings } from '../../src/shared/settings/settings';
 import { Engine } from '../../src/shared/state/words';
@@ -23,7 +23,7 @@
 /** A clock that a test moves, and connections that it ends. */
 function hands(): {
   clock: Clock;
-  http: HttpWire;
+  http: RawHttpNetwork;
   made: Hand[];
   move(ms: number): void;
   dark(on: boolean): void;
@@ -57,8 +57,8 @@
       return t.at > time;
     }
   }
-  async function connect(at: string): Promise<Outcome<HttpConnection>> {
-    if (isDark) return bad('connect', at, 'no connection in time', 'refused', 'timeout');
+  async function connect(at: string): Promise<Result<HttpConnection>> {
+    if (isDark) return failure('connect', at, 'no connection in time', 'refused', 'timeout');
     let fits = true;
     let told: () => void;
     let end: (v: { surplus: boolean }) => void;
@@ -83,12 +83,12 @@
       end({ surplus });
     }
     const h: Hand = {
-      at,
-      fit,
-      uses: now,
-      ask: undefined as never,
+      address: at,
+      isReusable: fit,
+      useCount: now,
+      request: undefined as never,
       onIdle,
-      done: new Promise(wait),
+      closed: new Promise(wait),
       close,
       idle,
       end: endWith,
@@ -99,7 +99,7 @@
   function dark(on: boolean): void {
     isDark = on;
   }
-  const clock: Clock = { now, wall: String, sleep: undefined as never, timer };
+  const clock: Clock = { now, wallTime: String, sleep: undefined as never, setTimer: timer };
   return { clock, http: { connect, serve: undefined as never }, made, move, dark };
 }
 
@@ -122,7 +122,7 @@
   expect((await k.take(engine, 100)).unsafeCoerce()).toBe(w.made[2]);
   w.made[2].idle();
   w.made[2].end(true);
-  await w.made[2].done;
+  await w.made[2].closed;
   w.made[1].idle();
   expect((await k.take(engine, 100)).unsafeCoerce()).toBe(w.made[3]);
   k.stop();
@@ -132,11 +132,11 @@
   const w = hands();
   const k = keepConnections(w.clock, w.http, defaultSettings(), two);
   for (let i = 0; i < 4; i++) expect((await k.take(engine, 10)).isRight()).toBe(true);
-  const [f] = open(await k.take(engine, 10));
-  expect(f).toMatchObject({ sort: 'refused', code: 'no-connection' });
+  const [f] = errorOrValue(await k.take(engine, 10));
+  expect(f).toMatchObject({ certainty: 'refused', code: 'no-connection' });
   k.renew(new Set());
   w.made[0].idle();
-  expect(w.made[0].fit()).toBe(false);
+  expect(w.made[0].isReusable()).toBe(false);
   k.stop();
 }
 
@@ -157,7 +157,7 @@
 }
 
 function isFit(h: Hand): boolean {
-  return h.fit();
+  return h.isReusable();
 }
 
 function slides(): void {
--- a/test/data/gateway-drain-changes.test.ts
+++ b/test/data/gateway-drain-changes.test.ts
@@ -1,4 +1,4 @@
-import { KEYS } from '../../src/shared/state/words';
+import { CONTROL_KEYS } from '../../src/shared/state/words';
 import { bareCaller } from './bare-caller';
 import { HeldRig, startHeldRig } from './drainrig';
 import { ask, deployment, Got, route, sealed, startStandIn, turnsAway } from './gatewayrig';
@@ -43,11 +43,11 @@
   for (let i = 0; i < CHANGES; i++) {
     const timeoutMs = i % 2 === 0 ? 100 : LONG_MS;
     const doc = deployment([route({ timeoutMs })], { limits: limitsOf(2000 + i) });
-    rig.tell(KEYS.deployment, { revision: ++revision, doc });
+    rig.tell(CONTROL_KEYS.deployment, { revision: ++revision, doc });
     if (i % 10 === 0) await clock.advance(STEP_MS);
   }
   const doc = deployment([route({ name: 'other', prefix: '/other/' })], { tenants: [], pools: [] });
-  rig.tell(KEYS.deployment, { revision: ++revision, doc });
+  rig.tell(CONTROL_KEYS.deployment, { revision: ++revision, doc });
   await clock.advance(STEP_MS);
   await leaving.finish();
   expect(await asked).toMatchObject({ status: 200, whole: true });
@@ -62,7 +62,7 @@
   const { leaving } = await startLeaving();
   const { rig } = leaving;
   const doc = deployment([route({ timeoutMs: LONG_MS })], { limits: limitsOf(9000) });
-  rig.tell(KEYS.deployment, { revision: ++revision, doc });
+  rig.tell(CONTROL_KEYS.deployment, { revision: ++revision, doc });
   const got = await ask(rig.at, { path: '/nowhere/' });
   expect(got.status).toBe(404);
   expect(got.headers.connection).toBe('close');
--- a/test/data/gateway-drain.test.ts
+++ b/test/data/gateway-drain.test.ts
@@ -1,5 +1,5 @@
 import http from 'node:http';
-import { Dice } from '../../src/shared/ports/ports';
+import { RandomSource } from '../../src/shared/ports/ports';
 import { seededDice } from '../../tools/sim/dice';
 import { CONTACT_MS, GRACE_MS, startHeldRig } from './drainrig';
 import { ask, Got, Rig } from './gatewayrig';
@@ -34,7 +34,7 @@
   endedAt: number;
 }
 
-function drawn(dice: Dice): LateRequest {
+function drawn(dice: RandomSource): LateRequest {
   const deadlineMs = 500 + Math.floor(dice.next() * 6500);
   return {
     at: Math.floor(dice.next() * GRACE_MS * 0.83),
--- a/test/data/gateway-engines.test.ts
+++ b/test/data/gateway-engines.test.ts
@@ -1,5 +1,5 @@
-import { realHttp } from '../../src/shared/system/raw-http';
-import { realWire } from '../../src/shared/system/tcp-network';
+import { makeRawHttpNetwork } from '../../src/shared/system/raw-http';
+import { makeSystemNetwork } from '../../src/shared/system/tcp-network';
 import {
   ask,
   deployment,
@@ -92,7 +92,7 @@
 
 async function connectsWhileHeldUp(): Promise<void> {
   const e = await startStandIn('e1', streams(1));
-  const coming = realHttp().connect(e.at, 20);
+  const coming = makeRawHttpNetwork().connect(e.at, 20);
   holdUp(60);
   const connection = (await coming).unsafeCoerce();
   connection.close();
@@ -101,12 +101,18 @@
 
 async function wireWhileHeldUp(): Promise<void> {
   const e = await startStandIn('e1', streams(1));
-  const wire = realWire(20);
-  const asking = wire.ask({ at: e.at, method: 'GET', path: '/x', headers: {}, within: 2000 });
+  const wire = makeSystemNetwork(20);
+  const asking = wire.request({
+    address: e.at,
+    method: 'GET',
+    path: '/x',
+    headers: {},
+    timeoutMs: 2000,
+  });
   await turn();
   holdUp(60);
   (await asking).unsafeCoerce().cancel();
-  const dialling = wire.dial(e.at, 20);
+  const dialling = wire.connect(e.at, 20);
   holdUp(60);
   (await dialling).unsafeCoerce().close();
   e.close();
--- a/test/data/gatewayrig.ts
+++ b/test/data/gatewayrig.ts
@@ -5,12 +5,12 @@
 import { Gateway, startGateway } from '../../src/data/gateway/gateway';
 import { Deployment, HttpRoute } from '../../src/shared/state/deployment';
 import { Follower } from '../../src/shared/replication/follower';
-import { makeFeed } from '../../src/shared/util/lib';
+import { makePushStream } from '../../src/shared/util/lib';
 import { Ports } from '../../src/shared/ports/ports';
-import { realClock } from '../../src/shared/system/system-ports';
-import { realHttp } from '../../src/shared/system/raw-http';
+import { makeSystemClock } from '../../src/shared/system/system-ports';
+import { makeRawHttpNetwork } from '../../src/shared/system/raw-http';
 import { defaultSettings, Settings } from '../../src/shared/settings/settings';
-import { Engine, KEYS, Numbered } from '../../src/shared/state/words';
+import { Engine, CONTROL_KEYS, VersionedValue } from '../../src/shared/state/words';
 
 /** What a stand-in engine was asked, and its answer to be given. */
 export interface EngineCall {
@@ -201,14 +201,14 @@
 
 /** Starts a gateway on loopback sockets. */
 export async function startRig(ways: RigWays): Promise<Rig> {
-  const state = new Map<string, Numbered>();
-  const changes = makeFeed<Numbered>();
+  const state = new Map<string, VersionedValue>();
+  const changes = makePushStream<VersionedValue>();
   let live = ways.live ?? true;
   let number = 0;
   function tell(key: string, value: unknown): void {
-    const n: Numbered = { key, value, epoch: 1, by: 'core', number: ++number };
+    const n: VersionedValue = { key, value, epoch: 1, by: 'core', number: ++number };
     state.set(key, n);
-    changes.add(n);
+    changes.push(n);
   }
   function tellEngines(list: Partial<Engine>[]): void {
     function whole(e: Partial<Engine>): Engine {
@@ -224,7 +224,7 @@
         batch: 4,
       };
     }
-    tell(KEYS.engines, list.map(whole));
+    tell(CONTROL_KEYS.engines, list.map(whole));
   }
   function setLive(on: boolean): void {
     live = on;
@@ -236,7 +236,7 @@
     const n = state.get(key);
     return n && { place: n, value: n.value };
   }
-  function places(): Numbered[] {
+  function places(): VersionedValue[] {
     return [...state.values()];
   }
   function members(role: string): unknown[] {
@@ -246,18 +246,18 @@
     return false;
   }
   if (ways.engines) tellEngines(ways.engines);
-  if (ways.deployment) tell(KEYS.deployment, { revision: 1, doc: ways.deployment });
+  if (ways.deployment) tell(CONTROL_KEYS.deployment, { revision: 1, doc: ways.deployment });
   function sink(): void {}
   const log = { info: sink, notice: sink, warn: sink, error: sink };
   const follower = {
-    live: isLive,
+    hasLease: isLive,
     value,
-    places,
+    appliedValues: places,
     members,
-    leaving,
-    changes: changes.feed,
-    advice: makeFeed<string[]>().feed,
-    membership: makeFeed<never>().feed,
+    isDraining: leaving,
+    changes: changes.stream,
+    drainingNotices: makePushStream<string[]>().stream,
+    memberChanges: makePushStream<never>().stream,
   } as unknown as Follower;
   const settings: Settings = {
     ...defaultSettings(),
@@ -268,17 +268,17 @@
     readiness: await freePort(),
     ...ways.settings,
   };
-  const http = realHttp();
+  const http = makeRawHttpNetwork();
   async function connect(at: string, within: number): ReturnType<typeof http.connect> {
     const o = await http.connect(at, within);
     ways.onConnect?.(at);
     return o;
   }
   const ports = {
-    clock: ways.clock ?? realClock(),
-    dice: { next: Math.random, id: String },
-    log,
-    http: { ...http, connect },
+    clock: ways.clock ?? makeSystemClock(),
+    random: { next: Math.random, uuid: String },
+    logger: log,
+    rawHttp: { ...http, connect },
   } as unknown as Ports;
   const gateway = (
     await startGateway(ports, settings, follower, { ...platform, deployment: readDeployment })
--- a/test/data/placement.test.ts
+++ b/test/data/placement.test.ts
@@ -1,4 +1,4 @@
-import { OverlapAnswer } from '../../src/shared/contracts/indexer';
+import { OverlapReply } from '../../src/shared/contracts/indexer';
 import { makeHomes } from '../../src/data/gateway/homes';
 import { makeLinks, Side } from '../../src/data/gateway/links';
 import { Flight, makeLoads } from '../../src/data/gateway/loads';
@@ -83,11 +83,11 @@
   return makePlacement({ now, spread: even, zone: 'z', pause: 100 });
 }
 
-function told(answer: OverlapAnswer): Map<string, OverlapAnswer> {
+function told(answer: OverlapReply): Map<string, OverlapReply> {
   return new Map([['s', answer]]);
 }
 
-function placed(p: Placement, ask: PlaceAsk, kept = new Map<string, OverlapAnswer>()): Placed {
+function placed(p: Placement, ask: PlaceAsk, kept = new Map<string, OverlapReply>()): Placed {
   return p.place(ask, kept).unsafeCoerce();
 }
 
--- a/test/index/index-feed.test.ts
+++ b/test/index/index-feed.test.ts
@@ -1,4 +1,4 @@
-import { WirePart } from '../../src/shared/contracts/indexer';
+import { WireBlock } from '../../src/shared/contracts/indexer';
 import { makeScene, PROMPT, SALT } from '../../tools/sim/feedscene';
 import { Proc } from '../../tools/sim/simworld';
 import { KvSource } from '../../tools/standins/kvsource';
@@ -6,7 +6,7 @@
 /** Ms in which what a source tells has come in. */
 const GATHERED = 500;
 
-function keepPrompt(s: KvSource, parts: WirePart[] = PROMPT): void {
+function keepPrompt(s: KvSource, parts: WireBlock[] = PROMPT): void {
   for (const [id, size] of parts) s.keep(SALT, id, size);
 }
 
@@ -149,7 +149,7 @@
 
 async function restartsFromPeer(): Promise<void> {
   const t = await makeScene(2, 2, { keepsMost: 4 });
-  for (const part of [...PROMPT, ['x', 16], ['y', 16], ['z', 16]] as WirePart[]) {
+  for (const part of [...PROMPT, ['x', 16], ['y', 16], ['z', 16]] as WireBlock[]) {
     for (const s of t.sources.values()) keepPrompt(s, [part]);
     await t.pass(GATHERED);
   }
--- a/test/index/index-loads.test.ts
+++ b/test/index/index-loads.test.ts
@@ -1,11 +1,11 @@
 import { makeComing, Unheard } from '../../src/index/coming';
 import { makeLoads } from '../../src/index/loads';
 import { OverlapEdge, overlapOf } from '../../src/index/overlap';
-import { Exchange } from '../../src/shared/transport/connections';
+import { PeerChannel } from '../../src/shared/transport/connections';
 import { makeTrees, Trees } from '../../src/index/tree';
-import { EngineLoad, WirePart } from '../../src/shared/contracts/indexer';
+import { EngineLoad, WireBlock } from '../../src/shared/contracts/indexer';
 
-const PROMPT: WirePart[] = [
+const PROMPT: WireBlock[] = [
   ['a', 800],
   ['b', 400],
   ['c', 250],
@@ -30,7 +30,7 @@
   });
 }
 
-function ask(parts: WirePart[] = PROMPT): { model: string; salt: string; parts: WirePart[] } {
+function ask(parts: WireBlock[] = PROMPT): { model: string; salt: string; parts: WireBlock[] } {
   return { model: 'm', salt: 's|1', parts };
 }
 
@@ -194,7 +194,7 @@
   const coming = makeComing(now, 1500, 100, out.push.bind(out) as never);
   const [r1, r2] = [{}, {}];
   keep(trees, 'e1', 'a', 800);
-  function keeps([h]: WirePart): boolean {
+  function keeps([h]: WireBlock): boolean {
     return h === 'a';
   }
   coming.placed(r1, { ...ask(), engine: 'e1' }, keeps);
@@ -224,12 +224,12 @@
     return true;
   }
   function never(): void {}
-  const router = { done: new Promise<void>(never), peer: 'r1' } as unknown as Exchange;
+  const router = { closed: new Promise<void>(never), peer: 'r1' } as unknown as PeerChannel;
   const edge = new OverlapEdge(trees, coming, makeLoads(now, 900), reached, ready);
   keep(trees, 'store', 'a', 800);
   await edge.placed({ ...ask(), engine: 'e1', store: 'store' }, router);
   expect((await edge.overlap(ask())).extract()).toMatchObject({
-    sort: 'refused',
+    certainty: 'refused',
     code: 'not-ready',
   });
   open = true;
--- a/test/index/tree.test.ts
+++ b/test/index/tree.test.ts
@@ -1,4 +1,4 @@
-import { Part, PartEvent } from '../../src/shared/contracts/engine';
+import { PromptBlock, BlockEvent } from '../../src/shared/contracts/engine';
 import { makeTrees, Trees } from '../../src/index/tree';
 import { seededDice } from '../../tools/sim/dice';
 
@@ -14,8 +14,8 @@
   size: number;
 }
 
-function chain(name: string, n: number): Part[] {
-  const out: Part[] = [];
+function chain(name: string, n: number): PromptBlock[] {
+  const out: PromptBlock[] = [];
   for (let i = 0; i < n; i++) out.push({ hash: `${name}${i}`, size: 10 + i });
   return out;
 }
@@ -24,7 +24,7 @@
   facts: Fact[],
   salt: string,
   weights: string,
-  parts: Part[],
+  parts: PromptBlock[],
 ): Record<string, number> {
   const out: Record<string, number> = {};
   for (const s of SOURCES) {
@@ -42,7 +42,12 @@
   return out;
 }
 
-function asked(trees: Trees, salt: string, weights: string, parts: Part[]): Record<string, number> {
+function asked(
+  trees: Trees,
+  salt: string,
+  weights: string,
+  parts: PromptBlock[],
+): Record<string, number> {
   const out: Record<string, number> = {};
   for (const o of trees.query('m', salt, weights, parts)) out[o.source] = o.tokens + o.doubted;
   return out;
@@ -63,7 +68,7 @@
       const weights = any(WEIGHTS);
       const parts = any(prompts);
       const i = Math.floor(dice.next() * parts.length);
-      const e: PartEvent = {
+      const e: BlockEvent = {
         kind: 'stored',
         model: 'm',
         salt,
@@ -107,7 +112,7 @@
 function staysBounded(): void {
   const trees = makeTrees(100);
   const hot = chain('hot', 10);
-  function keep(parts: Part[], salt: string): void {
+  function keep(parts: PromptBlock[], salt: string): void {
     for (const [i, p] of parts.entries())
       trees.apply('engine-1', {
         kind: 'stored',
--- a/test/platform/platform-bench.ts
+++ b/test/platform/platform-bench.ts
@@ -2,7 +2,7 @@
  * A stand-in engine, its store and a caller in the simulated world, for tests of the platform's engine stand-in.
  */
 
-import { open } from '../../src/shared/errors/errors';
+import { errorOrValue } from '../../src/shared/errors/errors';
 import { Ports } from '../../src/shared/ports/ports';
 import { makeNet } from '../../tools/sim/simwire';
 import { makeWorld, World } from '../../tools/sim/simworld';
@@ -40,8 +40,8 @@
   const caller = net.ports(w.proc('caller', '127.10.2.1'));
   const book = makeBook(there.clock);
   const ground: Ground = {
-    ...makeGround(there.clock, there.dice, book, BOUNDS),
-    open: doorsOn(there.wire),
+    ...makeGround(there.clock, there.random, book, BOUNDS),
+    open: doorsOn(there.network),
   };
   const spec: EngineSpec = {
     instance: 'i-1.1',
@@ -88,20 +88,20 @@
   body?: string,
   at = AT,
 ): Promise<Got> {
-  const [f, r] = open(
-    await b.caller.wire.ask({
-      at,
+  const [f, r] = errorOrValue(
+    await b.caller.network.request({
+      address: at,
       method,
       path,
       headers,
       body: body ?? (method === 'POST' ? '{}' : undefined),
-      within: 20000,
+      timeoutMs: 20000,
     }),
   );
   if (f) return { status: 0, headers: {}, text: '', cut: true, at: b.w.now() };
   let text = '';
   for (;;) {
-    const [g, p] = open(await r.next());
+    const [g, p] = errorOrValue(await r.nextChunk());
     if (g) return { status: r.status, headers: r.headers, text, cut: true, at: b.w.now() };
     if (p === undefined)
       return { status: r.status, headers: r.headers, text, cut: false, at: b.w.now() };
--- a/test/platform/platform-engine.test.ts
+++ b/test/platform/platform-engine.test.ts
@@ -1,5 +1,5 @@
-import { open } from '../../src/shared/errors/errors';
-import { askJson } from '../../src/shared/util/lib';
+import { errorOrValue } from '../../src/shared/errors/errors';
+import { requestJson } from '../../src/shared/util/lib';
 import { startList } from '../../tools/standins/platform/instances';
 import { startStore } from '../../tools/standins/platform/store';
 import { AT, bench, call, FEED, Got, inTurn, play, prompt, STORE } from './platform-bench';
@@ -97,9 +97,14 @@
   );
   const list = await play(
     b,
-    askJson(b.caller.wire, { at: AT, method: 'GET', path: '/api/kv-list', within: 1000 }),
+    requestJson(b.caller.network, {
+      address: AT,
+      method: 'GET',
+      path: '/api/kv-list',
+      timeoutMs: 1000,
+    }),
   );
-  expect((open(list)[1]!.body as { held: unknown }).held).toEqual([
+  expect((errorOrValue(list)[1]!.body as { held: unknown }).held).toEqual([
     ['s1', 'aa', 100, 'm'],
     ['s1', 'bb', 50, 'm'],
   ]);
@@ -248,14 +253,14 @@
     status: number;
     body: { instances: { instanceId: string; state: string }[]; nextPageToken: string | null };
   }> {
-    return open(
+    return errorOrValue(
       await play(
         b,
-        askJson(b.caller.wire, {
-          at: '127.10.3.1:8161',
+        requestJson(b.caller.network, {
+          address: '127.10.3.1:8161',
           method: 'GET',
           path: `/instances${token}`,
-          within: 1000,
+          timeoutMs: 1000,
         }),
       ),
     )[1] as never;
--- a/test/shared/catch-up.test.ts
+++ b/test/shared/catch-up.test.ts
@@ -1,7 +1,7 @@
 import { pack } from 'msgpackr';
 import { defaultSettings } from '../../src/shared/settings/settings';
 import { Message } from '../../src/shared/ports/ports';
-import { KEYS } from '../../src/shared/state/words';
+import { CONTROL_KEYS } from '../../src/shared/state/words';
 import { Proc } from '../../tools/sim/simworld';
 import { CoreRig, documentOf, makeCore, PATHS } from '../control/deploymentrig';
 
@@ -63,7 +63,9 @@
 }
 
 function revisionAt(f: CoreRig, p: Proc): number {
-  const v = f.controllers.get(p.name)?.value<{ revision: number }>(KEYS.deployment);
+  const v = f.controllers
+    .get(p.name)
+    ?.committedValue<{ revision: number }>(CONTROL_KEYS.deployment);
   return v?.value.revision ?? 0;
 }
 
@@ -71,8 +73,9 @@
   let level = 0;
   for (let i = 0; i < MODELS; i++)
     level += Number(
-      f.controllers.get(p.name)?.value<{ rank: number }>(`${KEYS.weights}model-${i}`)?.value.rank ??
-        0,
+      f.controllers
+        .get(p.name)
+        ?.committedValue<{ rank: number }>(`${CONTROL_KEYS.weights}model-${i}`)?.value.rank ?? 0,
     );
   return level;
 }
@@ -82,7 +85,8 @@
   const began = f.w.now();
   while (f.w.now() - began < 2 * CATCH_UP) {
     const c = f.controllers.get(p.name);
-    if (c?.owner.owns(KEYS.deployment)) expect(revisionAt(f, p)).toBe(revisionAt(f, like));
+    if (c?.keyOwner.owns(CONTROL_KEYS.deployment))
+      expect(revisionAt(f, p)).toBe(revisionAt(f, like));
     if (revisionAt(f, p) === revisionAt(f, like) && weightsAt(f, p) === weightsAt(f, like))
       return f.w.now() - began;
     await f.pass(5);
--- a/test/shared/clock.test.ts
+++ b/test/shared/clock.test.ts
@@ -1,10 +1,10 @@
 import os from 'node:os';
-import { realClock } from '../../src/shared/system/system-ports';
+import { makeSystemClock } from '../../src/shared/system/system-ports';
 
 /** What a clock shows to have passed while the machine's time since boot ran an hour ahead, in ms. */
 function passed(suspends: boolean): number {
   const boot = jest.spyOn(os, 'uptime').mockReturnValue(100);
-  const clock = realClock(suspends);
+  const clock = makeSystemClock(suspends);
   const before = clock.now();
   boot.mockReturnValue(3_700);
   const ms = clock.now() - before;
--- a/test/shared/connections.test.ts
+++ b/test/shared/connections.test.ts
@@ -1,11 +1,11 @@
-import { open } from '../../src/shared/errors/errors';
+import { errorOrValue } from '../../src/shared/errors/errors';
 import {
-  Exchange,
+  PeerChannel,
   Hello,
-  HelloEdge,
-  converse,
-  hold,
-  WIRE_VERSION,
+  HelloHandlers,
+  openChannel,
+  maintainConnection,
+  PROTOCOL_VERSION,
 } from '../../src/shared/transport/connections';
 import { Connection } from '../../src/shared/ports/ports';
 import { makeNet } from '../../tools/sim/simwire';
@@ -21,25 +21,27 @@
   const server = net.ports(w.proc('server', '127.10.1.1'));
   const client = net.ports(w.proc('client', '127.10.1.2'));
   const at = '127.10.1.1:7000';
-  let up: Exchange | undefined;
+  let up: PeerChannel | undefined;
   let code: string | undefined;
   function taken(s: Connection): void {
-    converse(server, s, [new HelloEdge(hello(WIRE_VERSION))]);
+    openChannel(server, s, [new HelloHandlers(hello(PROTOCOL_VERSION))]);
   }
-  function onUp(ex: Exchange): void {
+  function onUp(ex: PeerChannel): void {
     up = ex;
   }
-  await server.wire.accept(at, taken);
-  const held = hold(client, at, {
+  await server.network.listen(at, taken);
+  const held = maintainConnection(client, at, {
     hello: hello(version, { flavour: 'from another version' }),
-    edges: [],
-    within: 100,
-    pause: 100,
+    handlers: [],
+    timeoutMs: 100,
+    retryPauseMs: 100,
     onUp,
   });
   async function askPlainly(): Promise<void> {
-    const [, s] = open(await client.wire.dial(at, 100));
-    const [f] = open(await converse(client, s!, []).ask('hello', hello(version), 100));
+    const [, s] = errorOrValue(await client.network.connect(at, 100));
+    const [f] = errorOrValue(
+      await openChannel(client, s!, []).request('hello', hello(version), 100),
+    );
     code = f?.code;
   }
   void askPlainly();
@@ -49,9 +51,13 @@
 }
 
 async function versions(): Promise<void> {
-  expect(await met(WIRE_VERSION)).toEqual({ up: true, code: undefined, name: 'v1' });
-  expect(await met(WIRE_VERSION + 1)).toEqual({ up: true, code: undefined, name: 'v1' });
-  expect(await met(WIRE_VERSION + 2)).toEqual({ up: false, code: 'wire-version', name: undefined });
+  expect(await met(PROTOCOL_VERSION)).toEqual({ up: true, code: undefined, name: 'v1' });
+  expect(await met(PROTOCOL_VERSION + 1)).toEqual({ up: true, code: undefined, name: 'v1' });
+  expect(await met(PROTOCOL_VERSION + 2)).toEqual({
+    up: false,
+    code: 'wire-version',
+    name: undefined,
+  });
 }
 
 async function frozenPeer(): Promise<void> {
@@ -62,18 +68,23 @@
   const client = net.ports(w.proc('client', '127.10.1.2'));
   const at = '127.10.1.1:7000';
   function taken(s: Connection): void {
-    converse(server, s, [new HelloEdge(hello(WIRE_VERSION))]);
+    openChannel(server, s, [new HelloHandlers(hello(PROTOCOL_VERSION))]);
   }
-  await server.wire.accept(at, taken);
-  const held = hold(client, at, { hello: hello(WIRE_VERSION), edges: [], within: 400, pause: 200 });
+  await server.network.listen(at, taken);
+  const held = maintainConnection(client, at, {
+    hello: hello(PROTOCOL_VERSION),
+    handlers: [],
+    timeoutMs: 400,
+    retryPauseMs: 200,
+  });
   await w.run(1000);
-  expect(held.up()).toBeDefined();
+  expect(held.channel()).toBeDefined();
   w.freeze(p);
   await w.run(3000);
-  expect(held.up()).toBeUndefined();
+  expect(held.channel()).toBeUndefined();
   w.wake(p);
   await w.run(5000);
-  expect(held.up()).toBeDefined();
+  expect(held.channel()).toBeDefined();
   held.stop();
 }
 
--- a/test/shared/delta.test.ts
+++ b/test/shared/delta.test.ts
@@ -1,5 +1,5 @@
-import { makeDelta, patched, diff, readDelta } from '../../src/shared/replication/delta';
-import { Numbered } from '../../src/shared/state/words';
+import { makeDelta, applyPatch, diff, readDelta } from '../../src/shared/replication/delta';
+import { VersionedValue } from '../../src/shared/state/words';
 import { seededDice } from '../../tools/sim/dice';
 
 function random(dice: () => number, depth: number): unknown {
@@ -25,7 +25,7 @@
     const before = JSON.stringify(a);
     const p = diff(a, b);
     if (p && 'splice' in p) spliced++;
-    expect(p ? patched(a, p) : a).toEqual(b);
+    expect(p ? applyPatch(a, p) : a).toEqual(b);
     expect(JSON.stringify(a)).toBe(before);
   }
   expect(spliced).toBeGreaterThan(100);
@@ -39,8 +39,8 @@
 }
 
 function overItsBaseOnly(): void {
-  const one: Numbered = { key: 'k', epoch: 1, by: 'a', number: 1, value: rules(1000, -1) };
-  const two: Numbered = { ...one, number: 2, value: rules(1000, 500) };
+  const one: VersionedValue = { key: 'k', epoch: 1, by: 'a', number: 1, value: rules(1000, -1) };
+  const two: VersionedValue = { ...one, number: 2, value: rules(1000, 500) };
   const d = makeDelta(one, two)!;
   expect(JSON.stringify(d).length * 50).toBeLessThan(JSON.stringify(two).length);
   expect(readDelta(one, d)).toEqual(two);
@@ -58,8 +58,8 @@
 function sameValueAgain(): void {
   const list = Array.from({ length: 100 }, itemOf);
   for (const value of [list, { doc: list }]) {
-    const one: Numbered = { key: 'k', epoch: 1, by: 'a', number: 1, value };
-    const two: Numbered = { ...one, epoch: 2 };
+    const one: VersionedValue = { key: 'k', epoch: 1, by: 'a', number: 1, value };
+    const two: VersionedValue = { ...one, epoch: 2 };
     const delta = makeDelta(one, two)!;
     expect(JSON.stringify(delta).length).toBeLessThan(300);
     expect(readDelta(one, delta)).toEqual(two);
@@ -84,7 +84,7 @@
     const [a, b] = [some(), some()];
     const patch = diff(a, b);
     if (patch && 'items' in patch) byItems++;
-    expect(patch ? patched(a, patch) : a).toEqual(b);
+    expect(patch ? applyPatch(a, patch) : a).toEqual(b);
   }
   expect(byItems).toBeGreaterThan(100);
 }
--- a/test/shared/manual-clock.ts
+++ b/test/shared/manual-clock.ts
@@ -75,5 +75,5 @@
     }
   }
 
-  return { now, wall: String, sleep, timer, advance, holdUp };
+  return { now, wallTime: String, sleep, setTimer: timer, advance, holdUp };
 }
--- a/test/shared/news-storm.test.ts
+++ b/test/shared/news-storm.test.ts
@@ -17,7 +17,7 @@
 
 function everyoneHas(rig: NewsRig, revision: number): () => boolean {
   function isThere(proc: { name: string }): boolean {
-    return rig.revisionAt(proc.name) >= revision && rig.followers.get(proc.name)!.live();
+    return rig.revisionAt(proc.name) >= revision && rig.followers.get(proc.name)!.hasLease();
   }
   function hasEveryone(): boolean {
     return rig.followerProcs.every(isThere);
--- a/test/shared/pieces.test.ts
+++ b/test/shared/pieces.test.ts
@@ -2,44 +2,44 @@
 import { makeVersionHistory } from '../../src/control/leases/version-history';
 import { ChangeOffer, readChange } from '../../src/shared/replication/change-message';
 import { makeCatchUp } from '../../src/shared/replication/catch-up';
-import { Exchange } from '../../src/shared/transport/connections';
-import { makeFault, Outcome } from '../../src/shared/errors/errors';
+import { PeerChannel } from '../../src/shared/transport/connections';
+import { makeError, Result } from '../../src/shared/errors/errors';
 import {
-  makePieceFetcher,
-  PIECE_BYTES,
-  PieceAsk,
+  makeChunkFetcher,
+  CHUNK_BYTES,
+  ChunkRequest,
 } from '../../src/shared/replication/chunk-fetcher';
-import { Numbered, Place } from '../../src/shared/state/words';
+import { VersionedValue, Version } from '../../src/shared/state/words';
 import { drawnDocument } from '../../tools/sim/news/rig';
 
 const KEY = 'deployment';
 
-function versionOf(number: number, routes: number, by = 'core', epoch = 1): Numbered {
+function versionOf(number: number, routes: number, by = 'core', epoch = 1): VersionedValue {
   return { key: KEY, epoch, by, number, value: drawnDocument(number, routes) };
 }
 
 /** A controller that knows versions, and what it was asked for. */
 interface Source {
-  exchange: Exchange;
-  asked: PieceAsk[];
+  exchange: PeerChannel;
+  asked: ChunkRequest[];
   /** After so many pieces it gives no more. */
   left: number;
 }
 
-function sourceOf(versions: readonly Numbered[], left = Infinity): Source {
+function sourceOf(versions: readonly VersionedValue[], left = Infinity): Source {
   const history = makeVersionHistory();
   for (const version of versions) history.note(version);
-  const source: Source = { asked: [], left, exchange: { ask } as unknown as Exchange };
-  async function ask(type: string, body: unknown): Promise<Outcome<unknown>> {
+  const source: Source = { asked: [], left, exchange: { request: ask } as unknown as PeerChannel };
+  async function ask(type: string, body: unknown): Promise<Result<unknown>> {
     expect(type).toBe('change-piece');
-    source.asked.push(body as PieceAsk);
-    const bytes = source.left-- > 0 ? history.piece(body as PieceAsk) : undefined;
-    return bytes ? Right(bytes) : Left(makeFault('change piece', 'core', 'not to be had'));
+    source.asked.push(body as ChunkRequest);
+    const bytes = source.left-- > 0 ? history.chunk(body as ChunkRequest) : undefined;
+    return bytes ? Right(bytes) : Left(makeError('change piece', 'core', 'not to be had'));
   }
   return source;
 }
 
-function offerFor(versions: readonly Numbered[], held?: Place): ChangeOffer {
+function offerFor(versions: readonly VersionedValue[], held?: Version): ChangeOffer {
   const history = makeVersionHistory();
   for (const version of versions) history.note(version);
   const message = history.messageFor(versions.at(-1)!, held, true);
@@ -47,14 +47,14 @@
   return message as ChangeOffer;
 }
 
-function fetcherOver(sources: readonly Source[]): ReturnType<typeof makePieceFetcher> {
-  function exchanges(): Exchange[] {
+function fetcherOver(sources: readonly Source[]): ReturnType<typeof makeChunkFetcher> {
+  function exchanges(): PeerChannel[] {
     return sources.map(exchangeOf);
   }
-  return makePieceFetcher({ exchanges, within: 100 });
+  return makeChunkFetcher({ openChannels: exchanges, timeoutMs: 100 });
 }
 
-function exchangeOf(source: Source): Exchange {
+function exchangeOf(source: Source): PeerChannel {
   return source.exchange;
 }
 
@@ -67,7 +67,7 @@
   const message = await fetcherOver(sources).fetch(offer, sources[0].exchange);
   expect(readChange(VERSIONS[0], message!)).toEqual(VERSIONS[1]);
   const starts = sources.flatMap(startsOf).sort(ascending);
-  expect(starts).toEqual(Array.from({ length: Math.ceil(offer.size / PIECE_BYTES) }, startOf));
+  expect(starts).toEqual(Array.from({ length: Math.ceil(offer.size / CHUNK_BYTES) }, startOf));
   for (const source of sources) expect(source.asked.length).toBeGreaterThan(0);
 }
 
@@ -75,12 +75,12 @@
   return source.asked.map(startIn);
 }
 
-function startIn(ask: PieceAsk): number {
+function startIn(ask: ChunkRequest): number {
   return ask.start;
 }
 
 function startOf(_: unknown, index: number): number {
-  return index * PIECE_BYTES;
+  return index * CHUNK_BYTES;
 }
 
 function ascending(a: number, b: number): number {
@@ -102,18 +102,18 @@
 function onceLearned(): void {
   const offer = offerFor(VERSIONS, VERSIONS[0]);
   const { key, base, sum } = offer;
-  const ask: PieceAsk = { key, place: VERSIONS[1], base, sum, start: 0 };
+  const ask: ChunkRequest = { key, place: VERSIONS[1], base, sum, start: 0 };
   const history = makeVersionHistory();
   history.note(VERSIONS[0]);
-  expect(history.piece(ask)).toBeUndefined();
+  expect(history.chunk(ask)).toBeUndefined();
   history.note(VERSIONS[1]);
-  expect(history.piece(ask)).toHaveLength(PIECE_BYTES);
+  expect(history.chunk(ask)).toHaveLength(CHUNK_BYTES);
 }
 
 /** What has been fetched when all controllers were lost is not fetched again. */
 async function goesOn(): Promise<void> {
   const offer = offerFor(VERSIONS, VERSIONS[0]);
-  const count = Math.ceil(offer.size / PIECE_BYTES);
+  const count = Math.ceil(offer.size / CHUNK_BYTES);
   const first = sourceOf(VERSIONS, 2);
   const second = sourceOf(VERSIONS);
   const sources = [first];
@@ -128,10 +128,10 @@
 /** Bytes that are not those that were offered are no change. */
 async function spoiltBytes(): Promise<void> {
   const offer = offerFor(VERSIONS, VERSIONS[0]);
-  async function ask(): Promise<Outcome<unknown>> {
-    return Right(new Uint8Array(PIECE_BYTES));
+  async function ask(): Promise<Result<unknown>> {
+    return Right(new Uint8Array(CHUNK_BYTES));
   }
-  const exchange = { ask } as unknown as Exchange;
+  const exchange = { request: ask } as unknown as PeerChannel;
   expect(await fetcherOver([]).fetch(offer, exchange)).toBeUndefined();
 }
 
@@ -146,28 +146,33 @@
 
 /** While a change is fetched, a newer offer of the same key is not begun: the newest is asked for afterwards. */
 async function oneForEachKey(): Promise<void> {
-  const applied: Numbered[] = [VERSIONS[0]];
+  const applied: VersionedValue[] = [VERSIONS[0]];
   const source = sourceOf(VERSIONS);
-  function held(): Numbered {
+  function held(): VersionedValue {
     return applied.at(-1)!;
   }
   async function apply(messages: Parameters<typeof readChange>[1][]): Promise<string[]> {
     for (const message of messages) applied.push(readChange(held(), message)!);
     return [];
   }
-  function exchanges(): Exchange[] {
+  function exchanges(): PeerChannel[] {
     return [source.exchange];
   }
-  const catchUp = makeCatchUp({ held, apply, exchanges, within: 100 });
+  const catchUp = makeCatchUp({
+    appliedVersion: held,
+    apply,
+    openChannels: exchanges,
+    timeoutMs: 100,
+  });
   const third = versionOf(3, 9000);
-  const first = catchUp.accept(source.exchange, offerFor(VERSIONS, VERSIONS[0]));
+  const first = catchUp.acceptOffer(source.exchange, offerFor(VERSIONS, VERSIONS[0]));
   const newer = offerFor([...VERSIONS, third], VERSIONS[0]);
-  expect(await catchUp.accept(source.exchange, newer)).toBe(false);
+  expect(await catchUp.acceptOffer(source.exchange, newer)).toBe(false);
   expect(await first).toBe(true);
   expect(applied.map(numberOf)).toEqual([1, 2]);
 }
 
-function numberOf(change: Numbered): number {
+function numberOf(change: VersionedValue): number {
   return change.number;
 }
 
--- a/test/shared/realhttp-close.test.ts
+++ b/test/shared/realhttp-close.test.ts
@@ -1,8 +1,8 @@
 import { once } from 'node:events';
 import http from 'node:http';
 import net from 'node:net';
-import { RawCall, RawListening } from '../../src/shared/ports/ports';
-import { realHttp } from '../../src/shared/system/raw-http';
+import { RawIncomingRequest, RawListener } from '../../src/shared/ports/ports';
+import { makeRawHttpNetwork } from '../../src/shared/system/raw-http';
 import { bareCaller } from '../data/bare-caller';
 
 const LIMITS = { headerTimeoutMs: 3000, idleTimeoutMs: 15000, closing: false };
@@ -17,18 +17,18 @@
 
 function nothing(): void {}
 
-async function serve(take: (call: RawCall) => Promise<void>): Promise<RawListening> {
-  return (await realHttp().serve('127.0.0.1:0', LIMITS, take)).unsafeCoerce();
+async function serve(take: (call: RawIncomingRequest) => Promise<void>): Promise<RawListener> {
+  return (await makeRawHttpNetwork().serve('127.0.0.1:0', LIMITS, take)).unsafeCoerce();
 }
 
-async function answersShortly(call: RawCall): Promise<void> {
+async function answersShortly(call: RawIncomingRequest): Promise<void> {
   await call.body(100);
-  call.head(200, ['Content-Length', '2']);
+  call.writeHead(200, ['Content-Length', '2']);
   call.end(Buffer.from('ok'));
 }
 
-async function answersAtLength(call: RawCall): Promise<void> {
-  call.head(200, ['Content-Length', String(LARGE.length)]);
+async function answersAtLength(call: RawIncomingRequest): Promise<void> {
+  call.writeHead(200, ['Content-Length', String(LARGE.length)]);
   call.end(LARGE);
 }
 
@@ -36,8 +36,8 @@
 const LINGER_MS = 500;
 
 /** Ends a server as a program does. */
-async function end(server: RawListening, withinMs = PATIENCE_MS, lingerMs = 0): Promise<void> {
-  await server.settle(lingerMs, withinMs);
+async function end(server: RawListener, withinMs = PATIENCE_MS, lingerMs = 0): Promise<void> {
+  await server.closeGracefully(lingerMs, withinMs);
   await server.close();
 }
 
@@ -56,7 +56,7 @@
 
 async function writesItOut(): Promise<void> {
   const server = await serve(answersAtLength);
-  const asked = http.get(`http://${server.at}/`, { agent: false });
+  const asked = http.get(`http://${server.address}/`, { agent: false });
   const [answer] = (await once(asked, 'response')) as [http.IncomingMessage];
   let size = 0;
   function count(piece: Buffer): void {
@@ -73,7 +73,7 @@
 
 async function givesUpOnTheSlow(): Promise<void> {
   const server = await serve(answersAtLength);
-  const socket = await connected(server.at);
+  const socket = await connected(server.address);
   socket.write(REQUEST_BYTES);
   await once(socket, 'readable');
   await end(server, SHORT_MS);
@@ -84,7 +84,7 @@
 
 async function answersWhatArrived(): Promise<void> {
   const server = await serve(answersShortly);
-  const kept = await bareCaller(server.at);
+  const kept = await bareCaller(server.address);
   kept.write(REQUEST);
   expect(await kept.has('ok')).toBe(true);
   kept.write(REQUEST);
@@ -94,7 +94,7 @@
 
 async function answersNewConnections(): Promise<void> {
   const server = await serve(answersShortly);
-  const socket = await connected(server.at);
+  const socket = await connected(server.address);
   let got = '';
   function data(piece: Buffer): void {
     got += piece.toString('latin1');
@@ -108,9 +108,9 @@
 /** A request that is sent on a connection that came up just before the server stopped listening. */
 async function answersWhatIsOnItsWay(): Promise<void> {
   const server = await serve(answersShortly);
-  const caller = await bareCaller(server.at);
+  const caller = await bareCaller(server.address);
   const ended = end(server, PATIENCE_MS, LINGER_MS);
-  const [host, port] = server.at.split(':');
+  const [host, port] = server.address.split(':');
   for (let refused = false; !refused;) {
     const late = net.connect({ host, port: Number(port) });
     refused = await isRefused(late);
@@ -138,11 +138,11 @@
 
 async function closesTheResting(): Promise<void> {
   const server = await serve(answersShortly);
-  const kept = await bareCaller(server.at);
+  const kept = await bareCaller(server.address);
   kept.write(REQUEST);
   expect(await kept.has('ok')).toBe(true);
   await Promise.all([end(server), kept.closed]);
-  const [host, port] = server.at.split(':');
+  const [host, port] = server.address.split(':');
   const late = net.connect({ host, port: Number(port) });
   const [refused] = (await once(late, 'error')) as [NodeJS.ErrnoException];
   expect(refused.code).toBe('ECONNREFUSED');
--- a/test/shared/realwire.test.ts
+++ b/test/shared/realwire.test.ts
@@ -1,18 +1,23 @@
 import http from 'node:http';
 import net from 'node:net';
-import { EngineLine, generate, Generating } from '../../src/shared/contracts/engine';
-import { giveJson, takeJson } from '../../src/shared/transport/handlers';
-import { open } from '../../src/shared/errors/errors';
-import { Call } from '../../src/shared/ports/ports';
-import { realClock, realDice, realDisk, realLog } from '../../src/shared/system/system-ports';
-import { realWire } from '../../src/shared/system/tcp-network';
+import { EngineLine, generate, GenerationStream } from '../../src/shared/contracts/engine';
+import { sendJson, readJsonBody } from '../../src/shared/transport/handlers';
+import { errorOrValue } from '../../src/shared/errors/errors';
+import { IncomingRequest } from '../../src/shared/ports/ports';
+import {
+  makeSystemClock,
+  makeSystemRandom,
+  makeFileDisk,
+  makeLogger,
+} from '../../src/shared/system/system-ports';
+import { makeSystemNetwork } from '../../src/shared/system/tcp-network';
 
 const PIECE = 'x'.repeat(65535) + '\n';
 const PIECES = 1500;
 
 async function heldBack(): Promise<void> {
-  const wire = realWire(1000);
-  const clock = realClock();
+  const wire = makeSystemNetwork(1000);
+  const clock = makeSystemClock();
   let given = 0;
   let stuck: (v: string) => void = none;
   function none(): void {}
@@ -20,11 +25,11 @@
     stuck = go;
   }
   const outcome = new Promise<string>(wait);
-  async function source(call: Call): Promise<void> {
-    call.head(200, {});
+  async function source(call: IncomingRequest): Promise<void> {
+    call.writeHead(200, {});
     for (; given < PIECES; given++) {
-      const off = clock.timer(300, blocked);
-      const ok = await call.piece(PIECE);
+      const off = clock.setTimer(300, blocked);
+      const ok = await call.write(PIECE);
       off();
       if (!ok) return stuck('broken');
     }
@@ -34,27 +39,35 @@
   function blocked(): void {
     stuck('held back');
   }
-  const [, a] = open(await wire.serve('127.0.0.1:0', source));
-  async function relay(call: Call): Promise<void> {
-    const [, r] = open(
-      await wire.ask({ at: a!.at, method: 'GET', path: '/', within: 60000, gone: call.gone }),
+  const [, a] = errorOrValue(await wire.serveHttp('127.0.0.1:0', source));
+  async function relay(call: IncomingRequest): Promise<void> {
+    const [, r] = errorOrValue(
+      await wire.request({
+        address: a!.address,
+        method: 'GET',
+        path: '/',
+        timeoutMs: 60000,
+        signal: call.aborted,
+      }),
     );
-    call.head(200, {});
+    call.writeHead(200, {});
     for (;;) {
-      const [f, p] = open(await r!.next());
+      const [f, p] = errorOrValue(await r!.nextChunk());
       if (f || p === undefined) break;
-      if (!(await call.piece(p))) return r!.cancel();
+      if (!(await call.write(p))) return r!.cancel();
     }
     call.end();
   }
-  const [, b] = open(await wire.serve('127.0.0.1:0', relay));
-  const [, slow] = open(await wire.ask({ at: b!.at, method: 'GET', path: '/', within: 60000 }));
-  await slow!.next();
+  const [, b] = errorOrValue(await wire.serveHttp('127.0.0.1:0', relay));
+  const [, slow] = errorOrValue(
+    await wire.request({ address: b!.address, method: 'GET', path: '/', timeoutMs: 60000 }),
+  );
+  await slow!.nextChunk();
   expect(await outcome).toBe('held back');
   expect(given).toBeLessThan(PIECES / 2);
   let size = 0;
   for (;;) {
-    const [f, p] = open(await slow!.next());
+    const [f, p] = errorOrValue(await slow!.nextChunk());
     expect(f).toBeUndefined();
     if (p === undefined) break;
     size += p.length;
@@ -66,23 +79,25 @@
 }
 
 async function goneAway(): Promise<void> {
-  const wire = realWire(1000);
+  const wire = makeSystemNetwork(1000);
   let told: (v: string) => void;
   function wait(go: (v: string) => void): void {
     told = go;
   }
   const outcome = new Promise<string>(wait);
-  async function source(call: Call): Promise<void> {
-    call.head(200, {});
-    await call.piece('one\n');
+  async function source(call: IncomingRequest): Promise<void> {
+    call.writeHead(200, {});
+    await call.write('one\n');
     function left(): void {
       told('gone');
     }
-    call.gone.addEventListener('abort', left);
+    call.aborted.addEventListener('abort', left);
   }
-  const [, a] = open(await wire.serve('127.0.0.1:0', source));
-  const [, r] = open(await wire.ask({ at: a!.at, method: 'GET', path: '/', within: 60000 }));
-  await r!.next();
+  const [, a] = errorOrValue(await wire.serveHttp('127.0.0.1:0', source));
+  const [, r] = errorOrValue(
+    await wire.request({ address: a!.address, method: 'GET', path: '/', timeoutMs: 60000 }),
+  );
+  await r!.nextChunk();
   r!.cancel();
   expect(await outcome).toBe('gone');
   await a!.close();
@@ -107,7 +122,7 @@
 const TURNS = 500;
 
 async function freesConnections(): Promise<void> {
-  const clock = realClock();
+  const clock = makeSystemClock();
   const ends: (() => void)[] = [];
   const finished: Promise<void>[] = [];
   let connections = 0;
@@ -135,16 +150,16 @@
   const at = `127.0.0.1:${(server.address() as net.AddressInfo).port}`;
   const ports = {
     clock,
-    dice: realDice(),
-    disk: realDisk(''),
-    wire: realWire(1000),
-    log: realLog('test', 'test'),
+    random: makeSystemRandom(),
+    disk: makeFileDisk(''),
+    network: makeSystemNetwork(1000),
+    logger: makeLogger('test', 'test'),
   };
   for (let i = 0; i < 3; i++) {
     const gone = new AbortController().signal;
-    const [, g] = open(await generate(ports, at, GENERATE_ASK, 60000, gone));
-    await (g as Generating).next();
-    const [, last] = open(await (g as Generating).next());
+    const [, g] = errorOrValue(await generate(ports, at, GENERATE_ASK, 60000, gone));
+    await (g as GenerationStream).next();
+    const [, last] = errorOrValue(await (g as GenerationStream).next());
     expect((last as EngineLine).done).toBe(true);
     ends.shift()!();
     await finished.shift();
@@ -156,16 +171,16 @@
 }
 
 async function refusesLargeBodies(): Promise<void> {
-  const wire = realWire(1000);
-  async function take(call: Call): Promise<void> {
-    const body = await takeJson(call, 1000);
-    if (body !== undefined) giveJson(call, 200, { taken: true });
+  const wire = makeSystemNetwork(1000);
+  async function take(call: IncomingRequest): Promise<void> {
+    const body = await readJsonBody(call, 1000);
+    if (body !== undefined) sendJson(call, 200, { taken: true });
   }
-  const [, a] = open(await wire.serve('127.0.0.1:0', take));
+  const [, a] = errorOrValue(await wire.serveHttp('127.0.0.1:0', take));
   async function statusOf(bytes: number): Promise<number | undefined> {
     const body = JSON.stringify('x'.repeat(bytes));
-    const [, r] = open(
-      await wire.ask({ at: a!.at, method: 'POST', path: '/', body, within: 5000 }),
+    const [, r] = errorOrValue(
+      await wire.request({ address: a!.address, method: 'POST', path: '/', body, timeoutMs: 5000 }),
     );
     const status = r?.status;
     r?.cancel();
--- a/test/shared/shutdown.test.ts
+++ b/test/shared/shutdown.test.ts
@@ -1,5 +1,5 @@
 import { makeShutdown } from '../../src/programs/shutdown';
-import { boundsOf } from '../../src/shared/settings/time-limits';
+import { timeLimitsOf } from '../../src/shared/settings/time-limits';
 import { defaultSettings } from '../../src/shared/settings/settings';
 
 /** A running program whose drain ends when a test says so, and what became of it. */
@@ -54,9 +54,9 @@
 function withinGrace(): void {
   for (const weightsBoundMs of [1000, 8000, 60000])
     for (const graceMs of [1000, 8000, 20000]) {
-      const bounds = boundsOf({ ...defaultSettings(), weightsBoundMs, graceMs });
-      expect(bounds.drain).toBeLessThan(graceMs);
-      expect(bounds.leave + bounds.lastCalls).toBeLessThan(graceMs);
+      const bounds = timeLimitsOf({ ...defaultSettings(), weightsBoundMs, graceMs });
+      expect(bounds.drainTimeoutMs).toBeLessThan(graceMs);
+      expect(bounds.leaveTimeoutMs + bounds.callDrainTimeoutMs).toBeLessThan(graceMs);
     }
 }
 
--- a/test/shared/stalls.test.ts
+++ b/test/shared/stalls.test.ts
@@ -1,4 +1,4 @@
-import { watchStalls } from '../../src/shared/observability/event-loop-stalls';
+import { makeStallMonitor } from '../../src/shared/observability/event-loop-stalls';
 import { manualClock } from './manual-clock';
 
 const EVERY_MS = 150;
@@ -6,15 +6,15 @@
 /** A clock and a watch that looks by its timers. */
 function startWatch(): {
   clock: ReturnType<typeof manualClock>;
-  watch: ReturnType<typeof watchStalls>;
+  watch: ReturnType<typeof makeStallMonitor>;
 } {
   const clock = manualClock();
-  const watch = watchStalls(clock, EVERY_MS);
+  const watch = makeStallMonitor(clock, EVERY_MS);
   function look(): void {
     watch.look();
-    clock.timer(EVERY_MS, look);
+    clock.setTimer(EVERY_MS, look);
   }
-  clock.timer(EVERY_MS, look);
+  clock.setTimer(EVERY_MS, look);
   return { clock, watch };
 }
 
@@ -41,7 +41,7 @@
 /** A look that is due and has not come yet tells of the stall as well. */
 async function beforeTheLook(): Promise<void> {
   const clock = manualClock();
-  const watch = watchStalls(clock, EVERY_MS);
+  const watch = makeStallMonitor(clock, EVERY_MS);
   await clock.advance(600);
   expect(watch.earliest()).toBe(0);
 }
--- a/test/tools/transcripts.test.ts
+++ b/test/tools/transcripts.test.ts
@@ -1,4 +1,4 @@
-import { open } from '../../src/shared/errors/errors';
+import { errorOrValue } from '../../src/shared/errors/errors';
 import { Ports } from '../../src/shared/ports/ports';
 import { askCore, makeSimFleet, SimFleet, simIntents } from '../../tools/sim/simfleet';
 
@@ -27,11 +27,18 @@
     s.lines.push(`> ${k}: ${k === 'authorization' ? 'Bearer (key)' : v}`);
   if (text !== undefined)
     s.lines.push(`> ${text.length > 400 ? `(${text.length} characters)` : text}`);
-  const [f, r] = open(
-    await ports.wire.ask({ at, method, path, body: text, headers, within: 20000 }),
+  const [f, r] = errorOrValue(
+    await ports.network.request({
+      address: at,
+      method,
+      path,
+      body: text,
+      headers,
+      timeoutMs: 20000,
+    }),
   );
   if (f) {
-    s.lines.push(`< (${f.sort} ${f.code})`, '');
+    s.lines.push(`< (${f.certainty} ${f.code})`, '');
     return '';
   }
   s.lines.push(
@@ -39,7 +46,7 @@
   );
   let all = '';
   for (;;) {
-    const [g, piece] = open(await r.next());
+    const [g, piece] = errorOrValue(await r.nextChunk());
     if (g) s.lines.push(`< (broken off: ${g.code})`);
     if (g || piece === undefined) break;
     all += piece;
@@ -325,18 +332,18 @@
     const { callers, d } = s.f;
     const gone = new AbortController();
     const headers = { authorization: `Bearer ${s.keys['tenant-1']}`, 'idempotency-key': 'swap-79' };
-    const [, r] = open(
-      await callers.wire.ask({
-        at: d.edge[0].http,
+    const [, r] = errorOrValue(
+      await callers.network.request({
+        address: d.edge[0].http,
         method: 'POST',
         path: '/v1/generate',
         headers,
         body: JSON.stringify({ service: 'check-1', prompt: 'x' }),
-        within: 9000,
-        gone: gone.signal,
+        timeoutMs: 9000,
+        signal: gone.signal,
       }),
     );
-    await r!.next();
+    await r!.nextChunk();
     gone.abort();
     await callers.clock.sleep(2000);
     expect(s.f.ledger.map(kindOf)).toEqual(['began', 'broke']);
--- a/test/tools/worst-days.test.ts
+++ b/test/tools/worst-days.test.ts
@@ -1,6 +1,6 @@
 import { Right } from 'purify-ts';
 import { Controller } from '../../src/control/controller';
-import { applyLine, Line } from '../../src/control/storage/control-store';
+import { applyLogEntry, LogEntry } from '../../src/control/storage/control-store';
 import { checkHistory } from '../../src/shared/history/verdict';
 import { parseHistory, HistoryCall } from '../../src/shared/history/calls';
 import { playWorstDay, scheduleOf, WorstDay, WorstWays } from '../../tools/sim/worst/day';
@@ -45,10 +45,10 @@
 
 /** Reads give what this controller has heard of, without asking the others. */
 function readsOwnMemory(controller: Controller): void {
-  async function newest(key: string): ReturnType<Controller['newest']> {
-    return Right(controller.value(key)?.place);
+  async function newest(key: string): ReturnType<Controller['readLinearizable']> {
+    return Right(controller.committedValue(key)?.place);
   }
-  controller.newest = newest;
+  controller.readLinearizable = newest;
 }
 
 /** Acknowledges a change before it is made. */
@@ -63,11 +63,11 @@
 
 /** Tells that a disk holds what is written only with the lines that follow. */
 function writesLate(controller: Controller): void {
-  const { slots } = controller;
+  const { store: slots } = controller;
   const { put } = slots;
-  const unwritten: Line[] = [];
-  async function putLater(line: Line): ReturnType<typeof put> {
-    applyLine(slots.cells, line);
+  const unwritten: LogEntry[] = [];
+  async function putLater(line: LogEntry): ReturnType<typeof put> {
+    applyLogEntry(slots.registers, line);
     unwritten.push(line);
     if (unwritten.length > UNWRITTEN_LINES) void put(unwritten.shift()!);
     return Right(undefined);
--- a/tools/capacity/hollow.ts
+++ b/tools/capacity/hollow.ts
@@ -2,8 +2,13 @@
 import { mkdirSync, rmSync } from 'node:fs';
 import { join, resolve } from 'node:path';
 import { Ports } from '../../src/shared/ports/ports';
-import { realClock, realDice, realDisk, realLog } from '../../src/shared/system/system-ports';
-import { realWire } from '../../src/shared/system/tcp-network';
+import {
+  makeSystemClock,
+  makeSystemRandom,
+  makeFileDisk,
+  makeLogger,
+} from '../../src/shared/system/system-ports';
+import { makeSystemNetwork } from '../../src/shared/system/tcp-network';
 import { readSettings, Settings } from '../../src/shared/settings/settings';
 import { Engine } from '../../src/shared/state/words';
 import { startPlatform } from '../standins/platform';
@@ -122,11 +127,11 @@
   rmSync(folder, { recursive: true, force: true });
   mkdirSync(folder, { recursive: true });
   const ports: Ports = {
-    clock: realClock(),
-    dice: realDice(),
-    disk: realDisk(folder),
-    wire: realWire(4000),
-    log: realLog('capacity', 'runner'),
+    clock: makeSystemClock(),
+    random: makeSystemRandom(),
+    disk: makeFileDisk(folder),
+    network: makeSystemNetwork(4000),
+    logger: makeLogger('capacity', 'runner'),
   };
   const controllers: Hollow['controllers'] = [];
   const indexers: Hollow['indexers'] = [];
--- a/tools/capacity/load.ts
+++ b/tools/capacity/load.ts
@@ -1,5 +1,10 @@
-import { Part } from '../../src/shared/contracts/engine';
-import { HelloEdge, hold, Held, WIRE_VERSION } from '../../src/shared/transport/connections';
+import { PromptBlock } from '../../src/shared/contracts/engine';
+import {
+  HelloHandlers,
+  maintainConnection,
+  MaintainedConnection,
+  PROTOCOL_VERSION,
+} from '../../src/shared/transport/connections';
 import { Hollow, MODEL, SALT } from './hollow';
 import { CHAIN, hollowHash } from './sources';
 
@@ -11,16 +16,22 @@
   msMost: number;
 }
 
-async function connected(h: Hollow, at: string): Promise<Held> {
-  const hello = { version: WIRE_VERSION, name: 'capacity', role: 'runner', at: '', zone: 'zone-1' };
-  const held = hold(h.ports, at, {
+async function connected(h: Hollow, at: string): Promise<MaintainedConnection> {
+  const hello = {
+    version: PROTOCOL_VERSION,
+    name: 'capacity',
+    role: 'runner',
+    at: '',
+    zone: 'zone-1',
+  };
+  const held = maintainConnection(h.ports, at, {
     hello,
-    edges: [new HelloEdge(hello)],
-    within: 2000,
-    pause: 200,
+    handlers: [new HelloHandlers(hello)],
+    timeoutMs: 2000,
+    retryPauseMs: 200,
   });
   async function up(): Promise<boolean> {
-    return held.up() !== undefined;
+    return held.channel() !== undefined;
   }
   await h.until(5000, up);
   return held;
@@ -35,15 +46,18 @@
   toAll: boolean,
   make: (n: number) => { type: string; body: unknown },
 ): Promise<AskSeen> {
-  const helds: Held[] = [];
+  const helds: MaintainedConnection[] = [];
   for (const at of ats) helds.push(await connected(h, at));
   const took: number[] = [];
   let failed = 0;
   let n = 0;
   const going: Promise<void>[] = [];
-  async function one(held: Held, ask: { type: string; body: unknown }): Promise<void> {
+  async function one(
+    held: MaintainedConnection,
+    ask: { type: string; body: unknown },
+  ): Promise<void> {
     const began = h.ports.clock.now();
-    const o = await held.up()?.ask(ask.type, ask.body, 5000);
+    const o = await held.channel()?.request(ask.type, ask.body, 5000);
     if (!o || o.isLeft()) failed++;
     else took.push(h.ports.clock.now() - began);
   }
@@ -77,7 +91,7 @@
   const prompts = Math.max(1, Math.floor(h.sizes.holds / CHAIN));
   function make(n: number): { type: string; body: unknown } {
     const e = h.engines[n % h.sizes.engines];
-    const parts: Part[] = [];
+    const parts: PromptBlock[] = [];
     for (let i = 0; i < CHAIN; i++)
       parts.push({ hash: hollowHash(e.id, 1 + ((n * 7) % prompts), i), size: 64 });
     return { type: 'query', body: { model: MODEL, salt: SALT, weights: 'w1', parts } };
--- a/tools/capacity/meter.ts
+++ b/tools/capacity/meter.ts
@@ -1,8 +1,8 @@
 import { subscribe } from 'node:diagnostics_channel';
 import { Socket } from 'node:net';
-import { Connection, Disk, Message, Ports, Wire } from '../../src/shared/ports/ports';
-import { Listening } from '../../src/shared/ports/ports';
-import { Outcome } from '../../src/shared/errors/errors';
+import { Connection, Disk, Message, Ports, Network } from '../../src/shared/ports/ports';
+import { Listener } from '../../src/shared/ports/ports';
+import { Result } from '../../src/shared/errors/errors';
 
 /** What one process has used since it began; memory is as it stands. */
 export interface Figures {
@@ -58,20 +58,26 @@
     function arrived(m: Message): void {
       took[nameOf(m)] = (took[nameOf(m)] ?? 0) + 1;
     }
-    return { peer: c.peer, feed: c.feed.tap(arrived), done: c.done, send, close: c.close };
+    return {
+      peer: c.peer,
+      messages: c.messages.tap(arrived),
+      closed: c.closed,
+      send,
+      close: c.close,
+    };
   }
 
-  function countedWire(w: Wire): Wire {
-    function accept(at: string, take: (c: Connection) => void): Promise<Outcome<Listening>> {
+  function countedWire(w: Network): Network {
+    function accept(at: string, take: (c: Connection) => void): Promise<Result<Listener>> {
       function taken(c: Connection): void {
         take(counted(c));
       }
-      return w.accept(at, taken);
+      return w.listen(at, taken);
     }
-    async function dial(at: string, within: number): Promise<Outcome<Connection>> {
-      return (await w.dial(at, within)).map(counted);
+    async function dial(at: string, within: number): Promise<Result<Connection>> {
+      return (await w.connect(at, within)).map(counted);
     }
-    return { serve: w.serve, ask: w.ask, accept, dial };
+    return { serveHttp: w.serveHttp, request: w.request, listen: accept, connect: dial };
   }
 
   function countedDisk(d: Disk): Disk {
@@ -89,7 +95,7 @@
   }
 
   function ports(p: Ports): Ports {
-    return { ...p, wire: countedWire(p.wire), disk: countedDisk(p.disk) };
+    return { ...p, network: countedWire(p.network), disk: countedDisk(p.disk) };
   }
 
   function read(more: Record<string, number> = {}): Figures {
--- a/tools/capacity/operators.ts
+++ b/tools/capacity/operators.ts
@@ -1,5 +1,5 @@
-import { open } from '../../src/shared/errors/errors';
-import { askJson } from '../../src/shared/util/lib';
+import { errorOrValue } from '../../src/shared/errors/errors';
+import { requestJson } from '../../src/shared/util/lib';
 import { Intents, Rule, Tenant } from '../../src/shared/state/words';
 import { Hollow, MODEL } from './hollow';
 
@@ -55,13 +55,13 @@
   at = 0,
 ): Promise<ChangeSeen> {
   const began = h.ports.clock.now();
-  const [f, r] = open(
-    await askJson(h.ports.wire, {
-      at: h.controllers[at % h.controllers.length].http,
+  const [f, r] = errorOrValue(
+    await requestJson(h.ports.network, {
+      address: h.controllers[at % h.controllers.length].http,
       method: 'PUT',
       path: '/v1/intents',
       body: JSON.stringify({ basedOn, intents: doc }),
-      within: 60000,
+      timeoutMs: 60000,
     }),
   );
   return {
@@ -73,12 +73,12 @@
 
 /** The revision that stands. */
 export async function revisionOf(h: Hollow): Promise<number> {
-  const [f, r] = open(
-    await askJson(h.ports.wire, {
-      at: h.controllers[0].http,
+  const [f, r] = errorOrValue(
+    await requestJson(h.ports.network, {
+      address: h.controllers[0].http,
       method: 'GET',
       path: '/v1/intents',
-      within: 20000,
+      timeoutMs: 20000,
     }),
   );
   return f ? 0 : (r.body as { revision: number }).revision;
@@ -125,12 +125,12 @@
   async function work(): Promise<void> {
     while (next < to) {
       const t = ++next;
-      const [f, r] = open(
-        await askJson(h.ports.wire, {
-          at: h.controllers[t % h.controllers.length].http,
+      const [f, r] = errorOrValue(
+        await requestJson(h.ports.network, {
+          address: h.controllers[t % h.controllers.length].http,
           method: 'POST',
           path: `/v1/keys/tenant-${t}`,
-          within: 30000,
+          timeoutMs: 30000,
         }),
       );
       const key = f ? undefined : (r.body as { key?: string }).key;
--- a/tools/capacity/platform-axes.ts
+++ b/tools/capacity/platform-axes.ts
@@ -1,4 +1,4 @@
-import { open } from '../../src/shared/errors/errors';
+import { errorOrValue } from '../../src/shared/errors/errors';
 import { Hollow, HollowSizes } from './hollow';
 import { askAt, boardOf, placedOf, overlapOf } from './load';
 import {
@@ -203,12 +203,12 @@
     const out: Measured = {};
     await replaceDoc(h, makeDoc(79, 48));
     async function ready(): Promise<boolean> {
-      const [f, r] = open(
-        await h.ports.wire.ask({
-          at: h.routerHttp[0],
+      const [f, r] = errorOrValue(
+        await h.ports.network.request({
+          address: h.routerHttp[0],
           method: 'GET',
           path: '/api/readiness',
-          within: 1000,
+          timeoutMs: 1000,
         }),
       );
       return !f && r.status === 200;
@@ -281,18 +281,18 @@
       'content-type': 'application/json',
     };
     const began = h.ports.clock.now();
-    const [f, r] = open(
-      await h.ports.wire.ask({
-        at: h.routerHttp[0],
+    const [f, r] = errorOrValue(
+      await h.ports.network.request({
+        address: h.routerHttp[0],
         method: 'POST',
         path: `/p${i % 48}/x`,
         headers,
         body: '{"prompt":"one"}',
-        within: 8000,
+        timeoutMs: 8000,
       }),
     );
     for (let whole = f !== undefined; !whole;) {
-      const [g, piece] = open(await r!.next());
+      const [g, piece] = errorOrValue(await r!.nextChunk());
       whole = g !== undefined || piece === undefined;
     }
     if (f || r.status !== 200) failed++;
--- a/tools/capacity/platform.ts
+++ b/tools/capacity/platform.ts
@@ -1,7 +1,7 @@
-import { giveJson } from '../../src/shared/transport/handlers';
-import { askJson } from '../../src/shared/util/lib';
-import { open, Outcome } from '../../src/shared/errors/errors';
-import { Call, Listening, Ports } from '../../src/shared/ports/ports';
+import { sendJson } from '../../src/shared/transport/handlers';
+import { requestJson } from '../../src/shared/util/lib';
+import { errorOrValue, Result } from '../../src/shared/errors/errors';
+import { IncomingRequest, Listener, Ports } from '../../src/shared/ports/ports';
 import { Engine } from '../../src/shared/state/words';
 import { Hollow, MODEL } from './hollow';
 import { ChangeSeen } from './operators';
@@ -17,20 +17,16 @@
 type Doc = { revision: number } & Record<string, unknown>;
 
 /** Starts the platform's stand-in list, page by page. */
-export function startList(
-  ports: Ports,
-  at: string,
-  engines: Engine[],
-): Promise<Outcome<Listening>> {
-  async function take(call: Call): Promise<void> {
+export function startList(ports: Ports, at: string, engines: Engine[]): Promise<Result<Listener>> {
+  async function take(call: IncomingRequest): Promise<void> {
     const from = Number(call.query.get('pageToken') ?? 0);
     const instances = engines.slice(from, from + PAGE).map(listed);
-    giveJson(call, 200, {
+    sendJson(call, 200, {
       instances,
       nextPageToken: from + PAGE < engines.length ? String(from + PAGE) : null,
     });
   }
-  return ports.wire.serve(at, take);
+  return ports.network.serveHttp(at, take);
 }
 
 function listed(e: Engine): object {
@@ -122,14 +118,14 @@
 ): Promise<ChangeSeen> {
   const began = h.ports.clock.now();
   const headers = { 'plumhollow-base-version': String(base) };
-  const [f, r] = open(
-    await askJson(h.ports.wire, {
-      at: h.controllers[at % h.controllers.length].http,
+  const [f, r] = errorOrValue(
+    await requestJson(h.ports.network, {
+      address: h.controllers[at % h.controllers.length].http,
       method: 'POST',
       path,
       headers,
       body: JSON.stringify(body),
-      within: 60000,
+      timeoutMs: 60000,
     }),
   );
   const status = f ? 0 : r.status;
@@ -169,8 +165,8 @@
 }
 
 /** Starts a hollow engine that speaks the platform's manner: its parts are made up, and its answers are a few events. */
-export function startPlatformSource(ports: Ports, w: SourceWays): Promise<Outcome<Listening>> {
-  const began = ports.clock.now() - ports.dice.next() * 1000;
+export function startPlatformSource(ports: Ports, w: SourceWays): Promise<Result<Listener>> {
+  const began = ports.clock.now() - ports.random.next() * 1000;
   const filled = Math.ceil(w.holds / CHAIN) * CHAIN;
 
   function last(): number {
@@ -197,41 +193,41 @@
     ];
   }
 
-  async function feed(call: Call): Promise<void> {
+  async function feed(call: IncomingRequest): Promise<void> {
     const since = Number(call.query.get('since') ?? 0);
     const until = ports.clock.now() + Math.min(1000, Number(call.headers['wait-ms'] ?? 0));
     const gap = w.eventsPerS > 0 ? Math.max(5, 1000 / w.eventsPerS) : Infinity;
-    while (last() <= since && !call.gone.aborted && ports.clock.now() < until)
+    while (last() <= since && !call.aborted.aborted && ports.clock.now() < until)
       await ports.clock.sleep(Math.min(gap, until - ports.clock.now()));
     const to = Math.min(last(), since + MOST);
     const events: unknown[] = [];
     for (let n = since + 1; n <= to; n++) events.push(event(n));
-    giveJson(call, 200, { epoch: 1, nextPageToken: Math.max(since, to), lost: false, events });
+    sendJson(call, 200, { epoch: 1, nextPageToken: Math.max(since, to), lost: false, events });
   }
 
-  async function generate(call: Call): Promise<void> {
+  async function generate(call: IncomingRequest): Promise<void> {
     await call.body(1 << 22);
     await ports.clock.sleep(20);
-    call.head(200, {
+    call.writeHead(200, {
       'content-type': 'text/event-stream',
       'plumhollow-attempt-id': call.headers['plumhollow-attempt-id'] ?? '',
       'plumhollow-response-seal': 's.1',
       'plumhollow-weight-versions': `${w.model}:1`,
     });
     for (let i = 1; i <= 6; i++) {
-      if (!(await call.piece(`id: ${i}\ndata: piece ${i} of some tokens\n\n`)))
-        return call.breakOff();
+      if (!(await call.write(`id: ${i}\ndata: piece ${i} of some tokens\n\n`)))
+        return call.destroy();
       await ports.clock.sleep(10);
     }
     call.end();
   }
 
-  async function take(call: Call): Promise<void> {
+  async function take(call: IncomingRequest): Promise<void> {
     if (call.path === '/api/kv-events') return feed(call);
     if (call.path === '/api/kv-list')
-      return giveJson(call, 200, { epoch: 1, nextPageToken: last(), held: [] });
+      return sendJson(call, 200, { epoch: 1, nextPageToken: last(), held: [] });
     if (call.path === '/api/report')
-      return giveJson(call, 200, {
+      return sendJson(call, 200, {
         stage: 'prefill_decode',
         models: [{ name: w.model, revision: 1, adapters: [] }],
         busy: false,
@@ -242,9 +238,9 @@
         cacheTotal: 149454,
         handles: 0,
       });
-    if (call.path === '/health') return giveJson(call, 200, {}, { 'plumhollow-instance-id': w.id });
+    if (call.path === '/health') return sendJson(call, 200, {}, { 'plumhollow-instance-id': w.id });
     return generate(call);
   }
 
-  return ports.wire.serve(w.at, take);
+  return ports.network.serveHttp(w.at, take);
 }
--- a/tools/capacity/role.ts
+++ b/tools/capacity/role.ts
@@ -2,20 +2,25 @@
 import { startController, Controller } from '../../src/control/controller';
 import { serveOperators } from '../../src/control/api/operator-api';
 import { serveDeployment } from '../../src/control/api/deployment-api';
-import { startDuties } from '../../src/control/singletons/background-tasks';
+import { startBackgroundTasks } from '../../src/control/singletons/background-tasks';
 import { Router, startDialectRouter, startRouter } from '../../src/data/router';
-import { Dialect } from '../../src/shared/platform-adapter/platform-adapter';
+import { PlatformAdapter } from '../../src/shared/platform-adapter/platform-adapter';
 import { startIndexer, Indexer } from '../../src/index/indexer';
-import { open } from '../../src/shared/errors/errors';
-import { follow, Follower } from '../../src/shared/replication/follower';
-import { HelloEdge, WIRE_VERSION } from '../../src/shared/transport/connections';
+import { errorOrValue } from '../../src/shared/errors/errors';
+import { followCore, Follower } from '../../src/shared/replication/follower';
+import { HelloHandlers, PROTOCOL_VERSION } from '../../src/shared/transport/connections';
 import { Ports } from '../../src/shared/ports/ports';
-import { realClock, realDice, realDisk, realLog } from '../../src/shared/system/system-ports';
-import { realHttp } from '../../src/shared/system/raw-http';
-import { realWire } from '../../src/shared/system/tcp-network';
+import {
+  makeSystemClock,
+  makeSystemRandom,
+  makeFileDisk,
+  makeLogger,
+} from '../../src/shared/system/system-ports';
+import { makeRawHttpNetwork } from '../../src/shared/system/raw-http';
+import { makeSystemNetwork } from '../../src/shared/system/tcp-network';
 import { Settings } from '../../src/shared/settings/settings';
-import { boundsOf } from '../../src/shared/settings/time-limits';
-import { Numbered } from '../../src/shared/state/words';
+import { timeLimitsOf } from '../../src/shared/settings/time-limits';
+import { VersionedValue } from '../../src/shared/state/words';
 import { Figures, startMeter } from './meter';
 import { startPlatformSource } from './platform';
 import { SourceWays, startSource } from './sources';
@@ -43,16 +48,16 @@
 
 function portsFor(name: string, data: string, dial: number): Ports {
   return meter.ports({
-    clock: realClock(),
-    dice: realDice(),
-    disk: realDisk(data),
-    wire: realWire(dial),
-    log: realLog(ways.role, name, 20),
-    http: realHttp(),
+    clock: makeSystemClock(),
+    random: makeSystemRandom(),
+    disk: makeFileDisk(data),
+    network: makeSystemNetwork(dial),
+    logger: makeLogger(ways.role, name, 20),
+    rawHttp: makeRawHttpNetwork(),
   });
 }
 
-function dialectOf(name: string): Dialect | undefined {
+function dialectOf(name: string): PlatformAdapter | undefined {
   return name === 'platform' ? platform : undefined;
 }
 
@@ -64,38 +69,42 @@
 }
 
 async function controller(s: Settings): Promise<More> {
-  const ports = portsFor(s.name, s.data, boundsOf(s).dial);
-  const [f, c] = open(await startController(ports, s, dialectOf(s.dialect)));
-  if (f) return broke(f.why);
-  const [g] = open(
+  const ports = portsFor(s.name, s.data, timeLimitsOf(s).connectTimeoutMs);
+  const [f, c] = errorOrValue(await startController(ports, s, dialectOf(s.dialect)));
+  if (f) return broke(f.reason);
+  const [g] = errorOrValue(
     await (s.dialect === 'platform'
       ? serveDeployment(c, ports, platform)
       : serveOperators(c, ports)),
   );
-  if (g) return broke(g.why);
-  startDuties(c, ports, dialectOf(s.dialect));
+  if (g) return broke(g.reason);
+  startBackgroundTasks(c, ports, dialectOf(s.dialect));
   return controllerMore(c);
 }
 
 function controllerMore(c: Controller): More {
   function more(): Record<string, number> {
     let owned = 0;
-    for (const k of c.slots.cells.keys()) if (c.owner.owns(k)) owned++;
+    for (const k of c.store.registers.keys()) if (c.keyOwner.owns(k)) owned++;
     return {
-      keys: c.slots.cells.size,
+      keys: c.store.registers.size,
       owned,
       members: c.leases.members().length,
-      majority: c.hasMajority() ? 1 : 0,
+      majority: c.hasQuorum() ? 1 : 0,
     };
   }
   return more;
 }
 
 async function indexer(s: Settings): Promise<More> {
-  const [f, ix] = open(
-    await startIndexer(portsFor(s.name, s.data, boundsOf(s).dial), s, dialectOf(s.dialect)),
+  const [f, ix] = errorOrValue(
+    await startIndexer(
+      portsFor(s.name, s.data, timeLimitsOf(s).connectTimeoutMs),
+      s,
+      dialectOf(s.dialect),
+    ),
   );
-  if (f) return broke(f.why);
+  if (f) return broke(f.reason);
   return indexerMore(ix);
 }
 
@@ -117,19 +126,25 @@
 async function nodes(list: Settings[]): Promise<More> {
   const all: Follower[] = [];
   let changes = 0;
-  function changed(n: Numbered): void {
+  function changed(n: VersionedValue): void {
     if (n.number > 0) changes++;
   }
   for (const s of list) {
-    const ports = portsFor(s.name, s.data, boundsOf(s).dial);
-    const hello = { version: WIRE_VERSION, name: s.name, role: 'router', at: s.wire, zone: s.zone };
-    const f = follow(
+    const ports = portsFor(s.name, s.data, timeLimitsOf(s).connectTimeoutMs);
+    const hello = {
+      version: PROTOCOL_VERSION,
+      name: s.name,
+      role: 'router',
+      at: s.wire,
+      zone: s.zone,
+    };
+    const f = followCore(
       ports,
-      boundsOf(s),
+      timeLimitsOf(s),
       hello,
-      { ...hello, http: s.http, life: ports.dice.id().slice(0, 8) },
+      { ...hello, http: s.http, life: ports.random.uuid().slice(0, 8) },
       s.seeds,
-      [new HelloEdge(hello)],
+      [new HelloHandlers(hello)],
     );
     void f.changes.observe(changed);
     all.push(f);
@@ -146,8 +161,8 @@
     let keys = Infinity;
     let known = Infinity;
     for (const f of all) {
-      if (f.live()) live++;
-      keys = Math.min(keys, f.places().length);
+      if (f.hasLease()) live++;
+      keys = Math.min(keys, f.appliedValues().length);
       known = Math.min(known, f.members('').length);
     }
     return { live, keys, known, changes: changes() };
@@ -159,14 +174,20 @@
   const all: Router[] = [];
   for (const s of list) {
     if (s.dialect === 'platform') {
-      const [g] = open(
-        await startDialectRouter(portsFor(s.name, s.data, boundsOf(s).dial), s, platform),
+      const [g] = errorOrValue(
+        await startDialectRouter(
+          portsFor(s.name, s.data, timeLimitsOf(s).connectTimeoutMs),
+          s,
+          platform,
+        ),
       );
-      if (g) return broke(g.why);
+      if (g) return broke(g.reason);
       continue;
     }
-    const [f, r] = open(await startRouter(portsFor(s.name, s.data, boundsOf(s).dial), s));
-    if (f) return broke(f.why);
+    const [f, r] = errorOrValue(
+      await startRouter(portsFor(s.name, s.data, timeLimitsOf(s).connectTimeoutMs), s),
+    );
+    if (f) return broke(f.reason);
     all.push(r);
   }
   function followerOf(r: Router): Follower {
--- a/tools/capacity/sources.ts
+++ b/tools/capacity/sources.ts
@@ -1,7 +1,7 @@
-import { EventBatch, PartEvent } from '../../src/shared/contracts/engine';
-import { giveJson, handles, takeCalls } from '../../src/shared/transport/handlers';
-import { Outcome } from '../../src/shared/errors/errors';
-import { Call, Listening, Ports } from '../../src/shared/ports/ports';
+import { EventBatch, BlockEvent } from '../../src/shared/contracts/engine';
+import { sendJson, httpHandler, makeRequestListener } from '../../src/shared/transport/handlers';
+import { Result } from '../../src/shared/errors/errors';
+import { IncomingRequest, Listener, Ports } from '../../src/shared/ports/ports';
 
 /** How a hollow source of kept parts behaves: it keeps `holds` parts, and then stores and drops at its pace. */
 export interface SourceWays {
@@ -38,7 +38,7 @@
   ) {
     this.began =
       ports.clock.now() -
-      (w.eventsPerS > 0 ? ports.dice.next() * (BATCH / w.eventsPerS) * 1000 : 0);
+      (w.eventsPerS > 0 ? ports.random.next() * (BATCH / w.eventsPerS) * 1000 : 0);
     this.filled = Math.ceil(w.holds / CHAIN);
   }
 
@@ -49,8 +49,8 @@
     );
   }
 
-  private prompt(kind: 'stored' | 'removed', n: number): PartEvent[] {
-    const out: PartEvent[] = [];
+  private prompt(kind: 'stored' | 'removed', n: number): BlockEvent[] {
+    const out: BlockEvent[] = [];
     const { id, model, salt } = this.w;
     for (let i = 0; i < CHAIN; i++)
       out.push({
@@ -71,18 +71,18 @@
   }
 
   /** Gives the batches after a number, or holds the call. */
-  @handles('GET', '/api/kv-events')
-  async events(call: Call): Promise<void> {
+  @httpHandler('GET', '/api/kv-events')
+  async events(call: IncomingRequest): Promise<void> {
     const after = Number(call.query.get('after') ?? 0);
     const until = this.ports.clock.now() + Number(call.query.get('wait') ?? 1000);
     const pace =
       this.w.eventsPerS > 0 ? Math.max(100, (BATCH / this.w.eventsPerS) * 1000) : Infinity;
-    while (this.last() <= after && !call.gone.aborted && this.ports.clock.now() < until)
+    while (this.last() <= after && !call.aborted.aborted && this.ports.clock.now() < until)
       await this.ports.clock.sleep(Math.min(pace, until - this.ports.clock.now()));
     const batches: EventBatch[] = [];
     for (let n = after + 1; n <= this.last() && batches.length < MOST; n++)
       batches.push(this.batch(n));
-    giveJson(call, 200, {
+    sendJson(call, 200, {
       epoch: this.w.id,
       lost: false,
       last: batches.length > 0 ? batches[batches.length - 1].seq : after,
@@ -91,9 +91,9 @@
   }
 
   /** Says that it has room. */
-  @handles('GET', '/api/status')
-  async status(call: Call): Promise<void> {
-    giveJson(call, 200, {
+  @httpHandler('GET', '/api/status')
+  async status(call: IncomingRequest): Promise<void> {
+    sendJson(call, 200, {
       id: this.w.id,
       model: this.w.model,
       weights: 'w1',
@@ -108,6 +108,9 @@
 }
 
 /** Starts a hollow source. */
-export function startSource(ports: Ports, w: SourceWays): Promise<Outcome<Listening>> {
-  return ports.wire.serve(w.at, takeCalls([new SourceEdge(ports, w)], ports.log));
+export function startSource(ports: Ports, w: SourceWays): Promise<Result<Listener>> {
+  return ports.network.serveHttp(
+    w.at,
+    makeRequestListener([new SourceEdge(ports, w)], ports.logger),
+  );
 }
--- a/tools/compatibility/controller-asks.ts
+++ b/tools/compatibility/controller-asks.ts
@@ -3,12 +3,12 @@
  * and those that are refused.
  */
 
-import { handOver } from '../../src/control/configuration/change-forwarding';
+import { forwardChange } from '../../src/control/configuration/change-forwarding';
 import { Operation } from '../../src/control/configuration/operations';
-import { progressOf } from '../../src/control/consensus/replica-sync';
-import { boundsOf } from '../../src/shared/settings/time-limits';
-import { converse } from '../../src/shared/transport/connections';
-import { Outcome } from '../../src/shared/errors/errors';
+import { readReplicaProgress } from '../../src/control/consensus/replica-sync';
+import { timeLimitsOf } from '../../src/shared/settings/time-limits';
+import { openChannel } from '../../src/shared/transport/connections';
+import { Result } from '../../src/shared/errors/errors';
 import { allVoters, Voter } from '../../src/shared/state/words';
 import { asked, isFounded, procOf, until, votersOf } from '../sim/simcore';
 import { makeSimFleet, SimFleet, simIntents } from '../sim/simfleet';
@@ -55,11 +55,11 @@
 
 /** Asks a controller's disk for what it holds, and votes there. */
 async function askDisk(probe: Probe, fleet: SimFleet, voter: Voter): Promise<void> {
-  const { slots } = fleet.controllers.get(fleet.core[0])!;
-  function askVoter(to: Voter, type: string, body: unknown): Promise<Outcome<unknown>> {
+  const { store: slots } = fleet.controllers.get(fleet.core[0])!;
+  function askVoter(to: Voter, type: string, body: unknown): Promise<Result<unknown>> {
     return probe.ask(to.at, type, body);
   }
-  await settled(fleet.w, progressOf({ slots, askVoter }, voter));
+  await settled(fleet.w, readReplicaProgress({ store: slots, requestVoter: askVoter }, voter));
   const place = { epoch: 1, by: 'probe', number: 1 };
   await probe.ask(voter.at, 'lacking', { places: [{ key: 'probe', ...place }] });
   await probe.ask(voter.at, 'vote', { key: KEY, run: 'run-1' });
@@ -85,14 +85,14 @@
 async function handOverSlowly(probe: Probe, fleet: SimFleet): Promise<void> {
   const { w: world } = fleet;
   const { settings } = fleet.controllers.get(fleet.core[0])!;
-  const parts = { clock: probe.ports.clock, bounds: boundsOf(settings) };
+  const parts = { clock: probe.ports.clock, timeLimits: timeLimitsOf(settings) };
   for (const name of fleet.core) world.stall(procOf(fleet, name), true);
   for (const { wire } of fleet.d.core) {
-    const dialled = await settled(world, probe.ports.wire.dial(wire, SLOW_DISK_MS));
-    const exchange = converse(probe.ports, dialled.unsafeCoerce(), []);
-    await settled(world, exchange.ask('hello', probe.hello, SLOW_DISK_MS));
+    const dialled = await settled(world, probe.ports.network.connect(wire, SLOW_DISK_MS));
+    const exchange = openChannel(probe.ports, dialled.unsafeCoerce(), []);
+    await settled(world, exchange.request('hello', probe.hello, SLOW_DISK_MS));
     const operation: Operation = { kind: 'weights', model: fleet.d.model, weights: 'w2' };
-    void handOver(parts, exchange, operation, 'order-1');
+    void forwardChange(parts, exchange, operation, 'order-1');
   }
   await world.run(world.now() + SLOW_DISK_MS);
   for (const name of fleet.core) world.stall(procOf(fleet, name), false);
--- a/tools/compatibility/disk-damage.ts
+++ b/tools/compatibility/disk-damage.ts
@@ -2,7 +2,7 @@
  * Torn, cut and changed forms of a controller's disk.
  */
 
-import { unframe } from '../../src/control/storage/frames';
+import { decodeFrames } from '../../src/control/storage/frames';
 import { DiskFiles } from './disk-state';
 
 /** One damaged form of a disk, and what a controller must make of it. */
@@ -39,7 +39,7 @@
 }
 
 function generationOf(bytes: Uint8Array | undefined): number {
-  return (unframe(bytes).values[0] as { gen?: number } | undefined)?.gen ?? 0;
+  return (decodeFrames(bytes).values[0] as { gen?: number } | undefined)?.gen ?? 0;
 }
 
 /** The file with the highest generation among those that are there. */
--- a/tools/compatibility/disk-state.ts
+++ b/tools/compatibility/disk-state.ts
@@ -4,9 +4,9 @@
 
 import { createHash } from 'node:crypto';
 import { Right } from 'purify-ts';
-import { openSlots, Slots } from '../../src/control/storage/control-store';
-import { KeptVotes, readVotes, Vote } from '../../src/control/storage/idempotency-votes';
-import { open, Outcome } from '../../src/shared/errors/errors';
+import { openControlStore, ControlStore } from '../../src/control/storage/control-store';
+import { StoredVotes, readStoredVotes, Vote } from '../../src/control/storage/idempotency-votes';
+import { errorOrValue, Result } from '../../src/shared/errors/errors';
 import { Ports } from '../../src/shared/ports/ports';
 import { seededDice } from '../sim/dice';
 import { makeNet } from '../sim/simwire';
@@ -40,18 +40,18 @@
 export function portsOfFiles(files: DiskFiles, seed = DICE_SEED): Ports {
   const world = makeWorld(1, false);
   const base = makeNet(world).ports(world.proc('node', '127.10.1.1'));
-  async function read(name: string): Promise<Outcome<Uint8Array | undefined>> {
+  async function read(name: string): Promise<Result<Uint8Array | undefined>> {
     return Right(files.get(name));
   }
-  async function write(name: string, bytes: Uint8Array): Promise<Outcome<void>> {
+  async function write(name: string, bytes: Uint8Array): Promise<Result<void>> {
     files.set(name, Uint8Array.from(bytes));
     return Right(undefined);
   }
-  async function append(name: string, bytes: Uint8Array): Promise<Outcome<void>> {
+  async function append(name: string, bytes: Uint8Array): Promise<Result<void>> {
     files.set(name, Buffer.concat([files.get(name) ?? new Uint8Array(0), bytes]));
     return Right(undefined);
   }
-  return { ...base, dice: seededDice(seed), disk: { read, write, append } };
+  return { ...base, random: seededDice(seed), disk: { read, write, append } };
 }
 
 /** The digest of some bytes or of a text. */
@@ -88,9 +88,9 @@
 }
 
 /** Cells as JSON. */
-export function cellsOf(slots: Pick<Slots, 'cells'>): Record<string, unknown> {
+export function cellsOf(slots: Pick<ControlStore, 'registers'>): Record<string, unknown> {
   const cells: Record<string, unknown> = {};
-  for (const [key, cell] of [...slots.cells].sort(byName))
+  for (const [key, cell] of [...slots.registers].sort(byName))
     cells[key] = {
       promised: cell.promised,
       accepted: shortenedPlace(cell.accepted),
@@ -103,10 +103,10 @@
 export async function openDisk(
   files: DiskFiles,
   seed?: number,
-): Promise<{ slots: Slots; kept: KeptVotes; ports: Ports }> {
+): Promise<{ slots: ControlStore; kept: StoredVotes; ports: Ports }> {
   const ports = portsOfFiles(files, seed);
-  const kept = (await readVotes(ports)).extract() as KeptVotes;
-  const [, slots] = open(await openSlots(ports, MOST_LOG_BYTES, kept));
+  const kept = (await readStoredVotes(ports)).extract() as StoredVotes;
+  const [, slots] = errorOrValue(await openControlStore(ports, MOST_LOG_BYTES, kept));
   return { slots: slots!, kept, ports };
 }
 
@@ -115,13 +115,13 @@
   const { slots, kept } = await openDisk(new Map(files), seed);
   return JSON.parse(
     JSON.stringify({
-      disk: slots.disk,
-      spoilt: slots.spoilt,
-      founding: slots.founding(),
+      disk: slots.diskId,
+      spoilt: slots.isCorrupt,
+      founding: slots.bootstrapVoterSet(),
       cells: cellsOf(slots),
       votes: kept.votes,
       votesDisk: kept.disk,
-      votesSpoilt: kept.spoilt,
+      votesSpoilt: kept.isCorrupt,
     }),
   );
 }
--- a/tools/compatibility/probe.ts
+++ b/tools/compatibility/probe.ts
@@ -2,8 +2,8 @@
  * A process that asks one of ours over a connection of its own, and what has it run in virtual time.
  */
 
-import { askOnce, Hello, WIRE_VERSION } from '../../src/shared/transport/connections';
-import { Outcome } from '../../src/shared/errors/errors';
+import { requestOnce, Hello, PROTOCOL_VERSION } from '../../src/shared/transport/connections';
+import { Result } from '../../src/shared/errors/errors';
 import { Ports } from '../../src/shared/ports/ports';
 import { SimNet } from '../sim/simwire';
 import { World } from '../sim/simworld';
@@ -18,7 +18,7 @@
 export interface Probe {
   ports: Ports;
   hello: Hello;
-  ask(at: string, type: string, body: unknown): Promise<Outcome<unknown>>;
+  ask(at: string, type: string, body: unknown): Promise<Result<unknown>>;
 }
 
 /** Runs virtual time on until a promise is settled. */
@@ -35,12 +35,17 @@
 }
 
 /** Makes a probe on a machine of its own. */
-export function makeProbe(world: World, net: SimNet, ip: string, version = WIRE_VERSION): Probe {
+export function makeProbe(
+  world: World,
+  net: SimNet,
+  ip: string,
+  version = PROTOCOL_VERSION,
+): Probe {
   const name = `probe-${ip}`;
   const ports = net.ports(world.proc(name, ip));
   const hello: Hello = { version, name, role: 'router', at: `${ip}:7000`, zone: 'z' };
-  function ask(at: string, type: string, body: unknown): Promise<Outcome<unknown>> {
-    return settled(world, askOnce(ports, hello, [], at, type, body, WITHIN_MS));
+  function ask(at: string, type: string, body: unknown): Promise<Result<unknown>> {
+    return settled(world, requestOnce(ports, hello, [], at, type, body, WITHIN_MS));
   }
   return { ports, hello, ask };
 }
--- a/tools/compatibility/scenarios.ts
+++ b/tools/compatibility/scenarios.ts
@@ -5,10 +5,10 @@
 import { makeRollOutDesk } from '../../test/control/rolloutdesk';
 import { Indexers, reachIndexers } from '../../src/data/gateway/indexers';
 import { Loads } from '../../src/data/gateway/loads';
-import { boundsOf } from '../../src/shared/settings/time-limits';
-import { converse, HelloEdge } from '../../src/shared/transport/connections';
-import { follow, Follower } from '../../src/shared/replication/follower';
-import { makeFeed } from '../../src/shared/util/lib';
+import { timeLimitsOf } from '../../src/shared/settings/time-limits';
+import { openChannel, HelloHandlers } from '../../src/shared/transport/connections';
+import { followCore, Follower } from '../../src/shared/replication/follower';
+import { makePushStream } from '../../src/shared/util/lib';
 import { EngineLoad } from '../../src/shared/contracts/indexer';
 import { Connection } from '../../src/shared/ports/ports';
 import { defaultSettings } from '../../src/shared/settings/settings';
@@ -55,9 +55,9 @@
     return 2;
   }
   const loads = { own: ownLoads, others: nothing, noBoard: nothing } as unknown as Loads;
-  const membership = makeFeed<Member[]>().feed;
+  const membership = makePushStream<Member[]>().stream;
   const follower = { members, membership } as unknown as Follower;
-  const bounds = boundsOf(defaultSettings());
+  const bounds = timeLimitsOf(defaultSettings());
   return reachIndexers(probe.ports, bounds, follower, probe.hello, loads, routers);
 }
 
@@ -126,14 +126,14 @@
   const seeds: string[] = [];
   for (const controller of ['1', '2', '3']) seeds.push(`127.20.1.${controller}:7000`);
   const member: Member = { ...hello, http: '', life: 'a' };
-  const edges: object[] = [new HelloEdge(hello)];
-  const follower = follow(ports, boundsOf(defaultSettings()), hello, member, seeds, edges);
+  const edges: object[] = [new HelloHandlers(hello)];
+  const follower = followCore(ports, timeLimitsOf(defaultSettings()), hello, member, seeds, edges);
   function taken(connection: Connection): void {
-    converse(ports, connection, edges);
+    openChannel(ports, connection, edges);
   }
-  await ports.wire.accept(hello.at, taken);
+  await ports.network.listen(hello.at, taken);
   desk.engines[3].mute = true;
-  await desk.until(follower.live, 20000);
+  await desk.until(follower.hasLease, 20000);
   await desk.name(2);
   await desk.at(desk.w.now() + 15000);
 }
--- a/tools/compatibility/stored-disks.ts
+++ b/tools/compatibility/stored-disks.ts
@@ -5,7 +5,7 @@
 import { crc32 } from 'node:zlib';
 import { pack } from 'msgpackr';
 import { Controller } from '../../src/control/controller';
-import { KEYS, Voter, Voters } from '../../src/shared/state/words';
+import { CONTROL_KEYS, Voter, VoterSet } from '../../src/shared/state/words';
 import { asked, back, counts, isFounded, lose, procOf, until, votersOf } from '../sim/simcore';
 import { makeSimFleet, SimFleet, simIntents } from '../sim/simfleet';
 import { damagedForms } from './disk-damage';
@@ -100,7 +100,7 @@
 /** Leaves a joint set of voters in its midst, with a third disk that is never reached. */
 async function beginJointSet(fleet: SimFleet): Promise<void> {
   const controller = fleet.controllers.get('core-1') as Controller;
-  const stood = controller.value<Voters>(KEYS.voters)!;
+  const stood = controller.committedValue<VoterSet>(CONTROL_KEYS.voters)!;
   const next: Voter[] = [
     ...stood.value.now.slice(0, 2),
     { disk: 'd'.repeat(32), at: fleet.spare.wire },
@@ -111,7 +111,7 @@
     basedOn: stood.place.number,
   });
   function isJoint(): boolean {
-    return controller.value<Voters>(KEYS.voters)?.value.next !== undefined;
+    return controller.committedValue<VoterSet>(CONTROL_KEYS.voters)?.value.next !== undefined;
   }
   await waitFor(fleet, 'joint set', isJoint);
 }
--- a/tools/compatibility/stored-dump.ts
+++ b/tools/compatibility/stored-dump.ts
@@ -4,7 +4,7 @@
 
 import { Right } from 'purify-ts';
 import { unpack } from 'msgpackr';
-import { Handled, message } from '../../src/shared/transport/handlers';
+import { HandlerResult, messageHandler } from '../../src/shared/transport/handlers';
 import { makeScene, PROMPT, SALT, Scene } from '../sim/feedscene';
 
 /** What a replica tells of a prompt that was in the dump, and of one that was not. */
@@ -30,8 +30,8 @@
   constructor(private readonly dump: unknown) {}
 
   /** Gives the recorded dump. */
-  @message('dump-rows')
-  async dumpRows(): Handled {
+  @messageHandler('dump-rows')
+  async dumpRows(): HandlerResult {
     return Right(this.dump);
   }
 }
--- a/tools/compatibility/write-on.ts
+++ b/tools/compatibility/write-on.ts
@@ -2,8 +2,8 @@
  * Writing on a stored disk with the present code: the same lines and votes behind what it holds.
  */
 
-import { Cell } from '../../src/control/storage/control-store';
-import { Vote, Votes } from '../../src/control/storage/idempotency-votes';
+import { RegisterState } from '../../src/control/storage/control-store';
+import { Vote, IdempotencyVotes } from '../../src/control/storage/idempotency-votes';
 import { DiskFiles, digestOfBytes, DiskState, openDisk, cellsOf } from './disk-state';
 
 /** What the process that wrote held at its end. */
@@ -22,7 +22,10 @@
 }
 
 /** The next value of a cell: a field more, so that a long one is stored as a difference. */
-function nextOf(key: string, cell: Cell): NonNullable<Cell['accepted']> | undefined {
+function nextOf(
+  key: string,
+  cell: RegisterState,
+): NonNullable<RegisterState['accepted']> | undefined {
   const { learned } = cell;
   if (!learned || typeof learned.value !== 'object') return undefined;
   const { epoch, by } = cell.promised;
@@ -35,9 +38,9 @@
   let last: WrittenOn | undefined;
   for (const round of [1, 2]) {
     const { slots, kept, ports } = await openDisk(files);
-    const votes = new Votes(slots, ports, nobody, VOTES_KEPT_MS);
-    await votes.begin(kept);
-    for (const [key, cell] of [...slots.cells]) {
+    const votes = new IdempotencyVotes(slots, ports, nobody, VOTES_KEPT_MS);
+    await votes.start(kept);
+    for (const [key, cell] of [...slots.registers]) {
       const accepted = nextOf(key, cell);
       if (!accepted) continue;
       await slots.put({ key, promised: cell.promised, accepted });
@@ -52,7 +55,7 @@
     for (const [name, bytes] of [...files].sort(byName)) digests[name] = digestOfBytes(bytes);
     last = JSON.parse(
       JSON.stringify({
-        disk: slots.disk,
+        disk: slots.diskId,
         cells: cellsOf(slots),
         votes: ((await votes.held({ begins: '' })).extract() as { votes: Vote[] }).votes,
         digests,
--- a/tools/fleet/faults.ts
+++ b/tools/fleet/faults.ts
@@ -1,5 +1,5 @@
 import { rmSync } from 'node:fs';
-import { askJson } from '../../src/shared/util/lib';
+import { requestJson } from '../../src/shared/util/lib';
 import { listed } from '../standins/deploy';
 import { controlOf, type Fleet, type Proc } from './processes';
 
@@ -67,12 +67,12 @@
     for (const b of to)
       if (a !== b) cuts.push([a, b], ...(oneWay ? [] : [[b, a] as [string, string]]));
   async function tell(body: object): Promise<void> {
-    await askJson(f.ports.wire, {
-      at: controlOf(f.d),
+    await requestJson(f.ports.network, {
+      address: controlOf(f.d),
       method: 'PUT',
       path: '/api/cuts',
       body: JSON.stringify(body),
-      within: 2000,
+      timeoutMs: 2000,
     });
   }
   await tell({ cuts });
@@ -141,12 +141,12 @@
     case 'leave-engine': {
       const engines = f.d.engines.map(listed);
       engines[0].leaving = true;
-      await askJson(f.ports.wire, {
-        at: f.d.platform,
+      await requestJson(f.ports.network, {
+        address: f.d.platform,
         method: 'PUT',
         path: '/api/engines',
         body: JSON.stringify({ engines }),
-        within: 2000,
+        timeoutMs: 2000,
       });
       return say('engine-1 is leaving');
     }
--- a/tools/fleet/fleet.ts
+++ b/tools/fleet/fleet.ts
@@ -1,7 +1,7 @@
 import { existsSync, mkdirSync, readFileSync, rmSync } from 'node:fs';
 import { join, resolve } from 'node:path';
 import { Command } from 'commander';
-import { open } from '../../src/shared/errors/errors';
+import { errorOrValue } from '../../src/shared/errors/errors';
 import { Report, runCallers } from '../standins/callers';
 import { Deployment, DEPLOYMENTS, makeDeployment } from '../standins/deploy';
 import { LedgerEntry } from '../standins/engineways';
@@ -35,11 +35,16 @@
 async function sumMetrics(f: Fleet): Promise<Record<string, number>> {
   const sums: Record<string, number> = {};
   for (const e of f.d.edge) {
-    const [g, r] = open(
-      await f.ports.wire.ask({ at: e.http, method: 'GET', path: '/metrics', within: 2000 }),
+    const [g, r] = errorOrValue(
+      await f.ports.network.request({
+        address: e.http,
+        method: 'GET',
+        path: '/metrics',
+        timeoutMs: 2000,
+      }),
     );
     if (g) continue;
-    const [, text] = open(await r.next());
+    const [, text] = errorOrValue(await r.nextChunk());
     for (const line of String(text ?? '').split('\n')) {
       const m = /^plumhollow_router_(\w+)_total (\d+)/.exec(line);
       if (m) sums[m[1]] = (sums[m[1]] ?? 0) + Number(m[2]);
--- a/tools/fleet/machines.ts
+++ b/tools/fleet/machines.ts
@@ -125,7 +125,7 @@
     child.stdout.on('data', said);
     child.stderr.on('data', complained);
     child.on('exit', over);
-    const off = clock.timer(START_MS, up.keep);
+    const off = clock.setTimer(START_MS, up.keep);
     await up.promise;
     off();
   }
@@ -151,7 +151,7 @@
     function force(): void {
       child!.kill('SIGKILL');
     }
-    const off = clock.timer(site.bounds.graceS * 1000, force);
+    const off = clock.setTimer(site.bounds.graceS * 1000, force);
     return k.promise;
   }
 
--- a/tools/fleet/platform.ts
+++ b/tools/fleet/platform.ts
@@ -1,7 +1,7 @@
 import { mkdirSync, rmSync } from 'node:fs';
 import { resolve } from 'node:path';
 import { Clock } from '../../src/shared/ports/ports';
-import { realClock } from '../../src/shared/system/system-ports';
+import { makeSystemClock } from '../../src/shared/system/system-ports';
 import { seededDice } from '../sim/dice';
 import { Day, startDay } from '../standins/platform/day';
 import { Entry } from '../standins/platform/entry';
@@ -75,7 +75,7 @@
 
 /** Plays one day: real processes of ours, and stand-ins for everything around. */
 export async function playDay(ways: PlayWays): Promise<PlayedDay> {
-  const clock = realClock();
+  const clock = makeSystemClock();
   rmSync(ways.folder, { recursive: true, force: true });
   mkdirSync(ways.folder, { recursive: true });
   const day: Day = await startDay(ways.site, clock, seededDice(ways.seed));
--- a/tools/fleet/processes.ts
+++ b/tools/fleet/processes.ts
@@ -5,11 +5,16 @@
 import { ChildProcess, spawn } from 'node:child_process';
 import { writeFileSync } from 'node:fs';
 import { join, resolve } from 'node:path';
-import { askJson } from '../../src/shared/util/lib';
-import { open } from '../../src/shared/errors/errors';
+import { requestJson } from '../../src/shared/util/lib';
+import { errorOrValue } from '../../src/shared/errors/errors';
 import { Ports } from '../../src/shared/ports/ports';
-import { realClock, realDice, realDisk, realLog } from '../../src/shared/system/system-ports';
-import { realWire } from '../../src/shared/system/tcp-network';
+import {
+  makeSystemClock,
+  makeSystemRandom,
+  makeFileDisk,
+  makeLogger,
+} from '../../src/shared/system/system-ports';
+import { makeSystemNetwork } from '../../src/shared/system/tcp-network';
 import { Deployment, listed } from '../standins/deploy';
 import { boundOf } from '../standins/links';
 
@@ -49,11 +54,11 @@
 export function makeFleet(d: Deployment, folder: string): Fleet {
   const procs = new Map<string, Proc>();
   const ports: Ports = {
-    clock: realClock(),
-    dice: realDice(),
-    disk: realDisk(folder),
-    wire: realWire(2000),
-    log: realLog('fleet', d.name),
+    clock: makeSystemClock(),
+    random: makeSystemRandom(),
+    disk: makeFileDisk(folder),
+    network: makeSystemNetwork(2000),
+    logger: makeLogger('fleet', d.name),
   };
 
   async function start(name: string, role: string, args: string[], data: string): Promise<void> {
@@ -261,8 +266,13 @@
 /** Whether every router says that it takes requests. */
 export async function allReady(f: Fleet, ats: string[]): Promise<boolean> {
   for (const at of ats) {
-    const [e, r] = open(
-      await askJson(f.ports.wire, { at, method: 'GET', path: '/healthz', within: 1000 }),
+    const [e, r] = errorOrValue(
+      await requestJson(f.ports.network, {
+        address: at,
+        method: 'GET',
+        path: '/healthz',
+        timeoutMs: 1000,
+      }),
     );
     if (e || r.status !== 200) return false;
   }
--- a/tools/fleet/soak.ts
+++ b/tools/fleet/soak.ts
@@ -3,7 +3,7 @@
  * using the connections that they have.
  */
 
-import { Dice } from '../../src/shared/ports/ports';
+import { RandomSource } from '../../src/shared/ports/ports';
 
 /** One trouble of a soak, begun whether or not the ones before it are over. */
 export interface SoakStep {
@@ -55,7 +55,7 @@
 const QUIET_SHARE = 0.25;
 
 /** Draws the steps of a soak in the order of their times. */
-export function drawSoak(dice: Dice, ways: SoakWays): SoakStep[] {
+export function drawSoak(dice: RandomSource, ways: SoakWays): SoakStep[] {
   const count = Math.max(1, Math.round(ways.seconds * ways.perSecond));
   const span = ways.seconds * 1000 * (1 - QUIET_SHARE);
   const times: number[] = [];
--- a/tools/fleet/troubles.ts
+++ b/tools/fleet/troubles.ts
@@ -1,4 +1,4 @@
-import { wholeHash } from '../../src/shared/util/lib';
+import { sha256Hex } from '../../src/shared/util/lib';
 import { SPOILT, spoiltItems } from './invalid-changes';
 import { ConfigDoc, ConfigSent, troubled } from '../standins/platform/book';
 import { Day } from '../standins/platform/day';
@@ -139,7 +139,7 @@
     await change(p, add);
     function add(doc: ConfigDoc): void {
       for (let i = 0; i < ROUTES_OF_A_LONG_CHANGE; i++) {
-        const name = `${LONG_ROUTE}${wholeHash(`${n} ${i}`).slice(0, 12)}`;
+        const name = `${LONG_ROUTE}${sha256Hex(`${n} ${i}`).slice(0, 12)}`;
         doc.routes.push({ ...doc.routes[1], name, pathPrefix: `/${name}/` });
       }
     }
--- a/tools/history/generate.ts
+++ b/tools/history/generate.ts
@@ -1,6 +1,6 @@
 /** Random histories of a register that is right, for tests of the checker. */
 import { HistoryCall } from '../../src/shared/history/calls';
-import { Dice } from '../../src/shared/ports/ports';
+import { RandomSource } from '../../src/shared/ports/ports';
 import { seededDice } from '../sim/dice';
 
 /** How a random history is made. */
@@ -56,7 +56,7 @@
 
 /** Makes a history by clients that call a register at random moments. Each call has its effect once, between its start and its end; one whose answer is lost may have it later, or never. */
 export function generateHistory(way: Generation): HistoryCall[] {
-  const dice: Dice = seededDice(way.seed);
+  const dice: RandomSource = seededDice(way.seed);
   const agenda = makeAgenda();
   const calls: HistoryCall[] = [];
   const taken = new Set<string>();
--- a/tools/model/disk.ts
+++ b/tools/model/disk.ts
@@ -1,6 +1,6 @@
 /** A simulated data folder: what is written is cached at once, and durable after its sync. */
 import { Right } from 'purify-ts';
-import { Outcome } from '../../src/shared/errors/errors';
+import { Result } from '../../src/shared/errors/errors';
 import { Disk } from '../../src/shared/ports/ports';
 import { digest } from './scheduler';
 
@@ -74,7 +74,7 @@
     digested = undefined;
   }
 
-  async function read(name: string): Promise<Outcome<Uint8Array | undefined>> {
+  async function read(name: string): Promise<Result<Uint8Array | undefined>> {
     const file = files.get(name);
     if (syncedReads && file && file.durable !== file.cached) {
       file.durable = file.cached;
@@ -85,11 +85,11 @@
   }
 
   function port(schedule: (label: string, sync: () => void) => void): Disk {
-    function save(name: string, bytes: Uint8Array, verb: string): Promise<Outcome<void>> {
+    function save(name: string, bytes: Uint8Array, verb: string): Promise<Result<void>> {
       const file: File = { cached: bytes, durable: files.get(name)?.durable };
       files.set(name, file);
       changed();
-      function wait(done: (o: Outcome<void>) => void): void {
+      function wait(done: (o: Result<void>) => void): void {
         function sync(): void {
           file.durable = file.cached;
           version++;
@@ -100,10 +100,10 @@
       }
       return new Promise(wait);
     }
-    function write(name: string, bytes: Uint8Array): Promise<Outcome<void>> {
+    function write(name: string, bytes: Uint8Array): Promise<Result<void>> {
       return save(name, Uint8Array.from(bytes), 'write');
     }
-    function append(name: string, bytes: Uint8Array): Promise<Outcome<void>> {
+    function append(name: string, bytes: Uint8Array): Promise<Result<void>> {
       return save(name, join(files.get(name)?.cached, bytes), 'append');
     }
     return { read, write, append };
@@ -143,7 +143,7 @@
     function atOnce(_label: string, sync: () => void): void {
       sync();
     }
-    async function readDurable(name: string): Promise<Outcome<Uint8Array | undefined>> {
+    async function readDurable(name: string): Promise<Result<Uint8Array | undefined>> {
       return Right(bytes.get(name));
     }
     return { ...copy.port(atOnce), read: readDurable };
--- a/tools/model/invariants.ts
+++ b/tools/model/invariants.ts
@@ -1,5 +1,11 @@
 /** The invariants, each a named checker over what the modelled processes answer, hold and tell. */
-import { comparePlaces, isQuorum, Numbered, Place, Voters } from '../../src/shared/state/words';
+import {
+  compareVersions,
+  isQuorum,
+  VersionedValue,
+  Version,
+  VoterSet,
+} from '../../src/shared/state/words';
 
 /** The invariants by name. */
 export const INVARIANTS = {
@@ -44,8 +50,8 @@
 /** What a disk keeps of one key. */
 export interface HeldCell {
   promised: { epoch: number; by: string };
-  accepted?: Numbered;
-  learned?: Numbered;
+  accepted?: VersionedValue;
+  learned?: VersionedValue;
 }
 
 /** What one disk would keep if its machine lost power now. */
@@ -62,32 +68,32 @@
   /** How often each invariant was checked. */
   checks: Map<InvariantName, number>;
   promised(disk: string, key: string, epoch: number, by: string): void;
-  accepted(disk: string, change: Numbered): void;
+  accepted(disk: string, change: VersionedValue): void;
   /** Takes note of a value at its place, wherever it was seen. */
-  seen(n: Numbered): void;
-  learned(change: Numbered): void;
+  seen(n: VersionedValue): void;
+  learned(change: VersionedValue): void;
   begin(what: string, key: string): Begun;
-  read(begun: Begun, found: Numbered | undefined): void;
+  read(begun: Begun, found: VersionedValue | undefined): void;
   /** An owner leads by `current`; where `made` is the very value that was acknowledged, found standing, it leads by that one. */
-  led(begun: Begun, current: Numbered | undefined, made?: Numbered): void;
+  led(begun: Begun, current: VersionedValue | undefined, made?: VersionedValue): void;
   acknowledged(order: Order): void;
   /** An order was refused: as such, or by answers of class refused alone. */
   refused(order: Order, why: string, as: RefusalInvariant): void;
   /** What became of an order that was acknowledged before it was sent again: why it was refused, if it was. */
   answeredAgain(order: Order, refusedWhy?: string): void;
   /** Checks what all living disks keep. */
-  durable(disks: DurableDisk[], voters: Voters): void;
+  durable(disks: DurableDisk[], voters: VoterSet): void;
   isAcknowledged(order: Order): boolean;
   digest(): string;
 }
 
 /** The version of a value: a deployment's revision, or the rank of named weights. */
-export function versionOf(n: Numbered | undefined): number {
+export function versionOf(n: VersionedValue | undefined): number {
   const value = n?.value as { revision?: number; rank?: number } | undefined;
   return value?.revision ?? value?.rank ?? 0;
 }
 
-function placeText(n: Place): string {
+function placeText(n: Version): string {
   return `${n.epoch}.${n.by}.${n.number}`;
 }
 
@@ -95,9 +101,9 @@
   return `${o.key} version ${o.version}`;
 }
 
-function newestOf(cell: HeldCell | undefined): Numbered | undefined {
+function newestOf(cell: HeldCell | undefined): VersionedValue | undefined {
   if (!cell?.accepted || !cell.learned) return cell?.accepted ?? cell?.learned;
-  return comparePlaces(cell.learned, cell.accepted) > 0 ? cell.learned : cell.accepted;
+  return compareVersions(cell.learned, cell.accepted) > 0 ? cell.learned : cell.accepted;
 }
 
 /** Makes the checkers of one run. */
@@ -118,7 +124,7 @@
     if (!holds) violations.push({ invariant, text: text() });
   }
 
-  function seen(n: Numbered): void {
+  function seen(n: VersionedValue): void {
     const at = `${n.key} ${placeText(n)}`;
     const value = JSON.stringify(n.value);
     const before = values.get(at);
@@ -139,7 +145,7 @@
     promises.set(at, { epoch, by });
   }
 
-  function accepted(disk: string, change: Numbered): void {
+  function accepted(disk: string, change: VersionedValue): void {
     const at = `${disk} ${change.key}`;
     const before = promises.get(at)?.epoch ?? 0;
     function text(): string {
@@ -150,7 +156,7 @@
     seen(change);
   }
 
-  function learned(change: Numbered): void {
+  function learned(change: VersionedValue): void {
     seen(change);
     const order = orderText({ key: change.key, version: versionOf(change) });
     inForce.add(order);
@@ -173,7 +179,7 @@
     return begun;
   }
 
-  function read(begun: Begun, found: Numbered | undefined): void {
+  function read(begun: Begun, found: VersionedValue | undefined): void {
     const version = versionOf(found);
     function text(): string {
       return `a read of ${begun.key} found version ${version}, older than ${begun.atLeast}`;
@@ -182,7 +188,7 @@
     newestRead.set(begun.key, Math.max(version, newestRead.get(begun.key) ?? 0));
   }
 
-  function led(begun: Begun, current: Numbered | undefined, made?: Numbered): void {
+  function led(begun: Begun, current: VersionedValue | undefined, made?: VersionedValue): void {
     const version = versionOf(current);
     const found = made !== undefined && versionOf(made) === begun.atLeast;
     function text(): string {
@@ -220,7 +226,7 @@
     check('taken-stays-taken', refusedWhy === undefined, text);
   }
 
-  function durable(disks: DurableDisk[], voters: Voters): void {
+  function durable(disks: DurableDisk[], voters: VoterSet): void {
     for (const [key, version] of newestAcknowledged) {
       const without = new Set<string>();
       for (const { disk, cells } of disks)
--- a/tools/model/mutations.ts
+++ b/tools/model/mutations.ts
@@ -1,13 +1,13 @@
 /** Faulty variants of the control code, made by wrapping it, by which each invariant is seen to catch. */
 import { Right } from 'purify-ts';
-import { Changed } from '../../src/control/configuration/change-coordinator';
-import { ReadParts } from '../../src/control/consensus/linearizable-read';
-import { Reach } from '../../src/control/consensus/acceptor';
-import { Owner } from '../../src/control/consensus/key-owner';
-import { Line, Slots } from '../../src/control/storage/control-store';
-import { Fault, Outcome } from '../../src/shared/errors/errors';
+import { ChangeResult } from '../../src/control/configuration/change-coordinator';
+import { ReadDependencies } from '../../src/control/consensus/linearizable-read';
+import { VoterTransport } from '../../src/control/consensus/acceptor';
+import { KeyOwner } from '../../src/control/consensus/key-owner';
+import { LogEntry, ControlStore } from '../../src/control/storage/control-store';
+import { OperationError, Result } from '../../src/shared/errors/errors';
 import { Disk } from '../../src/shared/ports/ports';
-import { Numbered, Voter, Voters } from '../../src/shared/state/words';
+import { VersionedValue, Voter, VoterSet } from '../../src/shared/state/words';
 import { InvariantName } from './invariants';
 
 /** One mechanism left out; what is absent stays as it is. */
@@ -17,21 +17,21 @@
   summary: string;
   ownerName?(node: string): string;
   disk?(disk: Disk): Disk;
-  slots?(slots: Slots): Slots;
-  ownerReach?(reach: Reach, slots: Slots): Reach;
-  changesOwner?(owner: Owner): Owner;
+  slots?(slots: ControlStore): ControlStore;
+  ownerReach?(reach: VoterTransport, slots: ControlStore): VoterTransport;
+  changesOwner?(owner: KeyOwner): KeyOwner;
   /** The owner by which a change of the voters commits the keys anew. */
-  carryingOwner?(owner: Owner): Owner;
-  reads?(parts: ReadParts): ReadParts;
+  carryingOwner?(owner: KeyOwner): KeyOwner;
+  reads?(parts: ReadDependencies): ReadDependencies;
   /** Whether no order is answered by a read: what its owner does wrong is then not hidden by one that went before. */
   withoutVerdictsByRead?: boolean;
   handle?(
-    slots: Slots,
+    slots: ControlStore,
     type: string,
     body: unknown,
-    unchanged: () => Promise<Outcome<unknown>>,
-  ): Promise<Outcome<unknown>>;
-  answer?(o: Outcome<Changed>): Outcome<Changed>;
+    unchanged: () => Promise<Result<unknown>>,
+  ): Promise<Result<unknown>>;
+  answer?(o: Result<ChangeResult>): Result<ChangeResult>;
 }
 
 interface PrepareBody {
@@ -42,12 +42,12 @@
 
 interface PrepareAnswer {
   ok: boolean;
-  accepted?: Numbered;
+  accepted?: VersionedValue;
 }
 
 /** An acceptor that answers before its sync. */
-function unsyncedSlots(slots: Slots): Slots {
-  async function put(line: Line): Promise<Outcome<void>> {
+function unsyncedSlots(slots: ControlStore): ControlStore {
+  async function put(line: LogEntry): Promise<Result<void>> {
     void slots.put(line);
     return Right(undefined);
   }
@@ -56,7 +56,7 @@
 
 /** A disk whose whole files count as written before they are synced. */
 function unsyncedWrites(disk: Disk): Disk {
-  async function write(name: string, bytes: Uint8Array): Promise<Outcome<void>> {
+  async function write(name: string, bytes: Uint8Array): Promise<Result<void>> {
     void disk.write(name, bytes);
     return Right(undefined);
   }
@@ -65,13 +65,13 @@
 
 /** Grants an epoch that was granted already. */
 async function grantEqual(
-  slots: Slots,
+  slots: ControlStore,
   type: string,
   body: unknown,
-  unchanged: () => Promise<Outcome<unknown>>,
-): Promise<Outcome<unknown>> {
+  unchanged: () => Promise<Result<unknown>>,
+): Promise<Result<unknown>> {
   const { key, epoch, by } = body as PrepareBody;
-  const cell = slots.cells.get(key);
+  const cell = slots.registers.get(key);
   if (type !== 'prepare' || cell?.promised.epoch !== epoch) return unchanged();
   const promised = { epoch, by };
   return (await slots.put({ key, promised })).map(granted);
@@ -82,13 +82,13 @@
 
 /** Accepts under an epoch lower than the promised one. */
 async function acceptAny(
-  slots: Slots,
+  slots: ControlStore,
   type: string,
   body: unknown,
-  unchanged: () => Promise<Outcome<unknown>>,
-): Promise<Outcome<unknown>> {
+  unchanged: () => Promise<Result<unknown>>,
+): Promise<Result<unknown>> {
   if (type !== 'accept') return unchanged();
-  const { change } = body as { change: Numbered };
+  const { change } = body as { change: VersionedValue };
   const promised = { epoch: change.epoch, by: change.by };
   return (await slots.put({ key: change.key, promised, accepted: change })).map(taken);
   function taken(): unknown {
@@ -98,22 +98,22 @@
 
 /** Changes the answers to an owner's prepares. */
 function changedPrepares(
-  reach: Reach,
+  reach: VoterTransport,
   change: (body: PrepareBody, answer: PrepareAnswer) => PrepareAnswer,
-): Reach {
+): VoterTransport {
   async function ask(
     v: Voter,
     type: string,
     body: unknown,
     within: number,
-  ): Promise<Outcome<unknown>> {
-    const o = await reach.ask(v, type, body, within);
+  ): Promise<Result<unknown>> {
+    const o = await reach.request(v, type, body, within);
     function changed(answer: unknown): unknown {
       return change(body as PrepareBody, answer as PrepareAnswer);
     }
     return type === 'prepare' ? o.map(changed) : o;
   }
-  return { ...reach, ask };
+  return { ...reach, request: ask };
 }
 
 function withoutAccepted(_body: PrepareBody, answer: PrepareAnswer): PrepareAnswer {
@@ -121,12 +121,12 @@
 }
 
 /** An owner that adopts nothing of what was accepted before it. */
-function adoptNothing(reach: Reach): Reach {
+function adoptNothing(reach: VoterTransport): VoterTransport {
   return changedPrepares(reach, withoutAccepted);
 }
 
 /** An owner that adopts the first accepted value that it is told of. */
-function adoptFirst(reach: Reach): Reach {
+function adoptFirst(reach: VoterTransport): VoterTransport {
   const adopted = new Set<string>();
   function firstOnly(body: PrepareBody, answer: PrepareAnswer): PrepareAnswer {
     const round = `${body.key} ${body.epoch}`;
@@ -139,37 +139,39 @@
 }
 
 /** An owner for which its own disk is majority enough. */
-function ownDiskOnly(reach: Reach, slots: Slots): Reach {
-  function voters(): Voters | undefined {
+function ownDiskOnly(reach: VoterTransport, slots: ControlStore): VoterTransport {
+  function voters(): VoterSet | undefined {
     const set = reach.voters();
     return set && { now: set.now.filter(isOwn) };
   }
   function isOwn(v: Voter): boolean {
-    return v.disk === slots.disk;
+    return v.disk === slots.diskId;
   }
   return { ...reach, voters };
 }
 
 /** A change of the voters that commits no key anew for the new disks. */
-function carryNothing(owner: Owner): Owner {
-  async function own(): ReturnType<Owner['own']> {
+function carryNothing(owner: KeyOwner): KeyOwner {
+  async function own(): ReturnType<KeyOwner['acquire']> {
     return Right(undefined);
   }
-  return { ...owner, own, ownAnew: own };
+  return { ...owner, acquire: own, reacquire: own };
 }
 
 /** A read that goes by what is learned here. */
-function readHere(parts: ReadParts): ReadParts {
-  async function askVoter(v: Voter): Promise<Outcome<unknown>> {
+function readHere(parts: ReadDependencies): ReadDependencies {
+  async function askVoter(v: Voter): Promise<Result<unknown>> {
     return Right({ disk: v.disk });
   }
-  return { ...parts, askVoter };
+  return { ...parts, requestVoter: askVoter };
 }
 
 /** An owner that remembers no order. */
-function forgetOrders(owner: Owner): Owner {
-  function change(...[key, make, tries]: Parameters<Owner['change']>): ReturnType<Owner['change']> {
-    function makeForgetful(now: Numbered | undefined): Outcome<unknown> {
+function forgetOrders(owner: KeyOwner): KeyOwner {
+  function change(
+    ...[key, make, tries]: Parameters<KeyOwner['change']>
+  ): ReturnType<KeyOwner['change']> {
+    function makeForgetful(now: VersionedValue | undefined): Result<unknown> {
       return make(now && { ...now, value: { ...(now.value as object), taken: [] } });
     }
     return owner.change(key, makeForgetful, tries);
@@ -178,22 +180,22 @@
 }
 
 /** Changes the faults whose fate is open. */
-function changedDoubt(o: Outcome<Changed>, code?: string): Outcome<Changed> {
+function changedDoubt(o: Result<ChangeResult>, code?: string): Result<ChangeResult> {
   return o.mapLeft(refused);
-  function refused(fault: Fault): Fault {
-    return fault.sort === 'unknown'
-      ? { ...fault, sort: 'refused', code: code ?? fault.code }
+  function refused(fault: OperationError): OperationError {
+    return fault.certainty === 'unknown'
+      ? { ...fault, certainty: 'refused', code: code ?? fault.code }
       : fault;
   }
 }
 
 /** An answer that tells what is in doubt as a lost race. */
-function doubtIsConflict(o: Outcome<Changed>): Outcome<Changed> {
+function doubtIsConflict(o: Result<ChangeResult>): Result<ChangeResult> {
   return changedDoubt(o, 'conflict');
 }
 
 /** An answer that tells what is in doubt in class refused. */
-function doubtIsRefused(o: Outcome<Changed>): Outcome<Changed> {
+function doubtIsRefused(o: Result<ChangeResult>): Result<ChangeResult> {
   return changedDoubt(o);
 }
 
@@ -203,13 +205,13 @@
 }
 
 /** An owner that gives each change the number 1. */
-function numberOne(reach: Reach): Reach {
-  function ask(v: Voter, type: string, body: unknown, within: number): Promise<Outcome<unknown>> {
-    if (type !== 'accept') return reach.ask(v, type, body, within);
-    const { change, ...rest } = body as { change: Numbered };
-    return reach.ask(v, type, { ...rest, change: { ...change, number: 1 } }, within);
+function numberOne(reach: VoterTransport): VoterTransport {
+  function ask(v: Voter, type: string, body: unknown, within: number): Promise<Result<unknown>> {
+    if (type !== 'accept') return reach.request(v, type, body, within);
+    const { change, ...rest } = body as { change: VersionedValue };
+    return reach.request(v, type, { ...rest, change: { ...change, number: 1 } }, within);
   }
-  return { ...reach, ask };
+  return { ...reach, request: ask };
 }
 
 /** The mutations by the name of what is left out. */
--- a/tools/model/network.ts
+++ b/tools/model/network.ts
@@ -1,7 +1,7 @@
 /** Requests between modelled processes: each request, answer, loss, duplicate and time-out is an event. */
 import { Left } from 'purify-ts';
-import { makeFault, Outcome } from '../../src/shared/errors/errors';
-import { noConnection } from '../../src/shared/transport/connections';
+import { makeError, Result } from '../../src/shared/errors/errors';
+import { notConnected } from '../../src/shared/transport/connections';
 import { Host, ModelEvent, Scheduler } from './scheduler';
 
 /** A process that sends and takes requests. */
@@ -10,7 +10,7 @@
   serving: boolean;
   /** Requests that it has sent in this life. */
   sent: number;
-  handle(type: string, body: unknown): Promise<Outcome<unknown>>;
+  handle(type: string, body: unknown): Promise<Result<unknown>>;
 }
 
 interface Call {
@@ -22,12 +22,12 @@
   /** Takes the message that is on its way off the network. */
   drop?: () => void;
   duplicate?: () => void;
-  settle(o: Outcome<unknown>): void;
+  settle(o: Result<unknown>): void;
 }
 
 /** The network of one world. */
 export interface Network {
-  ask(from: Endpoint, to: Endpoint, type: string, body: unknown): Promise<Outcome<unknown>>;
+  ask(from: Endpoint, to: Endpoint, type: string, body: unknown): Promise<Result<unknown>>;
   /** Ends the connections of a process that has died, at the other ends. */
   broken(to: Endpoint): void;
   /** Whether a process can reach another. */
@@ -48,7 +48,7 @@
   return value === undefined ? value : (structuredClone(value) as T);
 }
 
-function copyOutcome(o: Outcome<unknown>): Outcome<unknown> {
+function copyOutcome(o: Result<unknown>): Result<unknown> {
   return o.bimap(copyOf, copyOf);
 }
 
@@ -66,10 +66,10 @@
     to: Endpoint,
     type: string,
     body: unknown,
-  ): Promise<Outcome<unknown>> {
-    if (!isUp(from, to)) return Promise.resolve(Left(noConnection(type, to.name)));
+  ): Promise<Result<unknown>> {
+    if (!isUp(from, to)) return Promise.resolve(Left(notConnected(type, to.name)));
     const label = `${from.name}.${from.life} ${type} #${++from.sent} to ${to.name}`;
-    function wait(done: (o: Outcome<unknown>) => void): void {
+    function wait(done: (o: Result<unknown>) => void): void {
       send(from, to, type, copyOf(body), label, done);
     }
     return new Promise(wait);
@@ -81,7 +81,7 @@
     type: string,
     body: unknown,
     label: string,
-    done: (o: Outcome<unknown>) => void,
+    done: (o: Result<unknown>) => void,
   ): void {
     const call: Call = { from, to, toLife: to.life, fromLife: from.life, label, settle };
     calls.add(call);
@@ -91,16 +91,16 @@
       label: `time-out of ${label}`,
       run: timeOut,
     });
-    function settle(o: Outcome<unknown>): void {
+    function settle(o: Result<unknown>): void {
       calls.delete(call);
       call.drop?.();
       dropTimer();
       done(o);
     }
     function timeOut(): void {
-      settle(Left(makeFault(type, to.name, 'no answer in time', 'unknown', 'timeout')));
+      settle(Left(makeError(type, to.name, 'no answer in time', 'unknown', 'timeout')));
     }
-    function answer(o: Outcome<unknown>): void {
+    function answer(o: Result<unknown>): void {
       if (!calls.has(call)) return;
       const copy = copyOutcome(o);
       function arrive(): void {
@@ -142,7 +142,7 @@
       call.drop?.();
       call.duplicate = undefined;
       function end(): void {
-        call.settle(Left(makeFault(call.label, to.name, 'connection ended', 'unknown', 'ended')));
+        call.settle(Left(makeError(call.label, to.name, 'connection ended', 'unknown', 'ended')));
       }
       call.drop = scheduler.add(call.from, {
         class: 'progress',
--- a/tools/model/node.ts
+++ b/tools/model/node.ts
@@ -1,25 +1,34 @@
 /** One modelled core machine: a folder that stays, and lives of a process that runs the control code on it. */
 import { Right } from 'purify-ts';
-import { Changed, makeChanges } from '../../src/control/configuration/change-coordinator';
-import { DocumentReader } from '../../src/control/configuration/deployment-change';
+import {
+  ChangeResult,
+  makeChangeCoordinator,
+} from '../../src/control/configuration/change-coordinator';
+import { DocumentParser } from '../../src/control/configuration/deployment-change';
 import { Operation } from '../../src/control/configuration/operations';
-import { ControlEdge } from '../../src/control/peer-handlers';
+import { PeerHandlers } from '../../src/control/peer-handlers';
 import {
-  ReadEdge,
-  ReadParts,
-  readNewest,
-  readSettled,
+  ReadHandlers,
+  ReadDependencies,
+  readLinearizable,
+  readIfStable,
 } from '../../src/control/consensus/linearizable-read';
-import { Acceptor, Reach } from '../../src/control/consensus/acceptor';
-import { makeOwner, Owner } from '../../src/control/consensus/key-owner';
-import { openSlots, Slots } from '../../src/control/storage/control-store';
-import { Exchange } from '../../src/shared/transport/connections';
+import { Acceptor, VoterTransport } from '../../src/control/consensus/acceptor';
+import { makeKeyOwner, KeyOwner } from '../../src/control/consensus/key-owner';
+import { openControlStore, ControlStore } from '../../src/control/storage/control-store';
+import { PeerChannel } from '../../src/shared/transport/connections';
 import { dispatch } from '../../src/shared/transport/handlers';
-import { bad, open, Outcome } from '../../src/shared/errors/errors';
-import { Dice, Ports } from '../../src/shared/ports/ports';
-import { Bounds } from '../../src/shared/settings/time-limits';
+import { failure, errorOrValue, Result } from '../../src/shared/errors/errors';
+import { RandomSource, Ports } from '../../src/shared/ports/ports';
+import { TimeLimits } from '../../src/shared/settings/time-limits';
 import { Settings } from '../../src/shared/settings/settings';
-import { allVoters, KEYS, Numbered, Voter, Voters } from '../../src/shared/state/words';
+import {
+  allVoters,
+  CONTROL_KEYS,
+  VersionedValue,
+  Voter,
+  VoterSet,
+} from '../../src/shared/state/words';
 import { Folder, makeFolder } from './disk';
 import { Checker } from './invariants';
 import { Mutation } from './mutations';
@@ -46,11 +55,11 @@
 
 /** One life of a node's process. */
 interface Process {
-  slots: Slots;
-  change(op: Operation): Promise<Outcome<Changed>>;
-  newest(key: string): Promise<Outcome<Numbered | undefined>>;
-  local(type: string, body: unknown): Promise<Outcome<unknown>>;
-  replace(): Promise<Outcome<Voters>>;
+  slots: ControlStore;
+  change(op: Operation): Promise<Result<ChangeResult>>;
+  newest(key: string): Promise<Result<VersionedValue | undefined>>;
+  local(type: string, body: unknown): Promise<Result<unknown>>;
+  replace(): Promise<Result<VoterSet>>;
 }
 
 /** A core machine. */
@@ -60,7 +69,7 @@
   running: boolean;
   /** The disk that its process has opened. */
   disk(): string | undefined;
-  slots(): Slots | undefined;
+  slots(): ControlStore | undefined;
   start(): void;
   /** Ends the process; `hurt` does to the folder what the fault does. */
   die(hurt: () => void): void;
@@ -70,7 +79,7 @@
 const reader = {
   deployment: readDocument,
   namedChange: readDocument,
-} as unknown as DocumentReader;
+} as unknown as DocumentParser;
 
 function readDocument(doc: unknown): unknown {
   return Right(doc);
@@ -86,7 +95,7 @@
   const folder = makeFolder(parts.syncedReads);
   let ids = 0;
   let process: Process | undefined;
-  const dice: Dice = { next: half, id: nextId };
+  const dice: RandomSource = { next: half, uuid: nextId };
 
   function half(): number {
     return 0.5;
@@ -114,89 +123,104 @@
     const disk = folder.port(sync);
     return {
       clock: { sleep },
-      dice,
+      random: dice,
       disk: mutation.disk?.(disk) ?? disk,
-      log,
+      logger: log,
     } as unknown as Ports;
   }
 
   async function run(life: number): Promise<void> {
     const ports = portsOf();
-    const [fault, slots] = open(await openSlots(ports, parts.mostLog));
+    const [fault, slots] = errorOrValue(await openControlStore(ports, parts.mostLog));
     if (fault || life !== node.life) return;
     process = makeProcess(slots, ports);
     node.serving = true;
   }
 
-  function makeProcess(slots: Slots, ports: Ports): Process {
+  function makeProcess(slots: ControlStore, ports: Ports): Process {
     const by = mutation.ownerName?.(name) ?? `${name}.${node.life}`;
-    const acceptorReach: Reach = { by, within: 0, voters, ask: askVoter, learned, learnHere };
+    const acceptorReach: VoterTransport = {
+      ownerId: by,
+      timeoutMs: 0,
+      voters,
+      request: askVoter,
+      onLearned: learned,
+      learnLocally: learnHere,
+    };
     const acceptor = new Acceptor(mutation.slots?.(slots) ?? slots, acceptorReach, ports);
     const owner = watched(
-      makeOwner(slots, mutation.ownerReach?.(acceptorReach, slots) ?? acceptorReach),
+      makeKeyOwner(slots, mutation.ownerReach?.(acceptorReach, slots) ?? acceptorReach),
     );
-    const changes = makeChanges({
+    const changes = makeChangeCoordinator({
       clock: ports.clock,
-      dice,
+      random: dice,
       settings: { wire: name, name } as Settings,
-      bounds: { handOver: 0, pause: 0, orderUnderWay: 0 } as Bounds,
-      owner: mutation.changesOwner?.(owner) ?? owner,
-      reader,
+      timeLimits: { forwardTimeoutMs: 0, retryPauseMs: 0, inProgressExtensionMs: 0 } as TimeLimits,
+      keyOwner: mutation.changesOwner?.(owner) ?? owner,
+      parser: reader,
       voters,
-      live,
-      up,
-      local,
-      readSettled: readSettledHere,
+      liveAddresses: live,
+      channelTo: up,
+      dispatchLocally: local,
+      readIfStable: readSettledHere,
     });
-    const reads: ReadParts = {
-      slots,
-      owner,
+    const reads: ReadDependencies = {
+      store: slots,
+      keyOwner: owner,
       voters,
-      askVoter,
-      ofOwner: changes.ofOwner,
-      learnHere,
+      requestVoter: askVoter,
+      requestOwner: changes.requestOwner,
+      learnLocally: learnHere,
     };
     const readsHere = mutation.reads?.(reads) ?? reads;
-    const { here: changeHere, isUnderWay } = changes;
-    const peers = new ControlEdge({ by, slots, voters, changeHere, isUnderWay } as never);
-    const edges: object[] = [acceptor, peers, new ReadEdge(reads), new VotersEdge(slots)];
-
-    function voters(): Voters | undefined {
-      return (slots.cells.get(KEYS.voters)?.learned?.value ?? slots.founding()) as
-        Voters | undefined;
+    const { changeAsOwner: changeHere, isInProgress: isUnderWay } = changes;
+    const peers = new PeerHandlers({
+      ownerId: by,
+      store: slots,
+      voters,
+      changeAsOwner: changeHere,
+      isInProgress: isUnderWay,
+    } as never);
+    const edges: object[] = [acceptor, peers, new ReadHandlers(reads), new VotersEdge(slots)];
+
+    function voters(): VoterSet | undefined {
+      return (slots.registers.get(CONTROL_KEYS.voters)?.learned?.value ??
+        slots.bootstrapVoterSet()) as VoterSet | undefined;
     }
 
-    function learned(n: Numbered): void {
-      if (n.by !== by) owner.passed(n.key, n.epoch);
+    function learned(n: VersionedValue): void {
+      if (n.by !== by) owner.noteNewerEpoch(n.key, n.epoch);
     }
 
-    function learnHere(change: Numbered): Promise<unknown> {
+    function learnHere(change: VersionedValue): Promise<unknown> {
       return acceptor.learn({ change });
     }
 
-    async function local(type: string, body: unknown): Promise<Outcome<unknown>> {
-      function unchanged(): Promise<Outcome<unknown>> {
+    async function local(type: string, body: unknown): Promise<Result<unknown>> {
+      function unchanged(): Promise<Result<unknown>> {
         return dispatch(edges, type, body, undefined, name);
       }
       const settles = type === 'settle';
       const begun = settles ? checker.begin('own', (body as { key: string }).key) : undefined;
       const o = await (mutation.handle?.(slots, type, body, unchanged) ?? unchanged());
-      observe(slots.disk, type, body, o);
-      if (begun && o.isRight()) checker.led(begun, o.extract() as Numbered | undefined);
+      observe(slots.diskId, type, body, o);
+      if (begun && o.isRight()) checker.led(begun, o.extract() as VersionedValue | undefined);
       return o;
     }
 
-    function askVoter(v: Voter, type: string, body: unknown): Promise<Outcome<unknown>> {
-      return v.disk === slots.disk ? local(type, body) : network.ask(node, peer(v.at)!, type, body);
+    function askVoter(v: Voter, type: string, body: unknown): Promise<Result<unknown>> {
+      return v.disk === slots.diskId
+        ? local(type, body)
+        : network.ask(node, peer(v.at)!, type, body);
     }
 
-    function up(at: string): Exchange | undefined {
+    function up(at: string): PeerChannel | undefined {
       const to = peer(at);
       if (!to || !network.isUp(node, to)) return undefined;
-      function ask(type: string, body: unknown): Promise<Outcome<unknown>> {
+      function ask(type: string, body: unknown): Promise<Result<unknown>> {
         return network.ask(node, to!, type, body);
       }
-      return { ask } as unknown as Exchange;
+      return { request: ask } as unknown as PeerChannel;
     }
 
     function live(): string[] {
@@ -206,24 +230,24 @@
 
     function isHere(v: Voter): boolean {
       const to = peer(v.at)!;
-      return v.disk === slots.disk || (network.isUp(node, to) && to.disk() === v.disk);
+      return v.disk === slots.diskId || (network.isUp(node, to) && to.disk() === v.disk);
     }
 
-    async function readSettledHere(key: string): Promise<Outcome<Numbered | undefined>> {
+    async function readSettledHere(key: string): Promise<Result<VersionedValue | undefined>> {
       if (mutation.withoutVerdictsByRead)
-        return bad('read', key, 'not read', 'unknown', 'unsettled');
-      return readSettled(readsHere, key);
+        return failure('read', key, 'not read', 'unknown', 'unsettled');
+      return readIfStable(readsHere, key);
     }
 
-    function newest(key: string): Promise<Outcome<Numbered | undefined>> {
-      return readNewest(readsHere, key);
+    function newest(key: string): Promise<Result<VersionedValue | undefined>> {
+      return readLinearizable(readsHere, key);
     }
 
     function diskAt(at: string): string | undefined {
       return peer(at)?.disk();
     }
 
-    function replace(): Promise<Outcome<Voters>> {
+    function replace(): Promise<Result<VoterSet>> {
       const { commit: change } = changes;
       return replaceEmptied({
         name,
@@ -248,18 +272,18 @@
   }
 
   /** Tells the checkers what a disk has answered. */
-  function observe(disk: string, type: string, body: unknown, o: Outcome<unknown>): void {
-    const [fault, answer] = open(o);
+  function observe(disk: string, type: string, body: unknown, o: Result<unknown>): void {
+    const [fault, answer] = errorOrValue(o);
     if (fault || (answer as { ok?: boolean } | undefined)?.ok !== true) return;
     if (type === 'prepare') {
       const { key, epoch, by } = body as { key: string; epoch: number; by: string };
       checker.promised(disk, key, epoch, by);
     }
-    if (type === 'accept') checker.accepted(disk, (body as { change: Numbered }).change);
+    if (type === 'accept') checker.accepted(disk, (body as { change: VersionedValue }).change);
   }
 
   /** Holds what an owner leads by against what was acknowledged before it was asked; where another call was under way, the key may have been acquired before. */
-  function watched(owner: Owner): Owner {
+  function watched(owner: KeyOwner): KeyOwner {
     /** How many calls of a key haven't come back. */
     const turns = new Map<string, number>();
     async function inTurn<T>(key: string, call: Promise<T>): Promise<T> {
@@ -271,31 +295,31 @@
       return answer;
     }
     async function change(
-      ...[key, make, tries]: Parameters<Owner['change']>
-    ): ReturnType<Owner['change']> {
+      ...[key, make, tries]: Parameters<KeyOwner['change']>
+    ): ReturnType<KeyOwner['change']> {
       const begun = checker.begin('change', key);
-      let current: Numbered | undefined;
-      function makeWatched(now: Numbered | undefined): Outcome<unknown> {
+      let current: VersionedValue | undefined;
+      function makeWatched(now: VersionedValue | undefined): Result<unknown> {
         current = now;
         return make(now);
       }
       const o = await inTurn(key, owner.change(key, makeWatched, tries));
-      const [fault, made] = open(o);
+      const [fault, made] = errorOrValue(o);
       if (!fault) checker.led(begun, current, made);
       return o;
     }
-    async function own(key: string): ReturnType<Owner['own']> {
+    async function own(key: string): ReturnType<KeyOwner['acquire']> {
       const begun = checker.begin('own', key);
       const isFresh = !owner.owns(key) && !turns.has(key);
-      const o = await inTurn(key, owner.own(key));
-      const [fault, current] = open(o);
+      const o = await inTurn(key, owner.acquire(key));
+      const [fault, current] = errorOrValue(o);
       if (!fault && isFresh) checker.led(begun, current);
       return o;
     }
-    return { ...owner, change, own };
+    return { ...owner, change, acquire: own };
   }
 
-  async function handle(type: string, body: unknown): Promise<Outcome<unknown>> {
+  async function handle(type: string, body: unknown): Promise<Result<unknown>> {
     if (!process) return never();
     if (type === ORDER) return process.change(body as Operation);
     if (type === READ) return process.newest((body as { key: string }).key);
@@ -321,10 +345,10 @@
   }
 
   function disk(): string | undefined {
-    return process?.slots.disk;
+    return process?.slots.diskId;
   }
 
-  function slotsNow(): Slots | undefined {
+  function slotsNow(): ControlStore | undefined {
     return process?.slots;
   }
 
--- a/tools/model/operators.ts
+++ b/tools/model/operators.ts
@@ -1,9 +1,9 @@
 /** Modelled operators: each sends orders and reads by a short script, and tries again elsewhere where an answer isn't clear. */
 import { Left } from 'purify-ts';
-import { Changed } from '../../src/control/configuration/change-coordinator';
+import { ChangeResult } from '../../src/control/configuration/change-coordinator';
 import { Operation } from '../../src/control/configuration/operations';
-import { Fault, makeFault, open, Outcome } from '../../src/shared/errors/errors';
-import { KEYS, Numbered } from '../../src/shared/state/words';
+import { OperationError, makeError, errorOrValue, Result } from '../../src/shared/errors/errors';
+import { CONTROL_KEYS, VersionedValue } from '../../src/shared/state/words';
 import { Checker, Order, versionOf } from './invariants';
 import { Mutation } from './mutations';
 import { Endpoint, Network } from './network';
@@ -19,7 +19,7 @@
   | { do: 'read'; key: string };
 
 /** The key of the modelled weights. */
-export const WEIGHTS_KEY = `${KEYS.weights}m`;
+export const WEIGHTS_KEY = `${CONTROL_KEYS.weights}m`;
 
 const ATTEMPTS = 3;
 /** Revisions of different operators differ in their last digits. */
@@ -46,7 +46,7 @@
   describe(): string;
 }
 
-function isClear(f: Fault): boolean {
+function isClear(f: OperationError): boolean {
   return f.code === 'conflict' || f.code === 'bad-deployment';
 }
 
@@ -102,7 +102,7 @@
     const revision = tens * REVISION_STEP + index;
     const doc = { revision, routes: [], pools: [], tenants: [] };
     return {
-      order: { key: KEYS.deployment, version: revision, base: known },
+      order: { key: CONTROL_KEYS.deployment, version: revision, base: known },
       op: { kind: 'deployment', base: known, doc },
       certain: true,
     };
@@ -121,14 +121,19 @@
     const { order, op } = sent;
     for (let attempt = 0; attempt < ATTEMPTS; attempt++) {
       const taken = checker.isAcknowledged(order);
-      const asked = (await network.ask(operator, nodeAt(attempt), ORDER, op)) as Outcome<Changed>;
-      const [fault] = open(p.mutation.answer?.(asked) ?? asked);
+      const asked = (await network.ask(
+        operator,
+        nodeAt(attempt),
+        ORDER,
+        op,
+      )) as Result<ChangeResult>;
+      const [fault] = errorOrValue(p.mutation.answer?.(asked) ?? asked);
       const isTaken = !fault || fault.code === 'stands';
       if (taken && (isTaken || isClear(fault)))
-        return checker.answeredAgain(order, isTaken ? undefined : fault.why);
+        return checker.answeredAgain(order, isTaken ? undefined : fault.reason);
       if (isTaken) return acknowledge(order);
-      if (isClear(fault)) return checker.refused(order, fault.why, 'refused-stays-out');
-      if (fault.sort !== 'refused') sent.certain = false;
+      if (isClear(fault)) return checker.refused(order, fault.reason, 'refused-stays-out');
+      if (fault.certainty !== 'refused') sent.certain = false;
     }
     if (sent.certain)
       checker.refused(order, 'every answer was of class refused', 'class-refused-stays-out');
@@ -136,7 +141,7 @@
 
   function acknowledge(order: Order): void {
     checker.acknowledged(order);
-    if (order.key === KEYS.deployment) known = Math.max(known, order.version);
+    if (order.key === CONTROL_KEYS.deployment) known = Math.max(known, order.version);
   }
 
   async function replace(): Promise<void> {
@@ -147,20 +152,20 @@
   async function read(key: string): Promise<void> {
     for (let attempt = 0; attempt < ATTEMPTS; attempt++) {
       const begun = checker.begin('read', key);
-      const [fault, found] = open(
-        (await network.ask(operator, nodeAt(attempt), READ, { key })) as Outcome<
-          Numbered | undefined
+      const [fault, found] = errorOrValue(
+        (await network.ask(operator, nodeAt(attempt), READ, { key })) as Result<
+          VersionedValue | undefined
         >,
       );
       if (fault) continue;
       checker.read(begun, found);
-      if (key === KEYS.deployment) known = Math.max(known, versionOf(found));
+      if (key === CONTROL_KEYS.deployment) known = Math.max(known, versionOf(found));
       return;
     }
   }
 
-  async function handle(type: string): Promise<Outcome<unknown>> {
-    return Left(makeFault(type, operator.name, 'asks only', 'refused', 'not-known'));
+  async function handle(type: string): Promise<Result<unknown>> {
+    return Left(makeError(type, operator.name, 'asks only', 'refused', 'not-known'));
   }
 
   function describe(): string {
--- a/tools/model/world.ts
+++ b/tools/model/world.ts
@@ -1,8 +1,14 @@
 /** One run of a modelled world: it lists the enabled events, runs the chosen one, and has the checkers look. */
-import { openSlots } from '../../src/control/storage/control-store';
-import { Outcome, open } from '../../src/shared/errors/errors';
-import { Dice, Ports } from '../../src/shared/ports/ports';
-import { comparePlaces, KEYS, Numbered, Voter, Voters } from '../../src/shared/state/words';
+import { openControlStore } from '../../src/control/storage/control-store';
+import { Result, errorOrValue } from '../../src/shared/errors/errors';
+import { RandomSource, Ports } from '../../src/shared/ports/ports';
+import {
+  compareVersions,
+  CONTROL_KEYS,
+  VersionedValue,
+  Voter,
+  VoterSet,
+} from '../../src/shared/state/words';
 import { Checker, DurableDisk, HeldCell, makeChecker, Violation } from './invariants';
 import { Faults, makeFaults } from './faults';
 import { Mutation, UNCHANGED } from './mutations';
@@ -16,7 +22,7 @@
 /** A schedule longer than this is cut off, and counted. */
 export const MOST_STEPS = 1500;
 
-const CLOSING_KEYS = [KEYS.deployment, WEIGHTS_KEY];
+const CLOSING_KEYS = [CONTROL_KEYS.deployment, WEIGHTS_KEY];
 
 /** A world that is being run. */
 export interface ModelWorld {
@@ -37,24 +43,24 @@
 async function openDurable(node: ModelNode, known: Durable | undefined): Promise<Durable> {
   const version = node.folder.version();
   if (known?.version === version) return known;
-  const ports = { disk: node.folder.durableCopy(), dice: fixedDice(), log: SILENT };
-  const [fault, slots] = open(await openSlots(ports as unknown as Ports, 1 << 20));
-  const disk = fault ? { disk: '', cells: new Map<string, HeldCell>() } : slots;
-  return { version, disk: { disk: disk.disk, cells: disk.cells } };
+  const ports = { disk: node.folder.durableCopy(), random: fixedDice(), logger: SILENT };
+  const [fault, slots] = errorOrValue(await openControlStore(ports as unknown as Ports, 1 << 20));
+  const disk = fault ? { diskId: '', registers: new Map<string, HeldCell>() } : slots;
+  return { version, disk: { disk: disk.diskId, cells: disk.registers } };
 }
 
 function nothing(): void {}
 
 const SILENT = { info: nothing, notice: nothing, warn: nothing, error: nothing };
 
-function fixedDice(): Dice {
+function fixedDice(): RandomSource {
   function next(): number {
     return 0.5;
   }
   function id(): string {
     return 'unnamed';
   }
-  return { next, id };
+  return { next, uuid: id };
 }
 
 /** Makes a founded world, with its operators about to begin. */
@@ -68,9 +74,9 @@
   const nodes: ModelNode[] = [];
   const operators: Operator[] = [];
   const durables = new Map<ModelNode, Durable>();
-  const scanned = new Map<string, Numbered>();
+  const scanned = new Map<string, VersionedValue>();
   /** Empty until the founding is over. */
-  const founding: { voters?: Voters } = {};
+  const founding: { voters?: VoterSet } = {};
   const { mostLog, syncedReads } = plan;
   const parts = { scheduler, network, checker, mutation, mostLog, syncedReads, nodes: nodesNow };
   for (let i = 1; i <= plan.voters; i++) nodes.push(makeNode(`node-${i}`, parts));
@@ -107,14 +113,18 @@
   /** Shows the checkers what the disks' processes hold by now. */
   function scan(): void {
     for (const node of nodes) {
-      for (const [key, cell] of node.slots()?.cells ?? []) {
+      for (const [key, cell] of node.slots()?.registers ?? []) {
         note(`${node.name} ${key} accepted`, cell.accepted, checker.seen);
         note(`${node.name} ${key} learned`, cell.learned, checker.learned);
       }
     }
   }
 
-  function note(at: string, n: Numbered | undefined, tell: (n: Numbered) => void): void {
+  function note(
+    at: string,
+    n: VersionedValue | undefined,
+    tell: (n: VersionedValue) => void,
+  ): void {
     if (!n || scanned.get(at) === n) return;
     scanned.set(at, n);
     tell(n);
@@ -129,15 +139,15 @@
       disks.push({ ...durable.disk, expected });
     }
     if (founding.voters)
-      checker.durable(disks, (newestVoters()?.value as Voters) ?? founding.voters);
+      checker.durable(disks, (newestVoters()?.value as VoterSet) ?? founding.voters);
   }
 
   /** The newest voters that any living disk has learned. */
-  function newestVoters(): Numbered | undefined {
-    let newest: Numbered | undefined;
+  function newestVoters(): VersionedValue | undefined {
+    let newest: VersionedValue | undefined;
     for (const { disk } of durables.values()) {
       const learned = learnedVoters(disk.cells);
-      if (learned && (!newest || comparePlaces(learned, newest) > 0)) newest = learned;
+      if (learned && (!newest || compareVersions(learned, newest) > 0)) newest = learned;
     }
     return newest;
   }
@@ -145,13 +155,13 @@
   /** A further disk may be lost while no change of the voters is under way, where all that live know the newest voters, and a majority stays. */
   function mayWipe(): boolean {
     const newest = newestVoters();
-    const voters = newest?.value as Voters | undefined;
+    const voters = newest?.value as VoterSet | undefined;
     if (!newest || !voters || voters.next) return false;
     const living = new Set<string>();
     for (const { disk } of durables.values()) {
       const learned = learnedVoters(disk.cells);
       if (!learned) continue;
-      if (comparePlaces(learned, newest) !== 0) return false;
+      if (compareVersions(learned, newest) !== 0) return false;
       living.add(disk.disk);
     }
     function isLost(v: Voter): boolean {
@@ -169,13 +179,13 @@
   }
 
   /** Starts the nodes and gives each the founding voters. */
-  async function found(): Promise<Voters> {
+  async function found(): Promise<VoterSet> {
     for (const node of nodes) node.start();
     await drainMicrotasks();
     await runAll();
-    const voters: Voters = { now: nodes.map(voterOf) };
-    const learned: Numbered = {
-      key: KEYS.voters,
+    const voters: VoterSet = { now: nodes.map(voterOf) };
+    const learned: VersionedValue = {
+      key: CONTROL_KEYS.voters,
       epoch: 1,
       by: 'founder',
       number: 1,
@@ -183,7 +193,7 @@
     };
     const promised = { epoch: 1, by: 'founder' };
     for (const node of nodes)
-      void node.slots()!.put({ key: KEYS.voters, promised, accepted: learned, learned });
+      void node.slots()!.put({ key: CONTROL_KEYS.voters, promised, accepted: learned, learned });
     await drainMicrotasks();
     await runAll();
     return voters;
@@ -196,14 +206,14 @@
 
   async function closingRead(node: ModelNode, key: string): Promise<void> {
     const begun = checker.begin('read', key);
-    let answer: Outcome<unknown> | undefined;
-    function told(o: Outcome<unknown>): void {
+    let answer: Result<unknown> | undefined;
+    function told(o: Result<unknown>): void {
       answer = o;
     }
     void node.handle(READ, { key }).then(told);
     await drainMicrotasks();
     await runAll();
-    if (answer?.isRight()) checker.read(begun, answer.extract() as Numbered | undefined);
+    if (answer?.isRight()) checker.read(begun, answer.extract() as VersionedValue | undefined);
   }
 
   function stateDigest(): string {
--- a/tools/model/worlds.ts
+++ b/tools/model/worlds.ts
@@ -1,5 +1,5 @@
 /** The small worlds that are checked. */
-import { KEYS } from '../../src/shared/state/words';
+import { CONTROL_KEYS } from '../../src/shared/state/words';
 import { Step, WEIGHTS_KEY } from './operators';
 
 /** How many faults of each kind a schedule may have. */
@@ -44,7 +44,7 @@
 const deploy: Step = { do: 'deploy' };
 const again: Step = { do: 'deploy again' };
 const name: Step = { do: 'name weights' };
-const read: Step = { do: 'read', key: KEYS.deployment };
+const read: Step = { do: 'read', key: CONTROL_KEYS.deployment };
 const replace: Step = { do: 'replace emptied voters' };
 const readWeights: Step = { do: 'read', key: WEIGHTS_KEY };
 
--- a/tools/sim/dice.ts
+++ b/tools/sim/dice.ts
@@ -1,7 +1,7 @@
-import { Dice } from '../../src/shared/ports/ports';
+import { RandomSource } from '../../src/shared/ports/ports';
 
 /** Randomness from a seed, the same every run. */
-export function seededDice(seed: number): Dice {
+export function seededDice(seed: number): RandomSource {
   let s = (seed * 2654435761) >>> 0;
   function next(): number {
     s = (s + 0x6d2b79f5) >>> 0;
@@ -18,5 +18,5 @@
         .padStart(8, '0');
     return out;
   }
-  return { next, id };
+  return { next, uuid: id };
 }
--- a/tools/sim/feeds.ts
+++ b/tools/sim/feeds.ts
@@ -1,5 +1,5 @@
 import { Command } from 'commander';
-import { WirePart } from '../../src/shared/contracts/indexer';
+import { WireBlock } from '../../src/shared/contracts/indexer';
 import { KvSource } from '../standins/kvsource';
 import { seededDice } from './dice';
 import { makeScene, SALT, Scene } from './feedscene';
@@ -16,8 +16,8 @@
 
 /** What an engine keeps: the longest unused part gives way from its end, by blocks. */
 interface Cache {
-  read(parts: readonly WirePart[]): number;
-  overlap(parts: readonly WirePart[]): number;
+  read(parts: readonly WireBlock[]): number;
+  overlap(parts: readonly WireBlock[]): number;
   clear(): void;
 }
 
@@ -36,7 +36,7 @@
     }
   }
 
-  function read(parts: readonly WirePart[]): number {
+  function read(parts: readonly WireBlock[]): number {
     let fresh = 0;
     for (const [id, size] of parts) {
       const has = kept.get(id) ?? 0;
@@ -52,7 +52,7 @@
     return fresh;
   }
 
-  function overlap(parts: readonly WirePart[]): number {
+  function overlap(parts: readonly WireBlock[]): number {
     let t = 0;
     for (const [id, size] of parts) {
       t += kept.get(id) ?? 0;
@@ -161,17 +161,17 @@
     return makeCache(s, ROOM);
   }
   const samples: Sample[] = [];
-  const asked: WirePart[][] = [];
+  const asked: WireBlock[][] = [];
   const everRead = new Set<string>();
   let again = 0;
   let own = 0;
   let struck = false;
-  function shared(): WirePart {
+  function shared(): WireBlock {
     const i = Math.floor(SHARED * dice.next() * dice.next());
     return [`s${i}`, 6000 + ((i * 977) % 14000)];
   }
 
-  function choose(parts: WirePart[]): number {
+  function choose(parts: WireBlock[]): number {
     const told = t.told(dice.next() < 0.5 ? 0 : 1, parts);
     let best = Math.floor(dice.next() * ENGINES);
     let most = 0;
@@ -204,7 +204,7 @@
   }
 
   while (t.w.now() < AT + FOR) {
-    const parts: WirePart[] = [shared(), [`own${++own}`, 3700]];
+    const parts: WireBlock[] = [shared(), [`own${++own}`, 3700]];
     const n = choose(parts);
     const had = caches[n].overlap(parts);
     for (const [i, ix] of t.indexers.entries())
--- a/tools/sim/feedscene.ts
+++ b/tools/sim/feedscene.ts
@@ -2,11 +2,11 @@
 import { platform } from '../../platform/dialect';
 import { Indexer, startIndexer } from '../../src/index/indexer';
 import { overlapOf } from '../../src/index/overlap';
-import { Dialect } from '../../src/shared/platform-adapter/platform-adapter';
-import { open } from '../../src/shared/errors/errors';
+import { PlatformAdapter } from '../../src/shared/platform-adapter/platform-adapter';
+import { errorOrValue } from '../../src/shared/errors/errors';
 import { defaultSettings } from '../../src/shared/settings/settings';
-import { WirePart } from '../../src/shared/contracts/indexer';
-import { KEYS } from '../../src/shared/state/words';
+import { WireBlock } from '../../src/shared/contracts/indexer';
+import { CONTROL_KEYS } from '../../src/shared/state/words';
 import { startCore, StandInCore } from '../standins/core';
 import { KvSource, KvWays, makeKvSource } from '../standins/kvsource';
 import { makeNet, SimNet } from './simwire';
@@ -15,7 +15,7 @@
 /** The salt that all prompts of a scene have. */
 export const SALT = 's|1';
 /** A prompt of three parts. */
-export const PROMPT: WirePart[] = [
+export const PROMPT: WireBlock[] = [
   ['a', 800],
   ['b', 400],
   ['c', 250],
@@ -35,16 +35,16 @@
   list(ids: string[]): void;
   start(i: number): Promise<Indexer>;
   /** What a replica tells of the prompt, by source. */
-  told(i?: number, parts?: WirePart[]): Record<string, [number, number]>;
+  told(i?: number, parts?: WireBlock[]): Record<string, [number, number]>;
 }
 
 function engineAt(n: number): string {
   return `127.10.2.${n}:80`;
 }
 
-const dialect: Dialect = { ...platform, deployment };
+const dialect: PlatformAdapter = { ...platform, deployment };
 
-function deployment(doc: unknown): ReturnType<Dialect['deployment']> {
+function deployment(doc: unknown): ReturnType<PlatformAdapter['deployment']> {
   return Right(doc as never);
 }
 
@@ -68,7 +68,7 @@
     const ports = net.ports(w.proc(name, `127.10.2.${n}`));
     const s = makeKvSource(ports.clock, ways);
     sources.set(name, s);
-    await ports.wire.serve(engineAt(n), s.take);
+    await ports.network.serveHttp(engineAt(n), s.take);
   }
 
   async function pass(ms: number): Promise<void> {
@@ -93,7 +93,7 @@
         weights: '1',
         leaving: false,
       });
-    core.set(KEYS.engines, out);
+    core.set(CONTROL_KEYS.engines, out);
   }
 
   async function start(i: number): Promise<Indexer> {
@@ -111,7 +111,7 @@
       founders: [core.at],
       indexMostParts: 10000,
     };
-    const [, ix] = open(await startIndexer(net.ports(p), settings, dialect));
+    const [, ix] = errorOrValue(await startIndexer(net.ports(p), settings, dialect));
     all[i] = ix!;
     return ix!;
   }
@@ -127,7 +127,7 @@
     return out;
   }
 
-  core.set(KEYS.deployment, {
+  core.set(CONTROL_KEYS.deployment, {
     revision: 1,
     doc: { stores: [{ name: 'store-1', at: engineAt(engines + 1) }] },
   });
--- a/tools/sim/news/play.ts
+++ b/tools/sim/news/play.ts
@@ -1,8 +1,8 @@
 /** Plays changes at a rate over many followers behind thin links, and measures how they get there. */
 import { DeploymentValue } from '../../../src/shared/state/deployment';
-import { open } from '../../../src/shared/errors/errors';
+import { errorOrValue } from '../../../src/shared/errors/errors';
 import { Message } from '../../../src/shared/ports/ports';
-import { Engine, KEYS, Numbered } from '../../../src/shared/state/words';
+import { Engine, CONTROL_KEYS, VersionedValue } from '../../../src/shared/state/words';
 import { drawnDocument, drawnRoute, makeNewsRig, NewsRig, ProcessorShares } from './rig';
 
 /** What is played. */
@@ -93,11 +93,11 @@
     const lists: Applied[] = [];
     watched.deployments.set(name, deployments);
     watched.lists.set(name, lists);
-    function changed(n: Numbered): void {
+    function changed(n: VersionedValue): void {
       const at = rig.world.now();
-      if (n.key === KEYS.deployment)
+      if (n.key === CONTROL_KEYS.deployment)
         deployments.push({ at, number: (n.value as DeploymentValue).revision });
-      if (n.key === KEYS.engines)
+      if (n.key === CONTROL_KEYS.engines)
         lists.push({ at, number: Number((n.value as Engine[])[0]?.id ?? 0) });
     }
     void follower.changes.observe(changed);
@@ -109,7 +109,7 @@
   const controllers = [...rig.controllers.values()];
   for (let attempt = 0; !isOver(); attempt++) {
     const controller = controllers[attempt % controllers.length];
-    const [fault] = open(await controller.change(operation as never));
+    const [fault] = errorOrValue(await controller.change(operation as never));
     if (!fault || fault.code === 'stands') return true;
     await rig.sleep(RETRY_MS);
   }
@@ -145,7 +145,8 @@
   }
   for (let i = 0; i < ways.changes && !storm.isOver; i++) {
     const due = rig.world.now() + ways.gapMs;
-    if (ways.loseOwner && i === Math.floor(ways.changes / 2)) rig.killOwner(KEYS.deployment);
+    if (ways.loseOwner && i === Math.floor(ways.changes / 2))
+      rig.killOwner(CONTROL_KEYS.deployment);
     await sendChange(rig, storm, [drawnRoute(i % storm.routes, i % 2 === 0 ? 'other' : 'engines')]);
     await rig.sleep(due - rig.world.now());
   }
@@ -167,7 +168,7 @@
 async function listEngines(rig: NewsRig, storm: Storm, ways: NewsWays): Promise<void> {
   for (let number = 1; !storm.isOver; number++) {
     storm.watched.enginesRead.set(number, rig.world.now());
-    const owner = rig.ownerOf(KEYS.engines);
+    const owner = rig.ownerOf(CONTROL_KEYS.engines);
     if (owner) void owner.change({ kind: 'engines', engines: [engineOf(number)] });
     await rig.sleep(ways.enginesGapMs);
   }
--- a/tools/sim/news/rig.ts
+++ b/tools/sim/news/rig.ts
@@ -2,17 +2,17 @@
 import { DeploymentValue } from '../../../src/shared/state/deployment';
 import {
   Hello,
-  HelloEdge,
-  converse,
-  WIRE_VERSION,
+  HelloHandlers,
+  openChannel,
+  PROTOCOL_VERSION,
 } from '../../../src/shared/transport/connections';
-import { open, Outcome } from '../../../src/shared/errors/errors';
-import { wholeHash } from '../../../src/shared/util/lib';
-import { follow, Follower } from '../../../src/shared/replication/follower';
+import { errorOrValue, Result } from '../../../src/shared/errors/errors';
+import { sha256Hex } from '../../../src/shared/util/lib';
+import { followCore, Follower } from '../../../src/shared/replication/follower';
 import { Connection, Ports } from '../../../src/shared/ports/ports';
-import { boundsOf } from '../../../src/shared/settings/time-limits';
+import { timeLimitsOf } from '../../../src/shared/settings/time-limits';
 import { defaultSettings, Settings } from '../../../src/shared/settings/settings';
-import { KEYS, Member } from '../../../src/shared/state/words';
+import { CONTROL_KEYS, Member } from '../../../src/shared/state/words';
 import { platform } from '../../../platform/dialect';
 import { makeProcessors } from '../processors';
 import { makeNet, SimNet } from '../simwire';
@@ -117,7 +117,7 @@
 
 /** A route whose texts are drawn, as operators' names hardly compress. */
 export function drawnRoute(i: number, service: string): object {
-  const text = wholeHash(`route ${i}`);
+  const text = sha256Hex(`route ${i}`);
   return {
     ...routeOf(i, service),
     name: `r-${text.slice(0, 8)}`,
@@ -184,42 +184,48 @@
   }
 
   async function startCore(proc: Proc): Promise<void> {
-    const [fault, controller] = open(
+    const [fault, controller] = errorOrValue(
       await startController(net.ports(proc), settingsOf(proc), platform),
     );
-    if (fault) world.trace(`${proc.name} did not start: ${fault.why}`);
+    if (fault) world.trace(`${proc.name} did not start: ${fault.reason}`);
     else controllers.set(proc.name, controller);
   }
 
   /** Ports whose connections are counted as they end. */
   function countingLost(ports: Ports): Ports {
-    async function dial(at: string, within: number): Promise<Outcome<Connection>> {
-      const dialled = await ports.wire.dial(at, within);
+    async function dial(at: string, within: number): Promise<Result<Connection>> {
+      const dialled = await ports.network.connect(at, within);
       void dialled.ifRight(watch);
       return dialled;
     }
     function watch(connection: Connection): void {
-      void connection.done.then(ended);
+      void connection.closed.then(ended);
     }
     function ended(): void {
       lost++;
     }
-    return { ...ports, wire: { ...ports.wire, dial } };
+    return { ...ports, network: { ...ports.network, connect: dial } };
   }
 
   function startFollower(proc: Proc): void {
     const ports = countingLost(net.ports(proc));
     const at = wireOf(proc);
-    const hello: Hello = { version: WIRE_VERSION, name: proc.name, role: 'router', at, zone: '' };
-    const life = ports.dice.id().slice(0, 8);
+    const hello: Hello = {
+      version: PROTOCOL_VERSION,
+      name: proc.name,
+      role: 'router',
+      at,
+      zone: '',
+    };
+    const life = ports.random.uuid().slice(0, 8);
     const member: Member = { name: proc.name, role: 'router', at, http: '', zone: '', life };
-    const edges: object[] = [new HelloEdge(hello)];
-    const follower = follow(ports, boundsOf(settingsOf(proc)), hello, member, seeds, edges);
+    const edges: object[] = [new HelloHandlers(hello)];
+    const follower = followCore(ports, timeLimitsOf(settingsOf(proc)), hello, member, seeds, edges);
     followers.set(proc.name, follower);
     function taken(connection: Connection): void {
-      converse(ports, connection, edges);
+      openChannel(ports, connection, edges);
     }
-    void ports.wire.accept(at, taken);
+    void ports.network.listen(at, taken);
   }
 
   async function pass(ms: number): Promise<void> {
@@ -250,7 +256,9 @@
   }
 
   function revisionAt(name: string): number {
-    return followers.get(name)?.value<DeploymentValue>(KEYS.deployment)?.value.revision ?? 0;
+    return (
+      followers.get(name)?.value<DeploymentValue>(CONTROL_KEYS.deployment)?.value.revision ?? 0
+    );
   }
 
   function bytesPerFollower(): number {
@@ -261,7 +269,7 @@
 
   function everyoneHas(revision: number): () => boolean {
     function isThere(proc: Proc): boolean {
-      return revisionAt(proc.name) >= revision && followers.get(proc.name)!.live();
+      return revisionAt(proc.name) >= revision && followers.get(proc.name)!.hasLease();
     }
     function hasEveryone(): boolean {
       return followerProcs.every(isThere);
@@ -278,7 +286,7 @@
 
   function ownerOf(key: string): Controller | undefined {
     for (const controller of controllers.values())
-      if (controller.owner.owns(key) && controller.chosen(key)) return controller;
+      if (controller.keyOwner.owns(key) && controller.isPreferredOwner(key)) return controller;
     return undefined;
   }
 
--- a/tools/sim/overlap.ts
+++ b/tools/sim/overlap.ts
@@ -1,5 +1,5 @@
 import { Command } from 'commander';
-import { IntentsValue, KEYS } from '../../src/shared/state/words';
+import { IntentsValue, CONTROL_KEYS } from '../../src/shared/state/words';
 import { Seen } from '../standins/callers';
 import { DEPLOYMENTS } from '../standins/deploy';
 import { Fault } from './simfaults';
@@ -80,8 +80,10 @@
   return s;
 }
 
-function intentsOf(c: { value<T>(k: string): { value: T } | undefined }): IntentsValue | undefined {
-  return c.value<IntentsValue>(KEYS.intents)?.value;
+function intentsOf(c: {
+  committedValue<T>(k: string): { value: T } | undefined;
+}): IntentsValue | undefined {
+  return c.committedValue<IntentsValue>(CONTROL_KEYS.intents)?.value;
 }
 
 function named(name: string): (p: { name: string }) => boolean {
--- a/tools/sim/partcache.ts
+++ b/tools/sim/partcache.ts
@@ -2,15 +2,15 @@
  * A cache of prompt parts that evicts the least recently put first.
  */
 
-import { Part } from '../../src/shared/contracts/engine';
+import { PromptBlock } from '../../src/shared/contracts/engine';
 
 /** Parts by hash, the least recently put first. */
 export interface PartCache {
   has(hash: string): boolean;
   /** Takes a part and evicts until no more than `room` tokens are kept. */
-  put(p: Part, room: number): void;
+  put(p: PromptBlock, room: number): void;
   /** Tokens that are kept of a prompt, from its start to the first part that is missing. */
-  tokensOf(parts: readonly Part[]): number;
+  tokensOf(parts: readonly PromptBlock[]): number;
 }
 
 /** Makes an empty cache. */
@@ -22,7 +22,7 @@
     return sizes.has(hash);
   }
 
-  function put(p: Part, room: number): void {
+  function put(p: PromptBlock, room: number): void {
     if (sizes.delete(p.hash)) tokens -= p.size;
     sizes.set(p.hash, p.size);
     tokens += p.size;
@@ -33,7 +33,7 @@
     }
   }
 
-  function tokensOf(parts: readonly Part[]): number {
+  function tokensOf(parts: readonly PromptBlock[]): number {
     let sum = 0;
     for (const p of parts) {
       if (!sizes.has(p.hash)) break;
--- a/tools/sim/placing.ts
+++ b/tools/sim/placing.ts
@@ -1,6 +1,6 @@
 import { Command } from 'commander';
-import { Part } from '../../src/shared/contracts/engine';
-import { EngineLoad, OverlapAnswer } from '../../src/shared/contracts/indexer';
+import { PromptBlock } from '../../src/shared/contracts/engine';
+import { EngineLoad, OverlapReply } from '../../src/shared/contracts/indexer';
 import { makePlacement } from '../../src/data/gateway/placement';
 import {
   EngineSpot,
@@ -11,7 +11,7 @@
   PoolView,
   Underway,
 } from '../../src/data/gateway/placement-types';
-import { Dice } from '../../src/shared/ports/ports';
+import { RandomSource } from '../../src/shared/ports/ports';
 import { makeAgenda } from './agenda';
 import { makePartCache, PartCache } from './partcache';
 import { seededDice } from './dice';
@@ -19,7 +19,7 @@
 import { LONG_AIM, PlacingResult, SHORT_AIM, tally, WORTH } from './placingscore';
 
 interface Job {
-  parts: readonly Part[];
+  parts: readonly PromptBlock[];
   tokensIn: number;
   out: number;
   urgency: number;
@@ -57,7 +57,7 @@
 
 /** Plays one way of placing in a world. */
 export function playPlacing(world: PlacingWorld, way: PlaceWay, seed: number): PlacingResult {
-  const dice: Dice = seededDice(seed);
+  const dice: RandomSource = seededDice(seed);
   const agenda = makeAgenda();
   const { at } = agenda;
   let now = 0;
@@ -96,7 +96,7 @@
         way,
       }),
     );
-  const things: Part[] = [];
+  const things: PromptBlock[] = [];
   for (let i = 0; i < world.things; i++)
     things.push({ hash: `t${i}`, size: Math.round(Math.min(39900, lognormal(13300, 0.7))) });
   const longs: number[] = [];
@@ -120,8 +120,8 @@
     return mean * Math.exp(spread * u - (spread * spread) / 2);
   }
 
-  function overlap(parts: readonly Part[]): OverlapAnswer {
-    const out: OverlapAnswer = [];
+  function overlap(parts: readonly PromptBlock[]): OverlapReply {
+    const out: OverlapReply = [];
     for (const e of engines) {
       const kept = e.kept.tokensOf(parts);
       let coming = 0;
@@ -135,13 +135,13 @@
     return out;
   }
 
-  function keep(e: SimEngine, p: Part): void {
+  function keep(e: SimEngine, p: PromptBlock): void {
     let room = world.cacheTokens;
     for (const j of e.running) room -= j.tokensIn + j.given;
     e.kept.put(p, room);
   }
 
-  function put(p: Part): void {
+  function put(p: PromptBlock): void {
     storeKept.put(p, world.storeTokens);
   }
 
@@ -178,7 +178,7 @@
       avoid: new Set(),
     };
     requests++;
-    const kept = new Map<string, OverlapAnswer>();
+    const kept = new Map<string, OverlapReply>();
     for (const salt of r.wantsIndex(ask)) kept.set(salt, overlap(parts));
     at(now + (kept.size > 0 ? 3 : 1), go);
     function go(): void {
--- a/tools/sim/simcore.ts
+++ b/tools/sim/simcore.ts
@@ -81,9 +81,9 @@
   for (const n of names) {
     const c = f.controllers.get(n);
     const v = c?.voters();
-    if (!c || !v || v.next || !c.hasMajority() || !procOf(f, n).alive) return false;
+    if (!c || !v || v.next || !c.hasQuorum() || !procOf(f, n).alive) return false;
     function mine(x: Voter): boolean {
-      return x.disk === c!.slots.disk;
+      return x.disk === c!.store.diskId;
     }
     if (!v.now.some(mine)) return false;
   }
@@ -93,7 +93,7 @@
 /** Whether a majority agrees on the founding and every controller is in it. */
 export function isFounded(f: SimFleet): boolean {
   function inMajority(c: Controller): boolean {
-    return c.hasMajority();
+    return c.hasQuorum();
   }
   return f.controllers.size > 0 && running(f).every(inMajority);
 }
@@ -207,7 +207,7 @@
   function newest(): number {
     let most = 0;
     for (const c of running(f))
-      most = Math.max(most, c.value<IntentsValue>('intents')?.place.number ?? 0);
+      most = Math.max(most, c.committedValue<IntentsValue>('intents')?.place.number ?? 0);
     return most;
   }
   return { acked: ackedNow, longest: longestNow, put, go, halt, newest };
--- a/tools/sim/simfaults.ts
+++ b/tools/sim/simfaults.ts
@@ -1,4 +1,4 @@
-import { Dice } from '../../src/shared/ports/ports';
+import { RandomSource } from '../../src/shared/ports/ports';
 import { EngineWays } from '../standins/engineways';
 import { SimFleet } from './simfleet';
 import { Proc } from './simworld';
@@ -58,7 +58,7 @@
 /** Draws a schedule of faults. */
 export function drawFaults(
   f: SimFleet,
-  dice: Dice,
+  dice: RandomSource,
   from: number,
   to: number,
   count: number,
--- a/tools/sim/simfleet.ts
+++ b/tools/sim/simfleet.ts
@@ -1,12 +1,12 @@
 import { Controller, startController } from '../../src/control/controller';
 import { serveOperators } from '../../src/control/api/operator-api';
-import { startDuties } from '../../src/control/singletons/background-tasks';
-import { countCalls, endService } from '../../src/control/api/call-draining';
+import { startBackgroundTasks } from '../../src/control/singletons/background-tasks';
+import { countCalls, drainCalls } from '../../src/control/api/call-draining';
 import { startRouter } from '../../src/data/router';
 import { serveIndex } from '../../src/index/api';
 import { Indexer, startIndexer } from '../../src/index/indexer';
-import { askJson } from '../../src/shared/util/lib';
-import { open, Outcome } from '../../src/shared/errors/errors';
+import { requestJson } from '../../src/shared/util/lib';
+import { errorOrValue, Result } from '../../src/shared/errors/errors';
 import { Ports } from '../../src/shared/ports/ports';
 import { defaultSettings, Settings } from '../../src/shared/settings/settings';
 import { Engine, Intents } from '../../src/shared/state/words';
@@ -174,17 +174,21 @@
   for (const c of [...d.core, spare]) {
     add(c.name, ipOf(c.wire), startCore);
     async function startCore(_: Proc, ports: Ports): Promise<void> {
-      const [f, ctl] = open(await startController(ports, settings(c.name, c.wire, c.http, c.zone)));
-      if (f) return w.trace(`${c.name} did not start: ${f.why}`);
+      const [f, ctl] = errorOrValue(
+        await startController(ports, settings(c.name, c.wire, c.http, c.zone)),
+      );
+      if (f) return w.trace(`${c.name} did not start: ${f.reason}`);
       controllers.set(c.name, ctl);
       stops.set(c.name, leaveAndStop);
-      const calls = countCalls(ports.wire);
-      const [, listening] = open(await serveOperators(ctl, { ...ports, wire: calls.wire }));
-      startDuties(ctl, ports);
+      const calls = countCalls(ports.network);
+      const [, listening] = errorOrValue(
+        await serveOperators(ctl, { ...ports, network: calls.network }),
+      );
+      startBackgroundTasks(ctl, ports);
       async function leaveAndStop(): Promise<void> {
         const { clock } = ports;
-        await ctl!.leave();
-        await endService({ clock, bounds: ctl!.bounds, listening: listening!, calls });
+        await ctl!.drain();
+        await drainCalls({ clock, timeLimits: ctl!.timeLimits, listener: listening!, calls });
         await ctl!.stop();
       }
     }
@@ -192,7 +196,7 @@
     const ixIp = ipOf(c.wire).replace('.1.', '.5.');
     add(`index-${c.name}`, ixIp, startIx);
     async function startIx(_: Proc, ports: Ports): Promise<void> {
-      const [f, ix] = open(
+      const [f, ix] = errorOrValue(
         await startIndexer(
           ports,
           settings(`index-${c.name}`, `${ixIp}:7001`, `${ixIp}:8001`, c.zone),
@@ -207,7 +211,9 @@
   for (const e of d.edge) {
     add(e.name, ipOf(e.wire), startEdge);
     async function startEdge(_: Proc, ports: Ports): Promise<void> {
-      const [f, r] = open(await startRouter(ports, settings(e.name, e.wire, e.http, e.zone)));
+      const [f, r] = errorOrValue(
+        await startRouter(ports, settings(e.name, e.wire, e.http, e.zone)),
+      );
       if (!f) stops.set(e.name, leave);
       async function leave(): Promise<void> {
         await r!.drain();
@@ -223,12 +229,12 @@
     add(e.id, ipOf(e.at), startOne);
     async function startOne(_: Proc, ports: Ports): Promise<void> {
       const ways: EngineWays = { ...e, ledger: note };
-      const [f, one] = open(await startEngine(ports, ways));
+      const [f, one] = errorOrValue(await startEngine(ports, ways));
       if (!f) standins.set(e.id, one);
     }
   }
   add('platform', ipOf(d.platform), startList);
-  async function startList(_: Proc, ports: Ports): Promise<Outcome<unknown>> {
+  async function startList(_: Proc, ports: Ports): Promise<Result<unknown>> {
     return startPlatform(ports, d.platform, engines, served);
   }
   const marks: Mark[] = [];
@@ -317,17 +323,17 @@
   let sure = true;
   for (let i = 0; i < n; i++) {
     const at = ats[(first + i) % n].http;
-    const [g, r] = open(
-      await askJson(f.ops.wire, {
-        at,
+    const [g, r] = errorOrValue(
+      await requestJson(f.ops.network, {
+        address: at,
         method,
         path,
         body: body === undefined ? undefined : JSON.stringify(body),
-        within: patience,
+        timeoutMs: patience,
       }),
     );
     if (!g) return { status: r.status, body: r.body as Record<string, unknown> };
-    if (g.sort !== 'refused') {
+    if (g.certainty !== 'refused') {
       sure = false;
       if (method !== 'GET') break;
     }
--- a/tools/sim/simops.ts
+++ b/tools/sim/simops.ts
@@ -1,5 +1,5 @@
-import { open } from '../../src/shared/errors/errors';
-import { askJson, finishReply, lineReader, parseJson } from '../../src/shared/util/lib';
+import { errorOrValue } from '../../src/shared/errors/errors';
+import { requestJson, readToEnd, makeLineReader, parseJson } from '../../src/shared/util/lib';
 import { askCore, SimFleet, simIntents } from './simfleet';
 
 /** What operators were told, and what that lets us expect. */
@@ -185,9 +185,9 @@
   log.rule.windows.add(win);
   const headers = { authorization: `Bearer ${key}`, 'content-type': 'application/json' };
   const started = w.now();
-  const [g, r] = open(
-    await callers.wire.ask({
-      at: edge,
+  const [g, r] = errorOrValue(
+    await callers.network.request({
+      address: edge,
       method: 'POST',
       path: '/v1/generate',
       headers,
@@ -196,7 +196,7 @@
         tokens: [1, 2, 3, 1 + Math.floor(w.dice.next() * 1e6)],
         maxTokens: 9,
       }),
-      within: 9000,
+      timeoutMs: 9000,
     }),
   );
   log.rule.windows.delete(win);
@@ -209,9 +209,9 @@
   }
   if (dropped)
     log.violations.push(`a withdrawn key was let in at ${started.toFixed(0)} by ${edge}`);
-  const line = lineReader(r.next, edge);
+  const line = makeLineReader(r.nextChunk, edge);
   for (;;) {
-    const [h, text] = open(await line());
+    const [h, text] = errorOrValue(await line());
     const v =
       text === undefined
         ? undefined
@@ -219,7 +219,7 @@
             { done?: boolean; count?: number; error?: object } | undefined);
     if (h || !v || v.error) return 'other';
     if (!v.done) continue;
-    void finishReply(line, r.cancel);
+    void readToEnd(line, r.cancel);
     if (!win.has(`probe-${v.count}`))
       log.violations.push(
         `probe of ${started.toFixed(0)} at ${edge} was served by probe-${v.count}, possible: ${[...win].join(' ')}`,
@@ -231,8 +231,13 @@
 /** After all is healed: what was acknowledged stands, at every controller that answers. */
 export async function checkKept(f: SimFleet, log: OpsLog): Promise<void> {
   for (const c of f.d.core) {
-    const [g, r] = open(
-      await askJson(f.ops.wire, { at: c.http, method: 'GET', path: '/v1/intents', within: 3000 }),
+    const [g, r] = errorOrValue(
+      await requestJson(f.ops.network, {
+        address: c.http,
+        method: 'GET',
+        path: '/v1/intents',
+        timeoutMs: 3000,
+      }),
     );
     if (g || r.status !== 200) continue;
     const b = r.body as {
--- a/tools/sim/simpipe.ts
+++ b/tools/sim/simpipe.ts
@@ -2,7 +2,7 @@
  * The simulated network's pipes: orderly, one-way, and lossless until they break; two make a connection.
  */
 
-import { makeFeed } from '../../src/shared/util/lib';
+import { makePushStream } from '../../src/shared/util/lib';
 import { Connection, Message } from '../../src/shared/ports/ports';
 import { Proc, World } from './simworld';
 
@@ -119,7 +119,7 @@
       ends.get(who)?.();
     }
     function side(me: Proc, out: Pipe, back: Pipe): Connection {
-      const hand = makeFeed<Message>();
+      const hand = makePushStream<Message>();
       let over = false;
       const life = me.life;
       function wait(done: () => void): void {
@@ -165,8 +165,8 @@
           end(me === a ? b : a);
         }
       }
-      adds.set(me, hand.add);
-      return { peer: me === a ? b.ip : a.ip, feed: hand.feed, done, send, close };
+      adds.set(me, hand.push);
+      return { peer: me === a ? b.ip : a.ip, messages: hand.stream, closed: done, send, close };
     }
     const adds = new Map<Proc, (m: Message) => void>();
     return [side(a, toB, toA), side(b, toA, toB)];
--- a/tools/sim/simrun.ts
+++ b/tools/sim/simrun.ts
@@ -143,7 +143,7 @@
   }
 
   async function operate(): Promise<void> {
-    const { clock, dice } = f.ops;
+    const { clock, random: dice } = f.ops;
     await clock.sleep(2500);
     while (!(await configure())) await clock.sleep(300);
     await turnKey(f, ops, keyIds);
@@ -173,7 +173,7 @@
   }
 
   async function replaceLater(): Promise<void> {
-    await f.ops.clock.sleep(4000 + f.ops.dice.next() * 10000);
+    await f.ops.clock.sleep(4000 + f.ops.random.next() * 10000);
     await replaceCore(f, ops);
   }
 
@@ -201,8 +201,8 @@
   async function probes(): Promise<void> {
     while (w.now() < END) {
       await f.callers.clock.sleep(120);
-      const old = ops.droppedKeys[Math.floor(f.callers.dice.next() * ops.droppedKeys.length)];
-      if (old !== undefined && f.callers.dice.next() < 0.4) void probe(f, ops, old, true);
+      const old = ops.droppedKeys[Math.floor(f.callers.random.next() * ops.droppedKeys.length)];
+      if (old !== undefined && f.callers.random.next() < 0.4) void probe(f, ops, old, true);
       else if (ops.liveKey) void probe(f, ops, ops.liveKey, false);
     }
   }
--- a/tools/sim/simwire.ts
+++ b/tools/sim/simwire.ts
@@ -1,24 +1,24 @@
 import { Left, Right } from 'purify-ts';
-import { makeFault, Outcome } from '../../src/shared/errors/errors';
+import { makeError, Result } from '../../src/shared/errors/errors';
 import {
-  Ask,
-  Call,
-  Listening,
+  HttpRequest,
+  IncomingRequest,
+  Listener,
   Message,
   Ports,
-  Reply,
+  HttpResponse,
   Connection,
-  Wire,
+  Network,
 } from '../../src/shared/ports/ports';
 import { Proc, World } from './simworld';
 import { makePipes, NetWays, Pipe, PipeEnds } from './simpipe';
 import { ThinLinks } from './thin-links';
 import { Traffic } from './traffic';
 
-interface Listener {
+interface SimListener {
   proc: Proc;
   life: number;
-  takeCall?: (c: Call) => Promise<void>;
+  takeCall?: (c: IncomingRequest) => Promise<void>;
   takeConnection?: (s: Connection) => void;
 }
 
@@ -37,7 +37,7 @@
 
 /** Makes the network: orderly connections that lose nothing until they break, as TCP's do. */
 export function makeNet(w: World, ways: NetWays = {}): SimNet {
-  const listeners = new Map<string, Listener>();
+  const listeners = new Map<string, SimListener>();
   const warm = new Set<string>();
   const sent: SimNet['sent'] = [];
   const net: SimNet = { ports, sent, reset };
@@ -83,26 +83,26 @@
 
     async function listen(
       at: string,
-      l: Omit<Listener, 'proc' | 'life'>,
-    ): Promise<Outcome<Listening>> {
+      l: Omit<SimListener, 'proc' | 'life'>,
+    ): Promise<Result<Listener>> {
       listeners.set(at, { ...l, proc: p, life });
       async function close(): Promise<void> {
         if (listeners.get(at)?.proc === p) listeners.delete(at);
       }
-      return Right({ at, close });
+      return Right({ address: at, close });
     }
 
-    function dial(at: string, within: number): Promise<Outcome<Connection>> {
+    function dial(at: string, within: number): Promise<Result<Connection>> {
       const to = w.procAt(ipOf(at));
-      function wait(done: (o: Outcome<Connection>) => void): void {
-        function finish(o: Outcome<Connection>): void {
+      function wait(done: (o: Result<Connection>) => void): void {
+        function finish(o: Result<Connection>): void {
           function tell(): void {
             if (mine()) done(o);
           }
           w.onProc(p, tell);
         }
         function late(): void {
-          finish(Left(makeFault('dial', at, 'no stream in time', 'refused', 'timeout')));
+          finish(Left(makeError('dial', at, 'no stream in time', 'refused', 'timeout')));
         }
         function arrive(): void {
           if (!mine()) return;
@@ -112,7 +112,7 @@
           }
           const l = listeners.get(at);
           if (!l?.takeConnection || !l.proc.alive)
-            return finish(Left(makeFault('dial', at, 'refused', 'refused', 'ECONNREFUSED')));
+            return finish(Left(makeError('dial', at, 'refused', 'refused', 'ECONNREFUSED')));
           const [a, b] = makePair(p, l.proc);
           function take(): void {
             if (l!.proc.alive && l!.proc.life === l!.life) l!.takeConnection!(b);
@@ -125,32 +125,32 @@
       return new Promise(wait);
     }
 
-    function ask(q: Ask): Promise<Outcome<Reply>> {
-      const to = w.procAt(ipOf(q.at));
+    function ask(q: HttpRequest): Promise<Result<HttpResponse>> {
+      const to = w.procAt(ipOf(q.address));
       const step = `${q.method} ${q.path}`;
       const attempt: SimNet['sent'][0] | undefined =
         q.path === '/api/generate'
           ? {
-              at: q.at,
+              at: q.address,
               body: q.body!.slice(0, 120) + (q.body!.includes('"urgent":true') ? '+' : '-'),
             }
           : undefined;
       if (attempt) sent.push(attempt);
-      function wait(done: (o: Outcome<Reply>) => void): void {
+      function wait(done: (o: Result<HttpResponse>) => void): void {
         const asked = w.now();
         let headed = false;
         let over = false;
         const gone = new AbortController();
-        const got: Outcome<string | undefined>[] = [];
-        let want: ((o: Outcome<string | undefined>) => void) | undefined;
+        const got: Result<string | undefined>[] = [];
+        let want: ((o: Result<string | undefined>) => void) | undefined;
         let back: Pipe | undefined;
-        const drop = clock.timer(q.within, late);
-        q.gone?.addEventListener('abort', late, { once: true });
+        const drop = clock.setTimer(q.timeoutMs, late);
+        q.signal?.addEventListener('abort', late, { once: true });
         function off(): void {
           drop();
-          q.gone?.removeEventListener('abort', late);
+          q.signal?.removeEventListener('abort', late);
         }
-        if (q.gone?.aborted) w.after(0, late);
+        if (q.signal?.aborted) w.after(0, late);
 
         function cancelFar(): void {
           if (attempt) attempt.givenUpAt = w.now();
@@ -167,7 +167,7 @@
           fail('unknown', 'timeout');
           cancelFar();
         }
-        function settleOne(o: Outcome<string | undefined>): void {
+        function settleOne(o: Result<string | undefined>): void {
           if (want) {
             const k = want;
             want = undefined;
@@ -180,14 +180,14 @@
           off();
           function tell(): void {
             if (!mine()) return;
-            const f = Left(makeFault(step, q.at, code, sort, code));
+            const f = Left(makeError(step, q.address, code, sort, code));
             if (!headed) done(f);
             else settleOne(f);
           }
           w.onProc(p, tell);
         }
-        function next(): Promise<Outcome<string | undefined>> {
-          function pull(k: (o: Outcome<string | undefined>) => void): void {
+        function next(): Promise<Result<string | undefined>> {
+          function pull(k: (o: Result<string | undefined>) => void): void {
             if (got.length > 0) k(got.shift()!);
             else want = k;
           }
@@ -204,7 +204,7 @@
         }
         function arrive(): void {
           if (!mine()) return;
-          const isWarm = warm.has(`${p.ip} ${q.at}`);
+          const isWarm = warm.has(`${p.ip} ${q.address}`);
           if (isWarm && to ? isBlocked(p, to) : !reachable(p, to)) {
             if (isWarm) {
               if (w.now() - asked < LATE) w.after(100, arrive);
@@ -222,12 +222,12 @@
             }
             w.after(1, closed);
           }
-          const l = listeners.get(q.at);
+          const l = listeners.get(q.address);
           if (!l?.takeCall || !l.proc.alive) {
-            warm.delete(`${p.ip} ${q.at}`);
+            warm.delete(`${p.ip} ${q.address}`);
             return fail('refused', 'ECONNREFUSED');
           }
-          warm.add(`${p.ip} ${q.at}`);
+          warm.add(`${p.ip} ${q.address}`);
           const rec: PipeEnds = { a: p, b: l.proc, end: ended };
           pipes.add(rec);
           function ended(who: Proc): void {
@@ -240,13 +240,13 @@
           }
           w.onProc(l.proc, takeIt);
         }
-        function makeCall(rec: PipeEnds): Call {
+        function makeCall(rec: PipeEnds): IncomingRequest {
           const url = new URL(q.path, 'http://node');
           let closed = false;
-          async function body(most: number): Promise<Outcome<string>> {
+          async function body(most: number): Promise<Result<string>> {
             const text = q.body ?? '';
             return text.length > most
-              ? Left(makeFault('read body', p.ip, `over ${most} bytes`, 'refused', 'too-large'))
+              ? Left(makeError('read body', p.ip, `over ${most} bytes`, 'refused', 'too-large'))
               : Right(text);
           }
           function head(status: number, headers: Record<string, string>): void {
@@ -254,7 +254,7 @@
             function arriveHead(): void {
               if (over || headed) return;
               headed = true;
-              done(Right({ status, headers, next, cancel }));
+              done(Right({ status, headers, nextChunk: next, cancel }));
             }
             back!.send(arriveHead);
           }
@@ -291,32 +291,35 @@
             query: url.searchParams,
             headers: { ...q.headers },
             peer: p.ip,
-            gone: gone.signal,
+            aborted: gone.signal,
             body,
-            head,
-            piece,
+            writeHead: head,
+            write: piece,
             end,
-            breakOff,
+            destroy: breakOff,
           };
         }
-        w.after(w.latency(p.ip, ipOf(q.at)), arrive);
+        w.after(w.latency(p.ip, ipOf(q.address)), arrive);
       }
       return new Promise(wait);
     }
 
-    function serve(at: string, takeCall: (c: Call) => Promise<void>): Promise<Outcome<Listening>> {
+    function serve(
+      at: string,
+      takeCall: (c: IncomingRequest) => Promise<void>,
+    ): Promise<Result<Listener>> {
       return listen(at, { takeCall });
     }
 
     function accept(
       at: string,
       takeConnection: (s: Connection) => void,
-    ): Promise<Outcome<Listening>> {
+    ): Promise<Result<Listener>> {
       return listen(at, { takeConnection });
     }
 
-    const wire: Wire = { serve, ask, accept, dial };
-    return { clock, dice: w.dice, disk: w.disk(p), wire, log: w.log(p) };
+    const wire: Network = { serveHttp: serve, request: ask, listen: accept, connect: dial };
+    return { clock, random: w.dice, disk: w.disk(p), network: wire, logger: w.log(p) };
   }
 
   return net;
--- a/tools/sim/simworld.ts
+++ b/tools/sim/simworld.ts
@@ -1,7 +1,7 @@
 import { Left, Right } from 'purify-ts';
-import { withSuspension } from '../../src/shared/system/suspension-clock';
-import { makeFault, Outcome } from '../../src/shared/errors/errors';
-import { Clock, Dice, Disk, Log } from '../../src/shared/ports/ports';
+import { countingSuspension } from '../../src/shared/system/suspension-clock';
+import { makeError, Result } from '../../src/shared/errors/errors';
+import { Clock, RandomSource, Disk, Logger } from '../../src/shared/ports/ports';
 import { seededDice } from './dice';
 import { makeEventHeap, SimEvent } from './event-heap';
 import { Processors } from './processors';
@@ -33,7 +33,7 @@
 
 /** The simulated world: virtual time, machines, links between them. */
 export interface World {
-  dice: Dice;
+  dice: RandomSource;
   now(): number;
   after(ms: number, run: () => void): () => void;
   proc(name: string, ip: string): Proc;
@@ -42,7 +42,7 @@
   onProc(p: Proc, run: () => void): void;
   clock(p: Proc): Clock;
   disk(p: Proc): Disk;
-  log(p: Proc): Log;
+  log(p: Proc): Logger;
   kill(p: Proc, power: boolean): void;
   revive(p: Proc): void;
   freeze(p: Proc, suspended?: boolean): void;
@@ -166,13 +166,13 @@
     function coarse(): number {
       return Math.floor(time / 10) * 10;
     }
-    return { now: withSuspension(monotonic, coarse), wall, sleep, timer };
+    return { now: countingSuspension(monotonic, coarse), wallTime: wall, sleep, setTimer: timer };
   }
 
   function disk(p: Proc): Disk {
     const life = p.life;
-    function later(run: () => Outcome<void>, torn: () => void): Promise<Outcome<void>> {
-      function wait(done: (o: Outcome<void>) => void): void {
+    function later(run: () => Result<void>, torn: () => void): Promise<Result<void>> {
+      function wait(done: (o: Result<void>) => void): void {
         p.disk.inFlight.add(torn);
         function finish(): void {
           if (p.life !== life || !p.alive) return;
@@ -191,7 +191,7 @@
       }
       return new Promise(wait);
     }
-    async function read(name: string): Promise<Outcome<Uint8Array | undefined>> {
+    async function read(name: string): Promise<Result<Uint8Array | undefined>> {
       return Right(p.files.get(name));
     }
     function join(a: Uint8Array | undefined, b: Uint8Array): Uint8Array {
@@ -206,17 +206,17 @@
       name: string,
       bytes: Uint8Array,
       atEnd: boolean,
-    ): Promise<Outcome<void>> {
+    ): Promise<Result<void>> {
       const copy = Uint8Array.from(bytes);
       function put(stored: Uint8Array): void {
         p.files.set(name, atEnd ? join(p.files.get(name), stored) : stored);
       }
-      function run(): Outcome<void> {
+      function run(): Result<void> {
         p.disk.room--;
         const full = p.disk.full || p.disk.room < 0;
         put(full ? cutOf(copy) : copy);
         return full
-          ? Left(makeFault(step, p.name, 'no space', 'failed', 'disk'))
+          ? Left(makeError(step, p.name, 'no space', 'failed', 'disk'))
           : Right(undefined);
       }
       function torn(): void {
@@ -224,16 +224,16 @@
       }
       return later(run, torn);
     }
-    function write(name: string, bytes: Uint8Array): Promise<Outcome<void>> {
+    function write(name: string, bytes: Uint8Array): Promise<Result<void>> {
       return store('write file', name, bytes, false);
     }
-    function append(name: string, bytes: Uint8Array): Promise<Outcome<void>> {
+    function append(name: string, bytes: Uint8Array): Promise<Result<void>> {
       return store('append file', name, bytes, true);
     }
     return { read, write, append };
   }
 
-  function log(p: Proc): Log {
+  function log(p: Proc): Logger {
     function say(fields: object, text: string): void {
       trace(
         `${p.name} ${(fields as { step?: string }).step ?? ''} ${(fields as { peer?: string }).peer ?? ''}: ${text}`,
