--- a/tools/sim/without.ts
+++ b/tools/sim/without.ts
@@ -12,10 +12,10 @@
 import * as engine from '../../src/shared/contracts/engine';
 import * as platform from '../../src/shared/contracts/platform';
 import * as delta from '../../src/shared/replication/delta';
-import { Outcome } from '../../src/shared/errors/errors';
+import { OperationError, Result } from '../../src/shared/errors/errors';
 import * as clock from '../../src/shared/system/suspension-clock';
 import * as follow from '../../src/shared/replication/follower';
-import { Call, Ports } from '../../src/shared/ports/ports';
+import { IncomingRequest, Ports } from '../../src/shared/ports/ports';
 import * as bounds from '../../src/shared/settings/time-limits';
 import { Settings } from '../../src/shared/settings/settings';
 import { Engine, Intents } from '../../src/shared/state/words';
@@ -39,23 +39,23 @@
 }
 
 function noEffect(): void {
-  async function atOnce(this: { slots: { disk: string } }): Promise<Outcome<unknown>> {
+  async function atOnce(this: { slots: { disk: string } }): Promise<Result<unknown>> {
     return Right({ disk: this.slots.disk });
   }
-  (leases.Leases.prototype as unknown as Patch).effect = atOnce;
+  (leases.LeaseRegistry.prototype as unknown as Patch).effect = atOnce;
 }
 
 function noLeases(): void {
-  const real = follow.follow;
-  function lasting(...x: Parameters<typeof follow.follow>): follow.Follower {
-    return { ...real(...x), live: always };
+  const real = follow.followCore;
+  function lasting(...x: Parameters<typeof follow.followCore>): follow.Follower {
+    return { ...real(...x), hasLease: always };
   }
-  (follow as unknown as Patch).follow = lasting as never;
+  (follow as unknown as Patch).followCore = lasting as never;
 }
 
 function noSalts(): void {
-  const real = operations.makeValue;
-  function same(...x: Parameters<typeof operations.makeValue>): Outcome<unknown> {
+  const real = operations.computeNextValue;
+  function same(...x: Parameters<typeof operations.computeNextValue>): Result<unknown> {
     function flatten(v: unknown): unknown {
       const i = v as { doc?: Intents; salts?: Record<string, string> };
       for (const t of Object.keys(i?.salts ?? {})) i.salts![t] = 'one';
@@ -63,17 +63,17 @@
     }
     return real(...x).map(flatten);
   }
-  (operations as unknown as Patch).makeValue = same as never;
+  (operations as unknown as Patch).computeNextValue = same as never;
 }
 
 function noWeightsEnd(): void {
-  const real = bounds.boundsOf;
-  function endless(s: Settings): bounds.Bounds {
-    return { ...real(s), weightsStop: Infinity };
+  const real = bounds.timeLimitsOf;
+  function endless(s: Settings): bounds.TimeLimits {
+    return { ...real(s), oldWeightsRetireMs: Infinity };
   }
   async function nothing(): Promise<void> {}
-  (bounds as unknown as Patch).boundsOf = endless as never;
-  (duties as unknown as Patch).endOldWeights = nothing;
+  (bounds as unknown as Patch).timeLimitsOf = endless as never;
+  (duties as unknown as Patch).retireOldWeights = nothing;
 }
 
 function noLeaving(): void {
@@ -84,46 +84,48 @@
   function all(list: Engine[]): Engine[] {
     return list.map(staying);
   }
-  async function list(...x: Parameters<typeof platform.listEngines>): Promise<Outcome<Engine[]>> {
+  async function list(...x: Parameters<typeof platform.listEngines>): Promise<Result<Engine[]>> {
     return (await real(...x)).map(all);
   }
   (platform as unknown as Patch).listEngines = list as never;
 }
 
 function noLeavingCut(): void {
-  const real = bounds.boundsOf;
-  function uncut(s: Settings): bounds.Bounds {
-    return { ...real(s), leavingCut: Infinity };
+  const real = bounds.timeLimitsOf;
+  function uncut(s: Settings): bounds.TimeLimits {
+    return { ...real(s), drainingEngineCutMs: Infinity };
   }
-  (bounds as unknown as Patch).boundsOf = uncut as never;
+  (bounds as unknown as Patch).timeLimitsOf = uncut as never;
 }
 
 function noSync(): void {
-  const real = slots.openSlots;
-  async function lazy(...x: Parameters<typeof slots.openSlots>): Promise<Outcome<slots.Slots>> {
-    function skip(s: slots.Slots): slots.Slots {
-      async function put(l: slots.Line): Promise<Outcome<void>> {
-        slots.applyLine(s.cells, l);
+  const real = slots.openControlStore;
+  async function lazy(
+    ...x: Parameters<typeof slots.openControlStore>
+  ): Promise<Result<slots.ControlStore>> {
+    function skip(s: slots.ControlStore): slots.ControlStore {
+      async function put(l: slots.LogEntry): Promise<Result<void>> {
+        slots.applyLogEntry(s.registers, l);
         return Right(undefined);
       }
       return { ...s, put };
     }
     return (await real(...x)).map(skip);
   }
-  (slots as unknown as Patch).openSlots = lazy as never;
+  (slots as unknown as Patch).openControlStore = lazy as never;
 }
 
 /** Bends the lines that a router reads of each generate call. */
 function bendLines(
-  make: (request: string) => (o: Outcome<engine.EngineLine>) => Outcome<engine.EngineLine>,
+  make: (request: string) => (o: Result<engine.EngineLine>) => Result<engine.EngineLine>,
 ): void {
   const real = engine.generate;
   async function bent(
     ...x: Parameters<typeof engine.generate>
-  ): Promise<Outcome<engine.Generating>> {
-    function wrap(g: engine.Generating): engine.Generating {
+  ): Promise<Result<engine.GenerationStream>> {
+    function wrap(g: engine.GenerationStream): engine.GenerationStream {
       const bend = make(x[2].request);
-      async function next(): Promise<Outcome<engine.EngineLine>> {
+      async function next(): Promise<Result<engine.EngineLine>> {
         return bend(await g.next());
       }
       return { ...g, next };
@@ -134,9 +136,9 @@
 }
 
 function noLastLine(): void {
-  function make(request: string): (o: Outcome<engine.EngineLine>) => Outcome<engine.EngineLine> {
+  function make(request: string): (o: Result<engine.EngineLine>) => Result<engine.EngineLine> {
     let n = 0;
-    function pad(o: Outcome<engine.EngineLine>): Outcome<engine.EngineLine> {
+    function pad(o: Result<engine.EngineLine>): Result<engine.EngineLine> {
       if (o.isLeft()) return n > 0 ? Right({ request, done: true, count: n }) : o;
       if (!(o.extract() as engine.EngineLine).done) n++;
       return o;
@@ -150,9 +152,9 @@
   const real = engine.generate;
   async function sure(
     ...x: Parameters<typeof engine.generate>
-  ): Promise<Outcome<engine.Generating>> {
-    function surely(f: { sort: string }): never {
-      return { ...f, sort: 'refused' } as never;
+  ): Promise<Result<engine.GenerationStream>> {
+    function surely(f: OperationError): never {
+      return { ...f, certainty: 'refused' } as never;
     }
     return (await real(...x)).mapLeft(surely);
   }
@@ -163,7 +165,7 @@
   const real = router.startRouter;
   async function spending(
     ...x: Parameters<typeof router.startRouter>
-  ): Promise<Outcome<router.Router>> {
+  ): Promise<Result<router.Router>> {
     function free(r: router.Router): router.Router {
       r.parts.allowSecond = always;
       return r;
@@ -177,16 +179,16 @@
   function plain(monotonic: () => number): () => number {
     return monotonic;
   }
-  (clock as unknown as Patch).withSuspension = plain as never;
+  (clock as unknown as Patch).countingSuspension = plain as never;
 }
 
 function noOrderCheck(): void {
-  function make(request: string): (o: Outcome<engine.EngineLine>) => Outcome<engine.EngineLine> {
+  function make(request: string): (o: Result<engine.EngineLine>) => Result<engine.EngineLine> {
     let n = 0;
     function fix(l: engine.EngineLine): engine.EngineLine {
       return l.done ? { ...l, request, count: n } : { ...l, request, n: n++ };
     }
-    function renumber(o: Outcome<engine.EngineLine>): Outcome<engine.EngineLine> {
+    function renumber(o: Result<engine.EngineLine>): Result<engine.EngineLine> {
       return o.map(fix);
     }
     return renumber;
@@ -197,19 +199,24 @@
 /** A data plane that bends the pieces of one call in twenty. */
 function bends(bend: (text: string, other: string) => string): () => void {
   function patch(): void {
-    const proto = CallerApi.prototype as unknown as { generate(c: Call): Promise<void> };
+    const proto = CallerApi.prototype as unknown as { generate(c: IncomingRequest): Promise<void> };
     const real = proto.generate;
     let calls = 0;
     let other = '';
-    function bent(this: CallerApi, call: Call): Promise<void> {
+    function bent(this: CallerApi, call: IncomingRequest): Promise<void> {
       if (++calls % 20 !== 0) return real.call(this as never, call);
       let n = 0;
       function piece(text: string): Promise<boolean> {
         const told = ++n === 2 ? bend(text, other) : text;
         other = text;
-        return told === '' ? Promise.resolve(true) : call.piece(told);
+        return told === '' ? Promise.resolve(true) : call.write(told);
       }
-      return real.call(this as never, { ...call, piece, head: call.head, end: call.end });
+      return real.call(this as never, {
+        ...call,
+        write: piece,
+        writeHead: call.writeHead,
+        end: call.end,
+      });
     }
     proto.generate = bent;
   }
@@ -229,27 +236,31 @@
 }
 
 function noFence(): void {
-  const real = duties.startDuties;
+  const real = duties.startBackgroundTasks;
   function loose(c: Controller, ports: Ports): void {
     function chosen(key: string): boolean {
-      return key.startsWith('duty/') || c.chosen(key);
+      return key.startsWith('duty/') || c.isPreferredOwner(key);
     }
     async function change(op: operations.Operation): ReturnType<Controller['change']> {
       return op.kind === 'duty'
-        ? Right({ place: { epoch: 1, by: c.by, number: 1 }, inEffect: false, value: undefined })
+        ? Right({
+            place: { epoch: 1, by: c.ownerId, number: 1 },
+            inEffect: false,
+            value: undefined,
+          })
         : c.change(op);
     }
-    real({ ...c, chosen, change }, ports);
+    real({ ...c, isPreferredOwner: chosen, change }, ports);
   }
-  (duties as unknown as Patch).startDuties = loose as never;
+  (duties as unknown as Patch).startBackgroundTasks = loose as never;
 }
 
 /** A router that lets an attempt run on after it told the caller that it refused. */
 function refusesLate(): void {
   const proto = CallerApi.prototype as unknown as {
-    sendOn(...x: unknown[]): Promise<{ done: boolean; fault?: object }>;
+    forward(...x: unknown[]): Promise<{ done: boolean; fault?: object }>;
   };
-  const real = proto.sendOn;
+  const real = proto.forward;
   let calls = 0;
   async function late(
     this: CallerApi,
@@ -260,26 +271,26 @@
     async function taken(): Promise<boolean> {
       return true;
     }
-    const mute = { ...(x[0] as Call), head: nothing, piece: taken, end: nothing };
+    const mute = { ...(x[0] as IncomingRequest), writeHead: nothing, write: taken, end: nothing };
     void real.call(this, mute, ...x.slice(1));
     return {
       done: false,
-      fault: { step: 'generate', peer: '', why: 'late', sort: 'refused', code: 'late' },
+      fault: { step: 'generate', peer: '', reason: 'late', certainty: 'refused', code: 'late' },
     };
   }
-  proto.sendOn = late;
+  proto.forward = late;
 }
 
 /** Index repair without one of its ways: peers' batches, engines' returns, doubt. */
 function noRepair(way: 'peers' | 'returns' | 'doubt'): () => void {
   function patch(): void {
     if (way === 'peers') {
-      async function none(): Promise<Outcome<unknown>> {
+      async function none(): Promise<Result<unknown>> {
         return Right([]);
       }
       (indexMessages.IndexEdge.prototype as unknown as Patch).missed = none;
     } else if (way === 'returns') {
-      async function deaf(): Promise<Outcome<unknown>> {
+      async function deaf(): Promise<Result<unknown>> {
         return Right(undefined);
       }
       (indexMessages.IndexEdge.prototype as unknown as Patch).reused = deaf;
--- a/tools/sim/worst/core.ts
+++ b/tools/sim/worst/core.ts
@@ -1,9 +1,9 @@
 /** The controllers of a worst day, and what troubles them now. */
 import { Controller, startController } from '../../../src/control/controller';
 import { serveDeployment } from '../../../src/control/api/deployment-api';
-import { startDuties } from '../../../src/control/singletons/background-tasks';
-import { open } from '../../../src/shared/errors/errors';
-import { allVoters, KEYS } from '../../../src/shared/state/words';
+import { startBackgroundTasks } from '../../../src/control/singletons/background-tasks';
+import { errorOrValue } from '../../../src/shared/errors/errors';
+import { allVoters, CONTROL_KEYS } from '../../../src/shared/state/words';
 import { defaultSettings, Settings } from '../../../src/shared/settings/settings';
 import { platform } from '../../../platform/dialect';
 import { makeNet, SimNet } from '../simwire';
@@ -127,13 +127,13 @@
       const life = proc.life;
       const ports = net.ports(proc);
       const settings = settingsOf(proc);
-      const [fault, controller] = open(await startController(ports, settings, platform));
+      const [fault, controller] = errorOrValue(await startController(ports, settings, platform));
       if (proc.life !== life) return;
-      if (fault) return world.trace(`${proc.name} did not start: ${fault.why}`);
+      if (fault) return world.trace(`${proc.name} did not start: ${fault.reason}`);
       ways.spoil?.(controller);
       member.controller = controller;
       await serveDeployment(controller, ports, platform);
-      startDuties(controller, ports, platform);
+      startBackgroundTasks(controller, ports, platform);
     }
   }
 
@@ -173,16 +173,16 @@
   function votes(member: Member): boolean {
     const controller = member.controller;
     const voters = controller?.voters();
-    if (!controller || !voters || voters.next || !controller.hasMajority()) return false;
+    if (!controller || !voters || voters.next || !controller.hasQuorum()) return false;
     function isOwn(voter: { disk: string }): boolean {
-      return voter.disk === controller!.slots.disk;
+      return voter.disk === controller!.store.diskId;
     }
     return allVoters(voters).some(isOwn);
   }
 
   function owns(member: Member): boolean {
     const controller = member.proc.alive ? member.controller : undefined;
-    return controller !== undefined && controller.owner.owns(KEYS.deployment);
+    return controller !== undefined && controller.keyOwner.owns(CONTROL_KEYS.deployment);
   }
 
   /** Several faults may cut the same link; it heals with the last of them. */
--- a/tools/sim/worst/day.ts
+++ b/tools/sim/worst/day.ts
@@ -1,7 +1,7 @@
 /** A worst day: storms of operators' changes over a core in trouble, and what is judged of it. */
-import { open } from '../../../src/shared/errors/errors';
+import { errorOrValue } from '../../../src/shared/errors/errors';
 import { checkHistory, sayVerdict } from '../../../src/shared/history/verdict';
-import { KEYS } from '../../../src/shared/state/words';
+import { CONTROL_KEYS } from '../../../src/shared/state/words';
 import { NamedWeights } from '../../../src/shared/state/weights';
 import { HistoryRecorder, makeHistoryRecorder } from '../../history/record';
 import { seededDice } from '../dice';
@@ -127,9 +127,9 @@
     const outcome = await settled(
       core,
       READ_BACK_MOST_MS,
-      member.controller.newest(KEYS.weights + model),
+      member.controller.readLinearizable(CONTROL_KEYS.weights + model),
     );
-    const [fault, numbered] = outcome ? open(outcome) : [undefined, undefined];
+    const [fault, numbered] = outcome ? errorOrValue(outcome) : [undefined, undefined];
     if (!outcome || fault) violations.push(`${member.proc.name} gives no weights back`);
     else
       recorder.record({
--- a/tools/sim/worst/faults.ts
+++ b/tools/sim/worst/faults.ts
@@ -1,5 +1,5 @@
 /** The faults of worst days: a schedule drawn by seed, brought about as far as the core bears them. */
-import { Dice } from '../../../src/shared/ports/ports';
+import { RandomSource } from '../../../src/shared/ports/ports';
 import { Member, WorstCore } from './core';
 
 /** What can be done to the core. */
@@ -61,7 +61,7 @@
 
 /** Draws a schedule of faults. */
 export function drawWorstFaults(
-  dice: Dice,
+  dice: RandomSource,
   span: { from: number; to: number },
   count: number,
 ): WorstFault[] {
@@ -230,7 +230,7 @@
       while (!isOver && !bears(member, 'kill')) await clock.sleep(100);
       if (isOver || !member.controller || !member.proc.alive) continue;
       core.disturb(world.now());
-      void member.controller.leave();
+      void member.controller.drain();
       await clock.sleep(50 + world.dice.next() * 200);
       if (!member.controller) continue;
       void member.controller.stop();
--- a/tools/sim/worst/orders.ts
+++ b/tools/sim/worst/orders.ts
@@ -1,6 +1,6 @@
 /** What operators of worst days ask for. */
 import { CallKind } from '../../../src/shared/history/calls';
-import { Dice } from '../../../src/shared/ports/ports';
+import { RandomSource } from '../../../src/shared/ports/ports';
 import { platform } from '../../../platform/dialect';
 import {
   applyRouteChange,
@@ -48,18 +48,18 @@
   return `weights/${model}`;
 }
 
-function drawRevision(base: number, dice: Dice): number {
+function drawRevision(base: number, dice: RandomSource): number {
   if (dice.next() < INVALID_SHARE) return base;
   return base + 1 + Math.floor(dice.next() * LONGEST_STEP);
 }
 
-function drawRoutes(maker: string, dice: Dice, share: number): Item[] {
+function drawRoutes(maker: string, dice: RandomSource, share: number): Item[] {
   const routes: Item[] = [];
   for (const name of ROUTE_NAMES) if (dice.next() < share) routes.push(routeOf(name, maker));
   return routes;
 }
 
-function wholeOrder(name: string, known: Known, dice: Dice): Order {
+function wholeOrder(name: string, known: Known, dice: RandomSource): Order {
   const revision = drawRevision(known.revision, dice);
   const routes = [routeOf('first', name), ...drawRoutes(name, dice, 0.6)];
   const document = documentOf(revision, routes);
@@ -76,7 +76,7 @@
   };
 }
 
-function namedOrder(name: string, known: Known, dice: Dice): Order {
+function namedOrder(name: string, known: Known, dice: RandomSource): Order {
   const revision = drawRevision(known.revision, dice);
   const routes = [routeOf(ROUTE_NAMES[0], name), ...drawRoutes(name, dice, 0.2).slice(1)];
   const removed = dice.next() < 0.3 ? [ROUTE_NAMES[ROUTE_NAMES.length - 1]] : [];
@@ -103,7 +103,7 @@
 }
 
 /** Draws a change of the configuration, whole or named, on what an operator knows. */
-export function drawChange(name: string, known: Known, dice: Dice): Order {
+export function drawChange(name: string, known: Known, dice: RandomSource): Order {
   const isNamed = known.revision > 0 && dice.next() < NAMED_SHARE;
   return isNamed ? namedOrder(name, known, dice) : wholeOrder(name, known, dice);
 }
--- a/tools/sim/worst/storm.ts
+++ b/tools/sim/worst/storm.ts
@@ -1,7 +1,7 @@
 /** Two operators who send hundreds of changes, several at once, and send them again where no answer came. */
 import { CallAnswer, RefusalReason } from '../../../src/shared/history/calls';
-import { open } from '../../../src/shared/errors/errors';
-import { askJson } from '../../../src/shared/util/lib';
+import { errorOrValue } from '../../../src/shared/errors/errors';
+import { requestJson } from '../../../src/shared/util/lib';
 import { platform } from '../../../platform/dialect';
 import { HistoryRecorder } from '../../history/record';
 import { httpOf, Member, WorstCore } from './core';
@@ -101,14 +101,14 @@
     const isAbandoned = dice.next() < ABANDONED_SHARE;
     const isLost = dice.next() < LOST_SHARE;
     listener.sent();
-    const [fault, reply] = open(
-      await askJson(ports.wire, {
-        at: httpOf(member),
+    const [fault, reply] = errorOrValue(
+      await requestJson(ports.network, {
+        address: httpOf(member),
         method: 'POST',
         path: order.path,
         headers: order.kind === 'name' ? {} : { [baseHeader]: String(order.base) },
         body: JSON.stringify(order.body),
-        within: isAbandoned ? dice.next() * ABANDONED_WITHIN_MS : SILENCE_MS,
+        timeoutMs: isAbandoned ? dice.next() * ABANDONED_WITHIN_MS : SILENCE_MS,
       }),
     );
     if (fault || isLost) return { answer: 'unknown' };
@@ -161,12 +161,12 @@
 
   async function read(client: string, member: Member): Promise<number | undefined> {
     const start = world.now();
-    const [fault, reply] = open(
-      await askJson(ports.wire, {
-        at: httpOf(member),
+    const [fault, reply] = errorOrValue(
+      await requestJson(ports.network, {
+        address: httpOf(member),
         method: 'GET',
         path: paths.describe,
-        within: SILENCE_MS,
+        timeoutMs: SILENCE_MS,
       }),
     );
     if (fault || (reply.status !== STATUS_OK && reply.status !== STATUS_NONE)) return undefined;
--- a/tools/standins/callers.ts
+++ b/tools/standins/callers.ts
@@ -1,6 +1,6 @@
-import { Part, splitParts } from '../../src/shared/contracts/engine';
-import { open } from '../../src/shared/errors/errors';
-import { finishReply, lineReader, parseJson } from '../../src/shared/util/lib';
+import { PromptBlock, splitIntoBlocks } from '../../src/shared/contracts/engine';
+import { errorOrValue } from '../../src/shared/errors/errors';
+import { readToEnd, makeLineReader, parseJson } from '../../src/shared/util/lib';
 import { Ports } from '../../src/shared/ports/ports';
 import { Intents, Service } from '../../src/shared/state/words';
 
@@ -19,7 +19,7 @@
 /** One request as its caller saw it. */
 export interface Seen {
   tag: string;
-  parts: Part[];
+  parts: PromptBlock[];
   sentAt: number;
   tenant: string;
   long: boolean;
@@ -73,7 +73,7 @@
   w: CallerWays,
   onSeen?: (s: Seen) => void,
 ): Promise<Report> {
-  const { clock, dice } = ports;
+  const { clock, random: dice } = ports;
   const all: Seen[] = [];
   const going: Promise<void>[] = [];
   let serial = 0;
@@ -104,7 +104,7 @@
     const t = chooseTenant();
     const service = serviceOf(t, long);
     const tokens = promptOf(t, long);
-    const parts = splitParts(service.model, tokens);
+    const parts = splitIntoBlocks(service.model, tokens);
     const seen: Seen = {
       tag: parts[parts.length - 1].hash,
       parts,
@@ -116,7 +116,7 @@
       end: 'refused',
       wrong: [],
     };
-    const key = dice.id();
+    const key = dice.uuid();
     const body = JSON.stringify({
       label: long ? 'long' : 'short',
       tokens,
@@ -147,24 +147,30 @@
       'idempotency-key': key,
     };
     const at = clock.now();
-    const [f, r] = open(
-      await ports.wire.ask({
-        at: edge,
+    const [f, r] = errorOrValue(
+      await ports.network.request({
+        address: edge,
         method: 'POST',
         path: '/v1/generate',
         headers,
         body,
-        within: w.patienceMs ?? service.deadlineMs * 1.5,
+        timeoutMs: w.patienceMs ?? service.deadlineMs * 1.5,
       }),
     );
     if (f) {
-      seen.attempts.push({ edge, status: 0, sort: f.sort, at, refused: f.sort === 'refused' });
-      seen.end = f.sort;
-      return f.sort === 'refused' || service.mayRepeat ? 300 : 1000;
+      seen.attempts.push({
+        edge,
+        status: 0,
+        sort: f.certainty,
+        at,
+        refused: f.certainty === 'refused',
+      });
+      seen.end = f.certainty;
+      return f.certainty === 'refused' || service.mayRepeat ? 300 : 1000;
     }
-    const line = lineReader(r.next, edge);
+    const line = makeLineReader(r.nextChunk, edge);
     if (r.status !== 200) {
-      const [, text] = open(await line());
+      const [, text] = errorOrValue(await line());
       const e = (
         parseJson(text ?? '', 'read', edge).orDefault({}) as {
           error?: { class?: string; code?: string };
@@ -187,7 +193,7 @@
     }
     let n = 0;
     for (;;) {
-      const [g, text] = open(await line());
+      const [g, text] = errorOrValue(await line());
       const v =
         text === undefined
           ? undefined
@@ -200,7 +206,7 @@
         return undefined;
       }
       if (v.done) {
-        void finishReply(line, r.cancel);
+        void readToEnd(line, r.cancel);
         if (v.count !== n) seen.wrong.push(`count ${v.count} after ${n}`);
         if (n !== service.maxTokens) seen.wrong.push(`short: ${n} of ${service.maxTokens}`);
         seen.attempts.push({ edge, status: 200, sort: 'whole', at });
--- a/tools/standins/core.ts
+++ b/tools/standins/core.ts
@@ -1,14 +1,14 @@
 import { Right } from 'purify-ts';
 import {
-  converse,
-  Exchange,
+  openChannel,
+  PeerChannel,
   Hello,
-  HelloEdge,
-  WIRE_VERSION,
+  HelloHandlers,
+  PROTOCOL_VERSION,
 } from '../../src/shared/transport/connections';
-import { Handled, message } from '../../src/shared/transport/handlers';
+import { HandlerResult, messageHandler } from '../../src/shared/transport/handlers';
 import { Connection, Ports } from '../../src/shared/ports/ports';
-import { Member, Numbered, Voters } from '../../src/shared/state/words';
+import { Member, VersionedValue, VoterSet } from '../../src/shared/state/words';
 
 /** A stand-in for a core of one controller: it grants every lease and tells what it is given. */
 export interface StandInCore {
@@ -19,19 +19,19 @@
 
 class CoreEdge {
   constructor(
-    private readonly voters: Voters,
-    private readonly state: Map<string, Numbered>,
+    private readonly voters: VoterSet,
+    private readonly state: Map<string, VersionedValue>,
     private readonly members: Map<string, Member>,
-    private readonly links: Set<Exchange>,
+    private readonly links: Set<PeerChannel>,
   ) {}
 
   /** Grants a lease and tells all that stands. */
-  @message('claim')
-  async lease(c: { member: Member }, ex: Exchange): Handled {
+  @messageHandler('claim')
+  async lease(c: { member: Member }, ex: PeerChannel): HandlerResult {
     this.links.add(ex);
-    void ex.done.then(this.forget.bind(this, ex, c.member));
+    void ex.closed.then(this.forget.bind(this, ex, c.member));
     this.members.set(c.member.name, c.member);
-    ex.tell('news', [...this.state.values()]);
+    ex.notify('news', [...this.state.values()]);
     return Right({
       granted: true,
       disk: this.voters.now[0].disk,
@@ -42,19 +42,19 @@
   }
 
   /** Tells where the core is. */
-  @message('who')
-  async who(): Handled {
+  @messageHandler('who')
+  async who(): HandlerResult {
     return Right({ voters: this.voters });
   }
 
   /** Takes one that leaves off the list. */
-  @message('leave')
-  async leave(c: { member: Member }): Handled {
+  @messageHandler('leave')
+  async leave(c: { member: Member }): HandlerResult {
     this.members.delete(c.member.name);
     return Right(true);
   }
 
-  private forget(ex: Exchange, m: Member): void {
+  private forget(ex: PeerChannel, m: Member): void {
     this.links.delete(ex);
     if (this.members.get(m.name)?.life === m.life) this.members.delete(m.name);
   }
@@ -62,11 +62,11 @@
 
 /** Starts the stand-in at an address. */
 export async function startCore(ports: Ports, at: string): Promise<StandInCore> {
-  const state = new Map<string, Numbered>();
-  const links = new Set<Exchange>();
-  const voters: Voters = { now: [{ disk: 'disk-1', at }] };
+  const state = new Map<string, VersionedValue>();
+  const links = new Set<PeerChannel>();
+  const voters: VoterSet = { now: [{ disk: 'disk-1', at }] };
   const hello: Hello = {
-    version: WIRE_VERSION,
+    version: PROTOCOL_VERSION,
     name: 'core',
     role: 'controller',
     at,
@@ -74,18 +74,18 @@
     disk: 'disk-1',
   };
   const edges = [
-    new HelloEdge(hello),
+    new HelloHandlers(hello),
     new CoreEdge(voters, state, new Map<string, Member>(), links),
   ];
-  await ports.wire.accept(at, taken);
+  await ports.network.listen(at, taken);
 
   function taken(c: Connection): void {
-    converse(ports, c, edges);
+    openChannel(ports, c, edges);
   }
 
   function set(key: string, value: unknown): void {
     state.set(key, { key, epoch: 1, by: 'core', number: (state.get(key)?.number ?? 0) + 1, value });
-    for (const ex of links) ex.tell('news', [state.get(key)!]);
+    for (const ex of links) ex.notify('news', [state.get(key)!]);
   }
 
   return { at, set };
--- a/tools/standins/engine.ts
+++ b/tools/standins/engine.ts
@@ -1,14 +1,19 @@
-import { EngineLine, EngineOrder, GenerateAsk, Part } from '../../src/shared/contracts/engine';
 import {
-  giveFault,
-  giveJson,
-  handles,
-  takeCalls,
-  takeJson,
+  EngineLine,
+  EngineOrder,
+  GenerateRequest,
+  PromptBlock,
+} from '../../src/shared/contracts/engine';
+import {
+  sendError,
+  sendJson,
+  httpHandler,
+  makeRequestListener,
+  readJsonBody,
 } from '../../src/shared/transport/handlers';
-import { Outcome } from '../../src/shared/errors/errors';
-import { askJson } from '../../src/shared/util/lib';
-import { Call, Listening, Ports } from '../../src/shared/ports/ports';
+import { Result } from '../../src/shared/errors/errors';
+import { requestJson } from '../../src/shared/util/lib';
+import { IncomingRequest, Listener, Ports } from '../../src/shared/ports/ports';
 import { compareEpochs } from '../../src/shared/state/words';
 import { EngineCache, Kept, makeEngineCache } from './enginecache';
 import { EngineWays, LedgerEntry } from './engineways';
@@ -20,7 +25,7 @@
   ways: EngineWays;
   leave(): void;
   kept(): number;
-  overlap(salt: string, weights: string, parts: readonly Part[]): number;
+  overlap(salt: string, weights: string, parts: readonly PromptBlock[]): number;
   stop(): Promise<void>;
 }
 
@@ -48,7 +53,7 @@
   }
 
   /** How many tokens of a prompt are really held. */
-  overlap(salt: string, weights: string, parts: readonly Part[]): number {
+  overlap(salt: string, weights: string, parts: readonly PromptBlock[]): number {
     return this.cache.overlap(salt, weights, parts);
   }
 
@@ -85,14 +90,14 @@
     next?.go();
   }
 
-  @handles('POST', '/api/generate')
-  async generate(call: Call): Promise<void> {
+  @httpHandler('POST', '/api/generate')
+  async generate(call: IncomingRequest): Promise<void> {
     const takenAt = this.ports.clock.now();
-    const q = (await takeJson(call, 1 << 24)) as GenerateAsk | undefined;
+    const q = (await readJsonBody(call, 1 << 24)) as GenerateRequest | undefined;
     if (!q) return;
     const { ways, ports } = this;
     await ports.clock.sleep(LOOK);
-    if (call.gone.aborted) return call.breakOff();
+    if (call.aborted.aborted) return call.destroy();
     const weights = ways.weights;
     const turned: LedgerEntry = {
       kind: 'turned',
@@ -125,7 +130,7 @@
     for (const p of q.parts) unread += p.size;
     this.unread += unread;
     await this.slot(q.urgent);
-    const fetched = q.fetch && !call.gone.aborted ? await this.fetch(q) : undefined;
+    const fetched = q.fetch && !call.aborted.aborted ? await this.fetch(q) : undefined;
     const reused: Kept[] = [];
     for (const p of q.parts) {
       const k = this.cache.find(q.salt, weights, p.hash);
@@ -136,7 +141,7 @@
     let tokens = 0;
     for (const p of read) tokens += p.size;
     const start = ports.clock.now();
-    if (!call.gone.aborted) await this.prefill(q.urgent, ways.prefillMs * tokens);
+    if (!call.aborted.aborted) await this.prefill(q.urgent, ways.prefillMs * tokens);
     this.unread -= unread;
     const prefillMs = ways.prefillMs * tokens || ports.clock.now() - start;
     let parent = reused.length > 0 ? reused[reused.length - 1].hash : ways.model;
@@ -150,14 +155,20 @@
     this.free();
   }
 
-  private turn(call: Call, entry: LedgerEntry, status: number, code: string, why: string): void {
+  private turn(
+    call: IncomingRequest,
+    entry: LedgerEntry,
+    status: number,
+    code: string,
+    why: string,
+  ): void {
     this.ways.ledger(entry);
-    giveFault(call, status, 'refused', code, why);
+    sendError(call, status, 'refused', code, why);
   }
 
   private async decode(
-    call: Call,
-    q: GenerateAsk,
+    call: IncomingRequest,
+    q: GenerateRequest,
     reused: Kept[],
     told: { read: number; prefillMs: number; fetched?: { tokens: number; ms: number } },
   ): Promise<void> {
@@ -178,13 +189,13 @@
       entry.reused!.madeWeights.push(k.weights);
       entry.reused!.madeSalts.push(k.salt);
     }
-    call.head(200, { 'content-type': 'application/x-ndjson' });
+    call.writeHead(200, { 'content-type': 'application/x-ndjson' });
     const tag = q.parts[q.parts.length - 1].hash;
     for (let n = 0; n < q.maxTokens; n++) {
       await ports.clock.sleep(ways.decodeMs * (1 + this.running / ways.batch));
-      if (call.gone.aborted || !(await call.piece(this.lineOf(q, tag, n)))) {
+      if (call.aborted.aborted || !(await call.write(this.lineOf(q, tag, n)))) {
         ways.ledger({ ...entry, kind: 'broke', at: ports.clock.now() });
-        return call.breakOff();
+        return call.destroy();
       }
     }
     ways.ledger({ ...entry, at: ports.clock.now() });
@@ -200,7 +211,7 @@
   }
 
   /** The n-th piece, or what an engine gone wrong gives for it. */
-  private lineOf(q: GenerateAsk, tag: string, n: number): string {
+  private lineOf(q: GenerateRequest, tag: string, n: number): string {
     const { odd } = this.ways;
     const mine = JSON.stringify({ request: q.request, n, text: `${tag}#${n} ` }) + '\n';
     const others =
@@ -210,14 +221,14 @@
     return odd === 'repeats' && n === 2 ? mine + mine : mine;
   }
 
-  private async fetch(q: GenerateAsk): Promise<{ tokens: number; ms: number } | undefined> {
+  private async fetch(q: GenerateRequest): Promise<{ tokens: number; ms: number } | undefined> {
     const start = this.ports.clock.now();
-    const o = await askJson(this.ports.wire, {
-      at: q.fetch!.at,
+    const o = await requestJson(this.ports.network, {
+      address: q.fetch!.at,
       method: 'POST',
       path: '/api/parts',
       body: JSON.stringify({ salt: q.salt, weights: q.weights, hashes: q.fetch!.hashes }),
-      within: 2000,
+      timeoutMs: 2000,
     });
     if (o.isLeft()) return undefined;
     const parts = ((o.extract() as { body: { parts?: Kept[] } }).body?.parts ?? []) as Kept[];
@@ -229,9 +240,9 @@
     return { tokens, ms: this.ports.clock.now() - start };
   }
 
-  @handles('POST', '/api/parts')
-  async parts(call: Call): Promise<void> {
-    const q = (await takeJson(call, 1 << 24)) as
+  @httpHandler('POST', '/api/parts')
+  async parts(call: IncomingRequest): Promise<void> {
+    const q = (await readJsonBody(call, 1 << 24)) as
       { salt: string; weights: string; hashes: string[] } | undefined;
     if (!q) return;
     const parts: Kept[] = [];
@@ -243,27 +254,27 @@
       tokens += k.size;
     }
     await this.ports.clock.sleep(2 + tokens * 0.02);
-    giveJson(call, 200, { parts });
+    sendJson(call, 200, { parts });
   }
 
-  @handles('POST', '/api/put')
-  async put(call: Call): Promise<void> {
-    const q = (await takeJson(call, 1 << 24)) as { parts: Kept[] } | undefined;
+  @httpHandler('POST', '/api/put')
+  async put(call: IncomingRequest): Promise<void> {
+    const q = (await readJsonBody(call, 1 << 24)) as { parts: Kept[] } | undefined;
     if (!q) return;
     for (const p of q.parts) this.cache.keep(p);
     this.cache.flush();
-    giveJson(call, 200, { kept: q.parts.length });
+    sendJson(call, 200, { kept: q.parts.length });
   }
 
-  @handles('GET', '/api/kv-events')
-  async events(call: Call): Promise<void> {
-    giveJson(call, 200, await this.cache.events(call.query, call.gone));
+  @httpHandler('GET', '/api/kv-events')
+  async events(call: IncomingRequest): Promise<void> {
+    sendJson(call, 200, await this.cache.events(call.query, call.aborted));
   }
 
-  @handles('GET', '/api/status')
-  async status(call: Call): Promise<void> {
+  @httpHandler('GET', '/api/status')
+  async status(call: IncomingRequest): Promise<void> {
     const { ways } = this;
-    giveJson(call, 200, {
+    sendJson(call, 200, {
       id: ways.id,
       model: ways.model,
       weights: ways.weights,
@@ -276,9 +287,9 @@
     });
   }
 
-  @handles('POST', '/api/order')
-  async order(call: Call): Promise<void> {
-    const o = (await takeJson(call, 4096)) as EngineOrder | undefined;
+  @httpHandler('POST', '/api/order')
+  async order(call: IncomingRequest): Promise<void> {
+    const o = (await readJsonBody(call, 4096)) as EngineOrder | undefined;
     if (!o) return;
     if (compareEpochs(o, this.fence) < 0)
       this.ways.ledger({
@@ -288,17 +299,17 @@
         order: o,
       });
     if (compareEpochs(o, this.fence) < 0)
-      return giveFault(call, 409, 'refused', 'fenced', 'an order of a higher fence came first');
+      return sendError(call, 409, 'refused', 'fenced', 'an order of a higher fence came first');
     this.fence = { epoch: o.epoch, by: o.by };
     this.ways.ledger({ kind: 'order', engine: this.ways.id, at: this.ports.clock.now(), order: o });
-    giveJson(call, 200, { taken: true });
+    sendJson(call, 200, { taken: true });
     if (o.weights === this.ways.weights) return;
     await this.ports.clock.sleep(this.ways.swapMs);
     this.ways.weights = o.weights;
   }
 }
 
-function bare(k: Kept): Part {
+function bare(k: Kept): PromptBlock {
   return { hash: k.hash, size: k.size };
 }
 
@@ -307,7 +318,7 @@
 }
 
 /** Starts a stand-in engine; a store is one that generates nothing. */
-export async function startEngine(ports: Ports, ways: EngineWays): Promise<Outcome<StandInEngine>> {
+export async function startEngine(ports: Ports, ways: EngineWays): Promise<Result<StandInEngine>> {
   const edge = new EngineEdge(ports, ways);
   function leave(): void {
     edge.leaving = true;
@@ -315,8 +326,10 @@
   function kept(): number {
     return edge.kept();
   }
-  function up(l: Listening): StandInEngine {
+  function up(l: Listener): StandInEngine {
     return { ways, leave, kept, overlap: edge.overlap.bind(edge), stop: l.close };
   }
-  return (await ports.wire.serve(ways.at, takeCalls([edge], ports.log))).map(up);
+  return (await ports.network.serveHttp(ways.at, makeRequestListener([edge], ports.logger))).map(
+    up,
+  );
 }
--- a/tools/standins/enginecache.ts
+++ b/tools/standins/enginecache.ts
@@ -2,12 +2,17 @@
  * What a stand-in engine keeps of prompts, and the events that tell of it.
  */
 
-import { EventBatch, EventsAnswer, Part, PartEvent } from '../../src/shared/contracts/engine';
+import {
+  EventBatch,
+  EventsReply,
+  PromptBlock,
+  BlockEvent,
+} from '../../src/shared/contracts/engine';
 import { Ports } from '../../src/shared/ports/ports';
 import { EngineWays } from './engineways';
 
 /** A part that an engine keeps, and for whom it was read. */
-export interface Kept extends Part {
+export interface Kept extends PromptBlock {
   salt: string;
   weights: string;
   parent: string;
@@ -22,9 +27,9 @@
   flush(): void;
   tokens(): number;
   /** Tokens of a prompt that are kept, from its start. */
-  overlap(salt: string, weights: string, parts: readonly Part[]): number;
+  overlap(salt: string, weights: string, parts: readonly PromptBlock[]): number;
   /** Answers a call for events, after a wait where there are none yet. */
-  events(query: URLSearchParams, gone: AbortSignal): Promise<EventsAnswer>;
+  events(query: URLSearchParams, gone: AbortSignal): Promise<EventsReply>;
 }
 
 const USUAL_WAIT_MS = 1000;
@@ -36,9 +41,9 @@
   const batches: EventBatch[] = [];
   const waiters = new Set<() => void>();
   let held = 0;
-  let epoch = ports.dice.id();
+  let epoch = ports.random.uuid();
   let seq = 0;
-  let pending: PartEvent[] = [];
+  let pending: BlockEvent[] = [];
 
   function keyOf(salt: string, weights: string, hash: string): string {
     return `${salt}|${weights}|${hash}`;
@@ -63,7 +68,7 @@
   function flush(): void {
     if (pending.length === 0) return;
     seq++;
-    const lost = ports.dice.next() < ways.loseEvents;
+    const lost = ports.random.next() < ways.loseEvents;
     if (!lost) batches.push({ seq, events: pending });
     pending = [];
     if (batches.length > ways.keepBatches) batches.shift();
@@ -93,7 +98,7 @@
     return held;
   }
 
-  function overlap(salt: string, weights: string, parts: readonly Part[]): number {
+  function overlap(salt: string, weights: string, parts: readonly PromptBlock[]): number {
     let sum = 0;
     for (const p of parts) {
       if (!cache.has(keyOf(salt, weights, p.hash))) break;
@@ -102,9 +107,9 @@
     return sum;
   }
 
-  async function events(query: URLSearchParams, gone: AbortSignal): Promise<EventsAnswer> {
+  async function events(query: URLSearchParams, gone: AbortSignal): Promise<EventsReply> {
     const { feed } = ways;
-    if (feed === 'epoch') epoch = ports.dice.id();
+    if (feed === 'epoch') epoch = ports.random.uuid();
     if (feed === 'epoch') ways.feed = undefined;
     const same = query.get('epoch') === epoch;
     const after = same ? Number(query.get('after') ?? 0) : 0;
@@ -124,7 +129,7 @@
 
   function more(within: number, gone: AbortSignal): Promise<void> {
     function wait(done: () => void): void {
-      const off = ports.clock.timer(within, go);
+      const off = ports.clock.setTimer(within, go);
       gone.addEventListener('abort', go, { once: true });
       function go(): void {
         off();
--- a/tools/standins/kvsource.ts
+++ b/tools/standins/kvsource.ts
@@ -1,5 +1,5 @@
-import { giveJson } from '../../src/shared/transport/handlers';
-import { Call, Clock } from '../../src/shared/ports/ports';
+import { sendJson } from '../../src/shared/transport/handlers';
+import { IncomingRequest, Clock } from '../../src/shared/ports/ports';
 
 type Told = [number: number, sign: string, salt: string, id: string, kept: number, model: string];
 
@@ -16,7 +16,7 @@
 /** A stand-in for an engine or a store that tells of its parts in the platform's words. */
 export interface KvSource {
   ways: KvWays;
-  take(call: Call): Promise<void>;
+  take(call: IncomingRequest): Promise<void>;
   /** Keeps so many tokens of a part from now on; 0 drops it. */
   keep(salt: string, id: string, tokens: number): void;
   /** The next so many events take numbers and are never told. */
@@ -58,7 +58,7 @@
     events.push({ at: clock.now() + ways.lateMs, e });
     if (events.length > ways.keepsMost) events = events.slice(-ways.keepsMost);
     if (ways.lateMs === 0) wake();
-    else clock.timer(ways.lateMs, wake);
+    else clock.setTimer(ways.lateMs, wake);
   }
 
   function loseNext(n: number): void {
@@ -95,24 +95,24 @@
     return { epoch, nextPageToken: last, lost: since + 1 < first, events: list };
   }
 
-  async function feed(call: Call): Promise<void> {
+  async function feed(call: IncomingRequest): Promise<void> {
     const since = Number(call.query.get('since'));
     const wait = Number(call.headers['wait-ms'] ?? call.headers['Wait-Ms'] ?? 0);
     counts.calls++;
     if (wait < 200) counts.short++;
     if (holding >= ways.maxConcurrent) {
       counts.turnedAway++;
-      return giveJson(call, 429, {});
+      return sendJson(call, 429, {});
     }
     holding++;
     const from = epoch;
     if (answer(since).events.length === 0 && !answer(since).lost) await heldBack();
     holding--;
-    giveJson(call, 200, answer(since));
+    sendJson(call, 200, answer(since));
 
     function heldBack(): Promise<void> {
       function hold(done: () => void): void {
-        const off = clock.timer(wait, go);
+        const off = clock.setTimer(wait, go);
         waiting.add(go);
         function go(): void {
           const a = answer(since);
@@ -128,13 +128,13 @@
     }
   }
 
-  async function take(call: Call): Promise<void> {
+  async function take(call: IncomingRequest): Promise<void> {
     if (call.path === '/api/kv-events') return feed(call);
-    if (call.path !== '/api/kv-list') return giveJson(call, 404, {});
+    if (call.path !== '/api/kv-list') return sendJson(call, 404, {});
     counts.lists++;
     const held: unknown[] = [];
     for (const e of kept.values()) held.push([e[2], e[3], e[4], e[5]]);
-    giveJson(call, 200, { epoch, nextPageToken: number, held });
+    sendJson(call, 200, { epoch, nextPageToken: number, held });
   }
 
   function held(salt: string, id: string): number {
--- a/tools/standins/links.ts
+++ b/tools/standins/links.ts
@@ -1,7 +1,12 @@
 import net from 'node:net';
-import { giveJson, handles, takeCalls, takeJson } from '../../src/shared/transport/handlers';
-import { Outcome } from '../../src/shared/errors/errors';
-import { Call, Listening, Ports } from '../../src/shared/ports/ports';
+import {
+  sendJson,
+  httpHandler,
+  makeRequestListener,
+  readJsonBody,
+} from '../../src/shared/transport/handlers';
+import { Result } from '../../src/shared/errors/errors';
+import { IncomingRequest, Listener, Ports } from '../../src/shared/ports/ports';
 
 /** The stand-in for the network: it listens where processes say they are, and passes to where they bind. */
 export interface LinkWays {
@@ -33,9 +38,9 @@
   }
 
   /** Sets which links are cut, each one way: `[from, to]` by IP number. */
-  @handles('PUT', '/api/cuts')
-  async put(call: Call): Promise<void> {
-    const b = (await takeJson(call, 1 << 20)) as { cuts: [string, string][] } | undefined;
+  @httpHandler('PUT', '/api/cuts')
+  async put(call: IncomingRequest): Promise<void> {
+    const b = (await readJsonBody(call, 1 << 20)) as { cuts: [string, string][] } | undefined;
     if (!b) return;
     this.cuts = new Set(b.cuts.map(pair));
     function pair(p: [string, string]): string {
@@ -45,7 +50,7 @@
       if (this.isCut(h)) h.socket.pause();
       else h.socket.resume();
     }
-    giveJson(call, 200, { cuts: b.cuts.length });
+    sendJson(call, 200, { cuts: b.cuts.length });
   }
 
   /** Passes one connection on, from the dialling process's own IP number. */
@@ -76,7 +81,7 @@
 }
 
 /** Starts the stand-in network. */
-export async function startLinks(ports: Ports, ways: LinkWays): Promise<Outcome<Listening>> {
+export async function startLinks(ports: Ports, ways: LinkWays): Promise<Result<Listener>> {
   const edge = new LinksEdge(ways);
   for (const at of ways.ats) {
     const [host, port] = at.split(':');
@@ -88,5 +93,5 @@
     }
     await new Promise<void>(listen);
   }
-  return ports.wire.serve(ways.control, takeCalls([edge], ports.log));
+  return ports.network.serveHttp(ways.control, makeRequestListener([edge], ports.logger));
 }
--- a/tools/standins/platform.ts
+++ b/tools/standins/platform.ts
@@ -1,6 +1,11 @@
-import { giveJson, handles, takeCalls, takeJson } from '../../src/shared/transport/handlers';
-import { Outcome } from '../../src/shared/errors/errors';
-import { Call, Listening, Ports } from '../../src/shared/ports/ports';
+import {
+  sendJson,
+  httpHandler,
+  makeRequestListener,
+  readJsonBody,
+} from '../../src/shared/transport/handlers';
+import { Result } from '../../src/shared/errors/errors';
+import { IncomingRequest, Listener, Ports } from '../../src/shared/ports/ports';
 import { Engine } from '../../src/shared/state/words';
 
 /** The stand-in platform's list, which a test or the runner changes. */
@@ -10,18 +15,18 @@
     private readonly served: (peer: string) => void,
   ) {}
 
-  @handles('GET', '/api/engines')
-  async list(call: Call): Promise<void> {
+  @httpHandler('GET', '/api/engines')
+  async list(call: IncomingRequest): Promise<void> {
     this.served(call.peer);
-    giveJson(call, 200, { engines: this.engines });
+    sendJson(call, 200, { engines: this.engines });
   }
 
-  @handles('PUT', '/api/engines')
-  async put(call: Call): Promise<void> {
-    const b = (await takeJson(call, 1 << 20)) as { engines: Engine[] } | undefined;
+  @httpHandler('PUT', '/api/engines')
+  async put(call: IncomingRequest): Promise<void> {
+    const b = (await readJsonBody(call, 1 << 20)) as { engines: Engine[] } | undefined;
     if (!b) return;
     this.engines.splice(0, this.engines.length, ...b.engines);
-    giveJson(call, 200, { engines: this.engines.length });
+    sendJson(call, 200, { engines: this.engines.length });
   }
 }
 
@@ -33,6 +38,9 @@
   at: string,
   engines: Engine[],
   served: (peer: string) => void = nothing,
-): Promise<Outcome<Listening>> {
-  return ports.wire.serve(at, takeCalls([new PlatformEdge(engines, served)], ports.log));
+): Promise<Result<Listener>> {
+  return ports.network.serveHttp(
+    at,
+    makeRequestListener([new PlatformEdge(engines, served)], ports.logger),
+  );
 }
--- a/tools/standins/platform/batch.ts
+++ b/tools/standins/platform/batch.ts
@@ -136,7 +136,7 @@
     }
     x.gone.addEventListener('abort', gone, { once: true });
     if (j.deadlineAt !== Infinity) {
-      const off = clock.timer(Math.max(0, j.deadlineAt - clock.now()), late);
+      const off = clock.setTimer(Math.max(0, j.deadlineAt - clock.now()), late);
       j.stop = off;
     }
     function late(): void {
@@ -248,11 +248,11 @@
 
   function wait(j: Job, ms: number, then: (j: Job) => void): void {
     const life = j.stop;
-    const off = clock.timer(ms, go);
+    const off = clock.setTimer(ms, go);
     const deadline =
       j.deadlineAt === Infinity
         ? nothing
-        : clock.timer(Math.max(0, j.deadlineAt - clock.now()), late);
+        : clock.setTimer(Math.max(0, j.deadlineAt - clock.now()), late);
     life();
     function stop(): void {
       off();
--- a/tools/standins/platform/cache.ts
+++ b/tools/standins/platform/cache.ts
@@ -1,4 +1,4 @@
-import { Clock, Dice } from '../../../src/shared/ports/ports';
+import { Clock, RandomSource } from '../../../src/shared/ports/ports';
 
 /** One kept part: its tokens were read by a run of one tenant under one version. */
 export interface KeptPart {
@@ -61,7 +61,7 @@
 }
 
 /** Makes an empty keeper. */
-export function makeKeeper(clock: Clock, dice: Dice, room: number, ways: FeedWays): Keeper {
+export function makeKeeper(clock: Clock, dice: RandomSource, room: number, ways: FeedWays): Keeper {
   const epoch = 1 + Math.floor(dice.next() * 1e6);
   const parts = new Map<string, KeptPart>();
   const log: { at: number; row: KeptEventRow }[] = [];
@@ -80,7 +80,7 @@
     function rouse(): void {
       for (const w of [...wakers]) w();
     }
-    if (wakers.size > 0) clock.timer(ways.lateMs, rouse);
+    if (wakers.size > 0) clock.setTimer(ways.lateMs, rouse);
   }
 
   function used(): number {
@@ -181,7 +181,7 @@
     wakers.add(run);
     const first = log[log.length - 1];
     const off =
-      first && first.at > clock.now() ? clock.timer(first.at - clock.now(), run) : nothing;
+      first && first.at > clock.now() ? clock.setTimer(first.at - clock.now(), run) : nothing;
     function stop(): void {
       off();
       wakers.delete(run);
--- a/tools/standins/platform/channel.ts
+++ b/tools/standins/platform/channel.ts
@@ -155,7 +155,7 @@
 
   function rest(): void {
     socket.pause();
-    clock.timer(restMs, goOn);
+    clock.setTimer(restMs, goOn);
     function goOn(): void {
       socket.resume();
     }
@@ -176,7 +176,7 @@
     changed();
     up.keep(undefined);
   }
-  const offDial = clock.timer(dialMs, late);
+  const offDial = clock.setTimer(dialMs, late);
   function late(): void {
     socket.destroy();
     up.keep(undefined);
@@ -242,7 +242,7 @@
 
   function turn(ms: number): Promise<void> {
     const k = kept<void>();
-    const off = clock.timer(Math.max(0, ms) + 1, go);
+    const off = clock.setTimer(Math.max(0, ms) + 1, go);
     function go(): void {
       off();
       k.keep();
--- a/tools/standins/platform/day.ts
+++ b/tools/standins/platform/day.ts
@@ -1,4 +1,4 @@
-import { Clock, Dice } from '../../../src/shared/ports/ports';
+import { Clock, RandomSource } from '../../../src/shared/ports/ports';
 import { Book, ConfigDoc, makeBook } from './book';
 import { Clients, ClientWays, makeClients } from './clients';
 import { EngineLife, startEngine } from './engine';
@@ -37,7 +37,7 @@
 const FEED = { lateMs: 20, lost: 0, keep: 4000, maxConcurrent: 12 };
 
 /** Starts the stand-ins of a site on real sockets. */
-export async function startDay(site: Site, clock: Clock, dice: Dice): Promise<Day> {
+export async function startDay(site: Site, clock: Clock, dice: RandomSource): Promise<Day> {
   const book = makeBook(clock);
   const ground = makeGround(clock, dice, book, site.bounds);
   const list = await startList(ground, site.list.at, { ...site.list, page: 5 });
@@ -103,7 +103,7 @@
     function unlist(): void {
       list.remove(e);
     }
-    clock.timer(2000, unlist);
+    clock.setTimer(2000, unlist);
   }
 
   async function close(): Promise<void> {
--- a/tools/standins/platform/engine.ts
+++ b/tools/standins/platform/engine.ts
@@ -171,7 +171,7 @@
     else load();
     function load(): void {
       ground.loading.count++;
-      clock.timer(spec.loadMs * Math.max(1, ground.loading.count / 3), loaded);
+      clock.setTimer(spec.loadMs * Math.max(1, ground.loading.count / 3), loaded);
     }
     function loaded(): void {
       ground.loading.count--;
--- a/tools/standins/platform/entry.ts
+++ b/tools/standins/platform/entry.ts
@@ -1,6 +1,6 @@
 import http from 'node:http';
 import { Clock } from '../../../src/shared/ports/ports';
-import { rendezvous } from '../../../src/shared/util/lib';
+import { rankByRendezvousHash } from '../../../src/shared/util/lib';
 import { each, kept, splitAt } from './serve';
 
 /** An edge node, as the platform's entry knows it. */
@@ -75,7 +75,7 @@
       }
     }
     if (among.length === 0) among = nodes;
-    const order = rendezvous(client, among.map(nameOf));
+    const order = rankByRendezvousHash(client, among.map(nameOf));
     const name = order[nth % order.length];
     function isIt(n: EdgeNode): boolean {
       return n.name === name;
--- a/tools/standins/platform/ground.ts
+++ b/tools/standins/platform/ground.ts
@@ -1,4 +1,4 @@
-import { Clock, Dice } from '../../../src/shared/ports/ports';
+import { Clock, RandomSource } from '../../../src/shared/ports/ports';
 import { Book } from './book';
 import { Keeper } from './cache';
 import { Door, DoorWays, Exchange, openDoor } from './serve';
@@ -40,7 +40,7 @@
 /** What all stand-ins of one day share. */
 export interface Ground {
   clock: Clock;
-  dice: Dice;
+  dice: RandomSource;
   book: Book;
   bounds: Guarantees;
   /** Who can be fetched from, by address. */
@@ -55,7 +55,12 @@
 }
 
 /** Makes the ground of a day on real sockets. */
-export function makeGround(clock: Clock, dice: Dice, book: Book, bounds: Guarantees): Ground {
+export function makeGround(
+  clock: Clock,
+  dice: RandomSource,
+  book: Book,
+  bounds: Guarantees,
+): Ground {
   return {
     clock,
     dice,
--- a/tools/standins/platform/serve.ts
+++ b/tools/standins/platform/serve.ts
@@ -1,7 +1,7 @@
 import http from 'node:http';
 import net from 'node:net';
-import { open } from '../../../src/shared/errors/errors';
-import { Call, Clock, Wire } from '../../../src/shared/ports/ports';
+import { errorOrValue } from '../../../src/shared/errors/errors';
+import { IncomingRequest, Clock, Network } from '../../../src/shared/ports/ports';
 
 /** One request that reached a stand-in, and the ways to answer it, also badly. */
 export interface Exchange {
@@ -197,19 +197,19 @@
 }
 
 /** An exchange on a call of the port `Wire`: bytes outside of answers can't be sent there. */
-export function exchangeOfCall(call: Call): Exchange {
+export function exchangeOfCall(call: IncomingRequest): Exchange {
   const query = call.query.toString();
   async function body(): Promise<string | undefined> {
     const o = await call.body(1 << 24);
     return o.isRight() ? (o.extract() as string) : undefined;
   }
   function piece(text: string): void {
-    void call.piece(text);
+    void call.write(text);
   }
   function head(status: number, headers: Record<string, string>): void {
     const lower: Record<string, string> = {};
     for (const [k, v] of Object.entries(headers)) lower[k.toLowerCase()] = v;
-    call.head(status, lower);
+    call.writeHead(status, lower);
   }
   return {
     method: call.method,
@@ -220,26 +220,26 @@
     peer: call.peer,
     connection: call,
     body,
-    gone: call.gone,
+    gone: call.aborted,
     head,
     piece,
     end: call.end,
-    reset: call.breakOff,
+    reset: call.destroy,
     raw: nothing,
   };
 }
 
 /** Opens doors on the port `Wire`, which the simulator gives. */
 export function doorsOn(
-  wire: Wire,
+  wire: Network,
 ): (at: string, ways: DoorWays, take: (x: Exchange) => void) => Promise<Door> {
   async function openOn(at: string, _ways: DoorWays, take: (x: Exchange) => void): Promise<Door> {
     let silent = false;
-    async function called(call: Call): Promise<void> {
+    async function called(call: IncomingRequest): Promise<void> {
       if (!silent) take(exchangeOfCall(call));
     }
-    const [f, l] = open(await wire.serve(at, called));
-    if (f) throw new Error(`${at}: ${f.why}`);
+    const [f, l] = errorOrValue(await wire.serveHttp(at, called));
+    if (f) throw new Error(`${at}: ${f.reason}`);
     function connections(): number {
       return 0;
     }
@@ -287,10 +287,10 @@
   let over = false;
   function turn(): void {
     if (over) return;
-    off = clock.timer(ms, turn);
+    off = clock.setTimer(ms, turn);
     run();
   }
-  off = clock.timer(ms, turn);
+  off = clock.setTimer(ms, turn);
   function stop(): void {
     over = true;
     off();
--- a/tools/standins/platform/store.ts
+++ b/tools/standins/platform/store.ts
@@ -59,7 +59,7 @@
     off();
     unwake();
   }
-  const off = ground.clock.timer(wait, finish);
+  const off = ground.clock.setTimer(wait, finish);
   unwake = keeper.wake(woken);
   x.gone.addEventListener('abort', gone, { once: true });
   return true;
--- a/tools/standins/platform/transfers.ts
+++ b/tools/standins/platform/transfers.ts
@@ -76,7 +76,7 @@
     function arrive(): void {
       if (target!.alive()) for (const p of fresh) target!.keeper.put(p);
     }
-    clock.timer(
+    clock.setTimer(
       ((j.tokensIn * spec.kvTokenBytes * 8) / (spec.bandwidthMbps * 1000)) * ground.links.slow,
       arrive,
     );
--- a/tools/standins/standin.ts
+++ b/tools/standins/standin.ts
@@ -1,7 +1,12 @@
 import { appendFileSync } from 'node:fs';
 import { Ports } from '../../src/shared/ports/ports';
-import { realClock, realDice, realDisk, realLog } from '../../src/shared/system/system-ports';
-import { realWire } from '../../src/shared/system/tcp-network';
+import {
+  makeSystemClock,
+  makeSystemRandom,
+  makeFileDisk,
+  makeLogger,
+} from '../../src/shared/system/system-ports';
+import { makeSystemNetwork } from '../../src/shared/system/tcp-network';
 import { startEngine } from './engine';
 import { EngineWays, LedgerEntry } from './engineways';
 import { startLinks } from './links';
@@ -14,11 +19,11 @@
   bind?: string;
 };
 const ports: Ports = {
-  clock: realClock(),
-  dice: realDice(),
-  disk: realDisk('.'),
-  wire: realWire(1000, ways.bind),
-  log: realLog(sort, ways.id ?? sort),
+  clock: makeSystemClock(),
+  random: makeSystemRandom(),
+  disk: makeFileDisk('.'),
+  network: makeSystemNetwork(1000, ways.bind),
+  logger: makeLogger(sort, ways.id ?? sort),
 };
 
 function ledger(e: LedgerEntry): void {
