--- a/eslint.config.mjs
+++ b/eslint.config.mjs
@@ -20,10 +20,6 @@
     selector: ':not(MethodDefinition) > FunctionExpression',
     message: 'Function declarations only.',
   },
-  {
-    selector: 'ClassDeclaration:not(:has(Decorator))',
-    message: 'A class only where decorators need one.',
-  },
   ...words,
 ];
 const core = [
@@ -96,7 +92,6 @@
   {
     plugins: { jsdoc },
     rules: {
-      'max-lines': ['error', 400],
       'func-style': ['error', 'declaration'],
       'no-restricted-syntax': ['error', ...style],
       eqeqeq: 'error',
--- a/src/control/api/call-draining.ts
+++ b/src/control/api/call-draining.ts
@@ -1,4 +1,5 @@
-import { IncomingRequest, Clock, Listener, Network } from '../../shared/ports/ports';
+import { IncomingRequest, Listener, Network } from '../../shared/ports/network';
+import { Clock } from '../../shared/ports/clock';
 import { TimeLimits } from '../../shared/settings/time-limits';
 
 /** How often it is looked whether calls are under way, as a share of `pause`. */
--- a/src/control/api/deployment-api.ts
+++ b/src/control/api/deployment-api.ts
@@ -4,15 +4,16 @@
   sendJson,
   makeRequestListener,
   readJsonBody,
-} from '../../shared/transport/handlers';
+} from '../../shared/transport/http-handlers';
 import { OperationError, errorOrValue, Result } from '../../shared/errors/errors';
-import { IncomingRequest, Listener, Ports } from '../../shared/ports/ports';
+import { IncomingRequest, Listener } from '../../shared/ports/network';
+import { Ports } from '../../shared/ports/ports';
 import { DeploymentValue } from '../../shared/state/deployment';
 import { withTimeout } from '../../shared/concurrency/timeout';
-import { CONTROL_KEYS } from '../../shared/state/words';
+import { CONTROL_KEYS } from '../../shared/state/control-keys';
 import { OperatorApi } from './operator-api';
 import { ChangeResult } from '../configuration/change-coordinator';
-import { Controller } from '../controller';
+import { Controller } from '../controller-interface';
 import { makeDeploymentOperation } from '../configuration/deployment-change';
 import { Operation } from '../configuration/operations';
 
--- a/src/control/api/operator-api.ts
+++ b/src/control/api/operator-api.ts
@@ -1,22 +1,25 @@
 import { OperationError, errorOrValue, Result } from '../../shared/errors/errors';
+import { bodyField } from '../../shared/transport/body-fields';
 import {
-  bodyField,
   sendError,
   sendJson,
   httpHandler,
   readBodyAs,
   makeRequestListener,
-} from '../../shared/transport/handlers';
-import { sha256Hex } from '../../shared/util/lib';
+} from '../../shared/transport/http-handlers';
+import { sha256Hex } from '../../shared/util/hashing';
 import { isId } from '../../shared/settings/validators';
-import { IncomingRequest, Listener, Ports } from '../../shared/ports/ports';
-import { IntentsValue, CONTROL_KEYS, Version } from '../../shared/state/words';
+import { IncomingRequest, Listener } from '../../shared/ports/network';
+import { Ports } from '../../shared/ports/ports';
+import { IntentsValue } from '../../shared/state/intents';
+import { CONTROL_KEYS } from '../../shared/state/control-keys';
+import { Version } from '../../shared/state/versions';
 import { validateIntents } from '../configuration/intents-validation';
 import { ChangeResult } from '../configuration/change-coordinator';
-import { Controller } from '../controller';
+import { Controller } from '../controller-interface';
 import { NamedWeights } from '../../shared/state/weights';
 import { Operation, TenantKeys } from '../configuration/operations';
-import { reached } from '../peer-handlers';
+import { isAtLeast } from '../../shared/replication/change-message';
 import { voterMetricRows, readVoterStatus } from '../membership/voter-status';
 import { replaceVoter } from '../membership/reconfiguration';
 
@@ -152,7 +155,7 @@
       return sendError(call, 400, 'refused', 'bad-change', 'a change is named key~epoch~by~number');
     const p: Version = { epoch: Number(epoch), by, number: Number(number) };
     const name = key.replace(':', '/');
-    const known = reached(this.c.committedValue(name)?.place, p);
+    const known = isAtLeast(this.c.committedValue(name)?.place, p);
     const inEffect = known && (await this.c.awaitEffect(name, p, this.c.timeLimits.retryPauseMs));
     sendJson(call, 200, {
       change,
--- a/src/control/change-log.ts
+++ b/src/control/change-log.ts
@@ -1,6 +1,9 @@
-import { Clock, Logger } from '../shared/ports/ports';
-import { CONTROL_KEYS, VersionedValue, Voter, VoterSet } from '../shared/state/words';
-import { SingletonHolder } from './singletons/singleton-lease';
+import { Clock } from '../shared/ports/clock';
+import { Logger } from '../shared/ports/logger';
+import { CONTROL_KEYS } from '../shared/state/control-keys';
+import { VersionedValue } from '../shared/state/versions';
+import { Voter, VoterSet } from '../shared/state/voter-set';
+import { SingletonHolder } from './configuration/singleton-holder';
 
 /** How much of a disk's identity is logged. */
 const DISK_CHARACTERS = 8;
--- a/src/control/configuration/change-coordinator.ts
+++ b/src/control/configuration/change-coordinator.ts
@@ -1,26 +1,23 @@
 import { isDeepStrictEqual } from 'node:util';
 import { Left, Right } from 'purify-ts';
 import { failure, OperationError, errorOrValue, Result } from '../../shared/errors/errors';
-import { rankByRendezvousHash } from '../../shared/util/lib';
+import { rankByRendezvousHash } from '../../shared/util/hashing';
 import { PeerChannel, notConnected } from '../../shared/transport/connections';
-import { Clock, RandomSource } from '../../shared/ports/ports';
+import { Clock } from '../../shared/ports/clock';
+import { RandomSource } from '../../shared/ports/random';
 import { TimeLimits } from '../../shared/settings/time-limits';
 import { Settings } from '../../shared/settings/settings';
-import {
-  Intents,
-  IntentsValue,
-  CONTROL_KEYS,
-  VersionedValue,
-  Version,
-  VoterSet,
-} from '../../shared/state/words';
+import { Intents, IntentsValue } from '../../shared/state/intents';
+import { CONTROL_KEYS } from '../../shared/state/control-keys';
+import { VersionedValue, Version } from '../../shared/state/versions';
+import { VoterSet } from '../../shared/state/voter-set';
 import { DocumentParser, operationIdentity, checkBaseRevision } from './deployment-change';
 import { forwardChange } from './change-forwarding';
 import { validateIntents } from './intents-validation';
 import { controlKeyOf, computeNextValue, Operation } from './operations';
 import { KeyOwner } from '../consensus/key-owner';
 import { makeSingleFlight } from '../../shared/concurrency/single-flight';
-import { SingletonHolder } from '../singletons/singleton-lease';
+import { SingletonHolder } from './singleton-holder';
 
 /** What became of a change. */
 export interface ChangeResult {
--- a/src/control/configuration/change-effects.ts
+++ b/src/control/configuration/change-effects.ts
@@ -1,10 +1,11 @@
 import { Left, Right } from 'purify-ts';
 import { errorOrValue, Result } from '../../shared/errors/errors';
 import { pollVoters } from '../../shared/transport/quorum-poll';
-import { Clock } from '../../shared/ports/ports';
+import { Clock } from '../../shared/ports/clock';
 import { TimeLimits } from '../../shared/settings/time-limits';
 import { Settings } from '../../shared/settings/settings';
-import { Version, Voter, VoterSet } from '../../shared/state/words';
+import { Version } from '../../shared/state/versions';
+import { Voter, VoterSet } from '../../shared/state/voter-set';
 import { ChangeResult } from './change-coordinator';
 import { controlKeyOf, Operation } from './operations';
 
--- a/src/control/configuration/change-forwarding.ts
+++ b/src/control/configuration/change-forwarding.ts
@@ -5,7 +5,7 @@
 import { PeerChannel } from '../../shared/transport/connections';
 import { makeError, Result } from '../../shared/errors/errors';
 import { requestCompressed, compressedBodyBytes } from '../../shared/transport/compressed-requests';
-import { Clock } from '../../shared/ports/ports';
+import { Clock } from '../../shared/ports/clock';
 import { Operation } from './operations';
 
 /** Compressed bytes of an order, some 3,500 routes, for which its owner is given as long again. */
--- a/src/control/configuration/deployment-change.ts
+++ b/src/control/configuration/deployment-change.ts
@@ -2,8 +2,9 @@
 import { Deployment, DeploymentValue, NamedChange } from '../../shared/state/deployment';
 import { PlatformAdapter } from '../../shared/platform-adapter/platform-adapter';
 import { OperationError, makeError, Result } from '../../shared/errors/errors';
-import { shortHash } from '../../shared/util/lib';
-import { CONTROL_KEYS, VersionedValue } from '../../shared/state/words';
+import { shortHash } from '../../shared/util/hashing';
+import { CONTROL_KEYS } from '../../shared/state/control-keys';
+import { VersionedValue } from '../../shared/state/versions';
 import { validateDeployment } from './deployment-validation';
 import {
   isOlderThanHistory,
--- a/src/control/configuration/intents-consistency.ts
+++ b/src/control/configuration/intents-consistency.ts
@@ -1,6 +1,8 @@
-import { requestJson } from '../../shared/util/lib';
-import { Network } from '../../shared/ports/ports';
-import { Engine, Intents, Member } from '../../shared/state/words';
+import { requestJson } from '../../shared/util/http-json';
+import { Network } from '../../shared/ports/network';
+import { Engine } from '../../shared/state/engines';
+import { Intents } from '../../shared/state/intents';
+import { Member } from '../../shared/state/members';
 import { NamedWeights } from '../../shared/state/weights';
 
 /** Where a file of intents and the fleet as it is don't fit. */
--- a/src/control/configuration/intents-validation.ts
+++ b/src/control/configuration/intents-validation.ts
@@ -1,9 +1,9 @@
 import convict from 'convict';
 import { Either, Left, Right } from 'purify-ts';
 import { OperationError } from '../../shared/errors/errors';
-import { tryCatch } from '../../shared/util/lib';
+import { tryCatch } from '../../shared/util/try-catch';
 import { id, maybeId, neededAddress, share, whole } from '../../shared/settings/validators';
-import { Intents } from '../../shared/state/words';
+import { Intents } from '../../shared/state/intents';
 
 const ITEMS: Record<keyof Intents, Record<string, unknown>> = {
   tenants: {
--- a/src/control/configuration/operations.ts
+++ b/src/control/configuration/operations.ts
@@ -1,18 +1,14 @@
 import { Left, Right } from 'purify-ts';
 import { failure, makeError, Result } from '../../shared/errors/errors';
 import { NamedWeights } from '../../shared/state/weights';
-import {
-  Engine,
-  Intents,
-  IntentsValue,
-  CONTROL_KEYS,
-  VersionedValue,
-  deriveSalts,
-  VoterSet,
-} from '../../shared/state/words';
+import { Engine } from '../../shared/state/engines';
+import { Intents, IntentsValue, deriveSalts } from '../../shared/state/intents';
+import { CONTROL_KEYS } from '../../shared/state/control-keys';
+import { VersionedValue } from '../../shared/state/versions';
+import { VoterSet } from '../../shared/state/voter-set';
 import { DeploymentOperation, DocumentParser, computeDeployment } from './deployment-change';
 import { validateIntents } from './intents-validation';
-import { SingletonHolder } from '../singletons/singleton-lease';
+import { SingletonHolder } from './singleton-holder';
 
 /** The hashes of one tenant's keys. */
 export interface TenantKeys {
--- a/src/control/connection-acceptor.ts
+++ b/src/control/connection-acceptor.ts
@@ -1,6 +1,7 @@
 import { closeIdleChannels, openChannel, PeerChannel } from '../shared/transport/connections';
 import { Result } from '../shared/errors/errors';
-import { Connection, Listener, Ports } from '../shared/ports/ports';
+import { Connection, Listener } from '../shared/ports/network';
+import { Ports } from '../shared/ports/ports';
 
 /** What accepting connections needs of its controller. */
 export interface ConnectionAcceptorDependencies {
--- a/src/control/consensus/accepted-versions.ts
+++ b/src/control/consensus/accepted-versions.ts
@@ -2,13 +2,8 @@
 
 import { failure, errorOrValue, Result } from '../../shared/errors/errors';
 import { pollVoters } from '../../shared/transport/quorum-poll';
-import {
-  compareVersions,
-  VersionedValue,
-  Version,
-  Voter,
-  VoterSet,
-} from '../../shared/state/words';
+import { compareVersions, VersionedValue, Version } from '../../shared/state/versions';
+import { Voter, VoterSet } from '../../shared/state/voter-set';
 import { AcceptedVersionReply, placeOnly } from './acceptor';
 
 /** Before every place. */
--- a/src/control/consensus/acceptor.ts
+++ b/src/control/consensus/acceptor.ts
@@ -2,19 +2,18 @@
 
 import { Left, Right } from 'purify-ts';
 import { Delta, readDelta, shareUnchanged } from '../../shared/replication/delta';
-import { bodyField, HandlerResult, messageHandler } from '../../shared/transport/handlers';
+import { bodyField } from '../../shared/transport/body-fields';
+import { HandlerResult, messageHandler } from '../../shared/transport/message-handlers';
 import { failure, errorOrValue, Result } from '../../shared/errors/errors';
 import { Ports } from '../../shared/ports/ports';
 import {
   compareEpochs,
   compareVersions,
-  isVoter,
-  CONTROL_KEYS,
   VersionedValue,
   Version,
-  Voter,
-  VoterSet,
-} from '../../shared/state/words';
+} from '../../shared/state/versions';
+import { isVoter, Voter, VoterSet } from '../../shared/state/voter-set';
+import { CONTROL_KEYS } from '../../shared/state/control-keys';
 import { ControlStore } from '../storage/control-store';
 
 /** How the registers reach the other voters; `by` tells this life of this node from every other. */
--- a/src/control/consensus/key-maintenance.ts
+++ b/src/control/consensus/key-maintenance.ts
@@ -10,9 +10,9 @@
   readChange,
   targetOf,
 } from '../../shared/replication/change-message';
-import { rankByRendezvousHash } from '../../shared/util/lib';
+import { rankByRendezvousHash } from '../../shared/util/hashing';
 import { TimeLimits } from '../../shared/settings/time-limits';
-import { VersionedValue } from '../../shared/state/words';
+import { VersionedValue } from '../../shared/state/versions';
 import { KeyOwner } from './key-owner';
 import { ControlStore } from '../storage/control-store';
 
--- a/src/control/consensus/linearizable-read.ts
+++ b/src/control/consensus/linearizable-read.ts
@@ -1,7 +1,9 @@
 import { Left, Right } from 'purify-ts';
-import { HandlerResult, messageHandler } from '../../shared/transport/handlers';
+import { HandlerResult, messageHandler } from '../../shared/transport/message-handlers';
 import { failure, errorOrValue, Result } from '../../shared/errors/errors';
-import { CONTROL_KEYS, VersionedValue, Voter, VoterSet } from '../../shared/state/words';
+import { CONTROL_KEYS } from '../../shared/state/control-keys';
+import { VersionedValue } from '../../shared/state/versions';
+import { Voter, VoterSet } from '../../shared/state/voter-set';
 import { AcceptedVersionReply } from './acceptor';
 import { hasNewerAccepted, pollAcceptedVersions } from './accepted-versions';
 import { KeyOwner } from './key-owner';
--- a/src/control/consensus/replica-sync.ts
+++ b/src/control/consensus/replica-sync.ts
@@ -1,9 +1,13 @@
 import { Left, Right } from 'purify-ts';
-import { bodyField, HandlerResult, messageHandler } from '../../shared/transport/handlers';
+import { bodyField } from '../../shared/transport/body-fields';
+import { HandlerResult, messageHandler } from '../../shared/transport/message-handlers';
 import { failure, OperationError, errorOrValue, Result } from '../../shared/errors/errors';
-import { CONTROL_KEYS, VersionedValue, Version, Voter } from '../../shared/state/words';
-import { reached } from '../peer-handlers';
+import { CONTROL_KEYS } from '../../shared/state/control-keys';
+import { VersionedValue, Version } from '../../shared/state/versions';
+import { Voter } from '../../shared/state/voter-set';
+import { isAtLeast } from '../../shared/replication/change-message';
 import { ControlStore } from '../storage/control-store';
+import { learnedValues } from '../storage/register-state';
 
 /** Keys that one message asks about at the most. */
 const KEYS_AT_ONCE = 256;
@@ -36,7 +40,7 @@
   async lacking(m: LackingRequest): HandlerResult {
     const lacking: string[] = [];
     for (const place of m.places)
-      if (!reached(this.slots.registers.get(place.key)?.learned, place)) lacking.push(place.key);
+      if (!isAtLeast(this.slots.registers.get(place.key)?.learned, place)) lacking.push(place.key);
     const [f] = errorOrValue(await this.slots.flush());
     return f ? Left(f) : Right({ disk: this.slots.diskId, lacking } as LackingReply);
   }
@@ -48,7 +52,7 @@
     let behind = 0;
     for (const place of m.places) {
       const learned = cells.get(place.key)?.learned;
-      if (!reached(learned, place)) behind += Math.max(1, place.number - (learned?.number ?? 0));
+      if (!isAtLeast(learned, place)) behind += Math.max(1, place.number - (learned?.number ?? 0));
     }
     return Right({
       epoch: cells.get(CONTROL_KEYS.voters)?.learned?.epoch ?? 0,
@@ -73,7 +77,7 @@
 
 /** Brings a voter to have learned, on its synced disk and by its own word, all that is committed here now, and tells how many keys it had lacked; safe to repeat, and each batch that it took stays. */
 export async function syncReplica(p: ReplicaSyncDependencies, to: Voter): Promise<Result<number>> {
-  const committed = learnedHere(p.store);
+  const committed = learnedValues(p.store.registers);
   let lacked = 0;
   for (let i = 0; i < committed.length; i += KEYS_AT_ONCE) {
     const [f, count] = errorOrValue(await bringBatch(p, to, committed.slice(i, i + KEYS_AT_ONCE)));
@@ -83,18 +87,12 @@
   return Right(lacked);
 }
 
-function learnedHere(slots: ControlStore): VersionedValue[] {
-  const out: VersionedValue[] = [];
-  for (const cell of slots.registers.values()) if (cell.learned) out.push(cell.learned);
-  return out;
-}
-
 /** How far a voter is behind all that is learned here. */
 export async function readReplicaProgress(
   p: ReplicaSyncDependencies,
   of: Voter,
 ): Promise<Result<ReplicaProgress>> {
-  const committed = learnedHere(p.store);
+  const committed = learnedValues(p.store.registers);
   const whole: ReplicaProgress = { epoch: 0, behind: 0 };
   for (let i = 0; i < committed.length; i += KEYS_AT_ONCE) {
     const places = committed.slice(i, i + KEYS_AT_ONCE).map(placeOf);
--- a/src/control/consensus/voter-request.ts
+++ b/src/control/consensus/voter-request.ts
@@ -2,7 +2,7 @@
 import { PeerChannel, notConnected } from '../../shared/transport/connections';
 import { Result } from '../../shared/errors/errors';
 import { requestCompressed } from '../../shared/transport/compressed-requests';
-import { Voter } from '../../shared/state/words';
+import { Voter } from '../../shared/state/voter-set';
 
 /** What may carry whole values or long differences. */
 const LONG_ASKS = new Set(['accept', 'accept-delta', 'learn']);
--- a/src/control/controller-interface.ts
+++ b/src/control/controller-interface.ts
@@ -4,13 +4,14 @@
 import { TimeLimits } from '../shared/settings/time-limits';
 import { Settings } from '../shared/settings/settings';
 import { Waker } from '../shared/concurrency/waker';
-import { VersionedValue, Version, Voter, VoterSet } from '../shared/state/words';
+import { VersionedValue, Version } from '../shared/state/versions';
+import { Voter, VoterSet } from '../shared/state/voter-set';
 import { ChangeResult } from './configuration/change-coordinator';
 import { LeaseRegistry } from './leases/lease-registry';
 import { VoterLiveness } from './membership/voter-liveness';
 import { Operation } from './configuration/operations';
 import { KeyOwner } from './consensus/key-owner';
-import { MembershipRequests } from './membership/voter-set-controller';
+import { MembershipRequests } from './membership/membership-requests';
 import { ControlStore } from './storage/control-store';
 import { IdempotencyVotes } from './storage/idempotency-votes';
 
--- a/src/control/controller.ts
+++ b/src/control/controller.ts
@@ -1,11 +1,12 @@
 import { Left, Right } from 'purify-ts';
-import { dispatch, HandlerResult } from '../shared/transport/handlers';
+import { dispatch, HandlerResult } from '../shared/transport/message-handlers';
 import { errorOrValue, Result } from '../shared/errors/errors';
-import { rankByRendezvousHash } from '../shared/util/lib';
+import { rankByRendezvousHash } from '../shared/util/hashing';
 import { helloOf } from '../shared/transport/hello';
 import { makeMetrics, Metrics, timedDisk } from '../shared/observability/metrics';
 import { CompressedRequestHandlers } from '../shared/transport/compressed-requests';
-import { Listener, Ports } from '../shared/ports/ports';
+import { Listener } from '../shared/ports/network';
+import { Ports } from '../shared/ports/ports';
 import { timeLimitsOf } from '../shared/settings/time-limits';
 import { Settings } from '../shared/settings/settings';
 import {
@@ -16,14 +17,9 @@
 } from '../shared/transport/connections';
 import { withTimeout } from '../shared/concurrency/timeout';
 import { makeWakerGroup } from '../shared/concurrency/waker';
-import {
-  allVoters,
-  addressOf,
-  CONTROL_KEYS,
-  VersionedValue,
-  Voter,
-  VoterSet,
-} from '../shared/state/words';
+import { allVoters, addressOf, Voter, VoterSet } from '../shared/state/voter-set';
+import { CONTROL_KEYS } from '../shared/state/control-keys';
+import { VersionedValue } from '../shared/state/versions';
 import { logChange, makeQuorumLog } from './change-log';
 import { acceptConnections } from './connection-acceptor';
 import { learnedValues } from './storage/register-state';
@@ -47,10 +43,11 @@
 import { Acceptor, VoterTransport } from './consensus/acceptor';
 import { makeKeyOwner } from './consensus/key-owner';
 import { ReplicaHandlers } from './consensus/replica-sync';
-import { MembershipRequests } from './membership/voter-set-controller';
+import { MembershipRequests } from './membership/membership-requests';
 import { announceToSeeds } from './membership/seed-announcer';
 import { openControlStore, ControlStore } from './storage/control-store';
-import { StoredVotes, readStoredVotes, IdempotencyVotes } from './storage/idempotency-votes';
+import { StoredVotes, readStoredVotes } from './storage/vote-files';
+import { IdempotencyVotes } from './storage/idempotency-votes';
 
 export type { Controller } from './controller-interface';
 
--- a/src/control/leases/change-sender.ts
+++ b/src/control/leases/change-sender.ts
@@ -9,8 +9,8 @@
 import { PeerChannel } from '../../shared/transport/connections';
 import { versionOf } from '../../shared/replication/delta';
 import { errorOrValue } from '../../shared/errors/errors';
-import { Logger } from '../../shared/ports/ports';
-import { VersionedValue, Version } from '../../shared/state/words';
+import { Logger } from '../../shared/ports/logger';
+import { VersionedValue, Version } from '../../shared/state/versions';
 
 /** What sending changes to one follower needs. */
 export interface ChangeSenderDependencies {
--- a/src/control/leases/follower-lag.ts
+++ b/src/control/leases/follower-lag.ts
@@ -1,7 +1,7 @@
 /**
  * How far followers are behind what is learned here.
  */
-import { VersionedValue, Version } from '../../shared/state/words';
+import { VersionedValue, Version } from '../../shared/state/versions';
 
 /** Versions of a key of which the time is kept. */
 const KEPT_VERSIONS = 128;
--- a/src/control/leases/lease-registry.ts
+++ b/src/control/leases/lease-registry.ts
@@ -7,20 +7,17 @@
   isCurrent,
   isAtLeast,
 } from '../../shared/replication/change-message';
-import { bodyField, HandlerResult, messageHandler } from '../../shared/transport/handlers';
+import { bodyField } from '../../shared/transport/body-fields';
+import { HandlerResult, messageHandler } from '../../shared/transport/message-handlers';
 import { failure } from '../../shared/errors/errors';
 import { ChunkRequest } from '../../shared/replication/chunk-fetcher';
 import { Ports } from '../../shared/ports/ports';
 import { TimeLimits } from '../../shared/settings/time-limits';
 import { PeerChannel } from '../../shared/transport/connections';
-import {
-  compareVersions,
-  CONTROL_KEYS,
-  Member,
-  VersionedValue,
-  Version,
-  VoterSet,
-} from '../../shared/state/words';
+import { compareVersions, VersionedValue, Version } from '../../shared/state/versions';
+import { CONTROL_KEYS } from '../../shared/state/control-keys';
+import { Member } from '../../shared/state/members';
+import { VoterSet } from '../../shared/state/voter-set';
 import { FollowerLag, lagMetricRows, makeFollowerLag } from './follower-lag';
 import { makeChangeSender, ChangeSender } from './change-sender';
 import { ControlStore } from '../storage/control-store';
--- a/src/control/leases/version-history.ts
+++ b/src/control/leases/version-history.ts
@@ -8,7 +8,7 @@
 } from '../../shared/replication/change-message';
 import { makeDelta, versionOf } from '../../shared/replication/delta';
 import { CHUNK_BYTES, ChunkRequest } from '../../shared/replication/chunk-fetcher';
-import { VersionedValue, Version } from '../../shared/state/words';
+import { VersionedValue, Version } from '../../shared/state/versions';
 
 /** The versions of each key that were committed here lately, for differences to what other nodes hold. */
 export interface VersionHistory {
--- a/src/control/membership/bootstrap.ts
+++ b/src/control/membership/bootstrap.ts
@@ -1,9 +1,10 @@
 import { Left, Right } from 'purify-ts';
 import { failure, errorOrValue, Result } from '../../shared/errors/errors';
-import { Clock } from '../../shared/ports/ports';
+import { Clock } from '../../shared/ports/clock';
 import { TimeLimits } from '../../shared/settings/time-limits';
 import { Settings } from '../../shared/settings/settings';
-import { isVoter, CONTROL_KEYS, Voter, VoterSet } from '../../shared/state/words';
+import { isVoter, Voter, VoterSet } from '../../shared/state/voter-set';
+import { CONTROL_KEYS } from '../../shared/state/control-keys';
 import { ControlStore } from '../storage/control-store';
 
 /** How the disk of a founder is named that was not there. */
--- a/src/control/membership/graceful-leave.ts
+++ b/src/control/membership/graceful-leave.ts
@@ -1,10 +1,11 @@
 import { errorOrValue, Result } from '../../shared/errors/errors';
-import { Clock, Logger } from '../../shared/ports/ports';
+import { Clock } from '../../shared/ports/clock';
+import { Logger } from '../../shared/ports/logger';
 import { TimeLimits } from '../../shared/settings/time-limits';
-import { allVoters, isQuorum, isVoter, Voter, VoterSet } from '../../shared/state/words';
+import { allVoters, isQuorum, isVoter, Voter, VoterSet } from '../../shared/state/voter-set';
 import { VoterLiveness } from './voter-liveness';
 import { syncReplica } from '../consensus/replica-sync';
-import { LeaveReply } from './voter-set-controller';
+import { LeaveReply } from './membership-requests';
 import { ControlStore } from '../storage/control-store';
 
 /** Why a controller that was told to end may go: it did not vote, another has its place, the others have all that it has and are a majority, all others leave as well, or its time is over. */
--- a/src/control/membership/reconfiguration.ts
+++ b/src/control/membership/reconfiguration.ts
@@ -9,18 +9,13 @@
 import { pollVoters } from '../../shared/transport/quorum-poll';
 import { Ports } from '../../shared/ports/ports';
 import { requestOnce } from '../../shared/transport/connections';
-import {
-  isVoter,
-  CONTROL_KEYS,
-  VersionedValue,
-  Version,
-  Voter,
-  VoterSet,
-} from '../../shared/state/words';
-import { Controller } from '../controller';
+import { isVoter, Voter, VoterSet } from '../../shared/state/voter-set';
+import { CONTROL_KEYS } from '../../shared/state/control-keys';
+import { VersionedValue, Version } from '../../shared/state/versions';
+import { Controller } from '../controller-interface';
 import { syncReplicas, ReplicaSyncDependencies } from '../consensus/replica-sync';
 import { makeStepTimes, StepTimes } from './step-times';
-import { Vote } from '../storage/idempotency-votes';
+import { Vote } from '../storage/vote-files';
 
 const HEX = [...'0123456789abcdef'];
 const AT_ONCE = 16;
--- a/src/control/membership/seed-announcer.ts
+++ b/src/control/membership/seed-announcer.ts
@@ -4,7 +4,8 @@
 import { Ports } from '../../shared/ports/ports';
 import { TimeLimits } from '../../shared/settings/time-limits';
 import { Settings } from '../../shared/settings/settings';
-import { allVoters, VersionedValue, VoterSet } from '../../shared/state/words';
+import { allVoters, VoterSet } from '../../shared/state/voter-set';
+import { VersionedValue } from '../../shared/state/versions';
 
 /** What telling the seeds needs of its controller. */
 export interface SeedAnnouncerDependencies {
--- a/src/control/membership/step-times.ts
+++ b/src/control/membership/step-times.ts
@@ -1,6 +1,6 @@
 /** How long the steps of a longer work took, for its log line. */
 
-import { Clock } from '../../shared/ports/ports';
+import { Clock } from '../../shared/ports/clock';
 
 /** Measures steps by name, in ms. */
 export interface StepTimes {
--- a/src/control/membership/voter-liveness.ts
+++ b/src/control/membership/voter-liveness.ts
@@ -1,6 +1,6 @@
 import { PeerChannel } from '../../shared/transport/connections';
-import { Clock } from '../../shared/ports/ports';
-import { allVoters, addressOf, isQuorum, Voter, VoterSet } from '../../shared/state/words';
+import { Clock } from '../../shared/ports/clock';
+import { allVoters, addressOf, isQuorum, Voter, VoterSet } from '../../shared/state/voter-set';
 
 /** What the view of the voters is made of. */
 export interface VoterLivenessDependencies {
--- a/src/control/membership/voter-status.ts
+++ b/src/control/membership/voter-status.ts
@@ -1,5 +1,5 @@
 import { errorOrValue } from '../../shared/errors/errors';
-import { allVoters, addressOf, isQuorum, Voter, VoterSet } from '../../shared/state/words';
+import { allVoters, addressOf, isQuorum, Voter, VoterSet } from '../../shared/state/voter-set';
 import { Controller } from '../controller-interface';
 import { readReplicaProgress } from '../consensus/replica-sync';
 
--- a/src/control/peer-handlers.ts
+++ b/src/control/peer-handlers.ts
@@ -1,17 +1,10 @@
 import { Right } from 'purify-ts';
-import { HandlerResult, messageHandler } from '../shared/transport/handlers';
+import { HandlerResult, messageHandler } from '../shared/transport/message-handlers';
 import { failure, Result } from '../shared/errors/errors';
-import { appliedEntries } from '../shared/replication/change-message';
-import {
-  allVoters,
-  addressOf,
-  compareVersions,
-  CONTROL_KEYS,
-  VersionedValue,
-  Version,
-  Voter,
-  VoterSet,
-} from '../shared/state/words';
+import { appliedEntries, isAtLeast } from '../shared/replication/change-message';
+import { allVoters, addressOf, Voter, VoterSet } from '../shared/state/voter-set';
+import { VersionedValue, Version } from '../shared/state/versions';
+import { CONTROL_KEYS } from '../shared/state/control-keys';
 import { LearnedSince } from './consensus/key-maintenance';
 import { Operation } from './configuration/operations';
 import { ControlStore } from './storage/control-store';
@@ -38,7 +31,7 @@
     const places = new Map<string, Version>();
     for (const [key, epoch, by, number] of has) places.set(key, { epoch, by, number });
     function later(n: VersionedValue): boolean {
-      return !reached(places.get(n.key), n);
+      return !isAtLeast(places.get(n.key), n);
     }
     return Right(this.c.committedValues().filter(later));
   }
@@ -137,8 +130,3 @@
   isUp(x: Voter): boolean;
   wake(): void;
 }
-
-/** Whether one place is at or past another. */
-export function reached(have: Version | undefined, want: Version): boolean {
-  return have !== undefined && compareVersions(have, want) >= 0;
-}
--- a/src/control/singletons/engine-listing.ts
+++ b/src/control/singletons/engine-listing.ts
@@ -4,7 +4,7 @@
 import { failure, errorOrValue, Result } from '../../shared/errors/errors';
 import { Ports } from '../../shared/ports/ports';
 import { sendAdapterRequest } from '../../shared/platform-adapter/adapter-request';
-import { Engine } from '../../shared/state/words';
+import { Engine } from '../../shared/state/engines';
 
 /** Pages that a list may have at the most. */
 const MOST_PAGES = 64;
--- a/src/control/singletons/singleton-lease.ts
+++ b/src/control/singletons/singleton-lease.ts
@@ -1,15 +1,13 @@
+/**
+ * A singleton role that one controller at a time holds, by a lease with a fencing token.
+ */
+
 import { errorOrValue } from '../../shared/errors/errors';
-import { rankByRendezvousHash } from '../../shared/util/lib';
+import { rankByRendezvousHash } from '../../shared/util/hashing';
 import { Ports } from '../../shared/ports/ports';
-import { CONTROL_KEYS } from '../../shared/state/words';
-import { Controller } from '../controller';
-
-/** The committed value of a duty: who holds it, where, and the fence of that term: the number of the change that began it. */
-export interface SingletonHolder {
-  holder: string;
-  at?: string;
-  fence: number;
-}
+import { CONTROL_KEYS } from '../../shared/state/control-keys';
+import { Controller } from '../controller-interface';
+import { SingletonHolder } from '../configuration/singleton-holder';
 
 /** A duty that one controller at a time holds, by terms that end a whole lease before the next one acts. */
 export interface SingletonLease {
--- a/src/control/singletons/weights-rollout.ts
+++ b/src/control/singletons/weights-rollout.ts
@@ -7,8 +7,9 @@
 import { Ports } from '../../shared/ports/ports';
 import { compareWeights, lacks, NamedWeights } from '../../shared/state/weights';
 import { sendAdapterRequest } from '../../shared/platform-adapter/adapter-request';
-import { Engine, CONTROL_KEYS } from '../../shared/state/words';
-import { Controller } from '../controller';
+import { Engine } from '../../shared/state/engines';
+import { CONTROL_KEYS } from '../../shared/state/control-keys';
+import { Controller } from '../controller-interface';
 import { makeSingletonLease } from './singleton-lease';
 
 /** Engines of a model that take up weights at once, as a share of them all. */
--- a/src/control/storage/frames.ts
+++ b/src/control/storage/frames.ts
@@ -1,7 +1,7 @@
 import { crc32 } from 'node:zlib';
 import { pack, unpack } from 'msgpackr';
 import { errorOrValue } from '../../shared/errors/errors';
-import { tryCatch } from '../../shared/util/lib';
+import { tryCatch } from '../../shared/util/try-catch';
 
 const HEAD = 12;
 const OLD_HEAD = 8;
--- a/src/control/storage/register-state.ts
+++ b/src/control/storage/register-state.ts
@@ -1,5 +1,5 @@
 import { Delta, makeDelta, readDelta } from '../../shared/replication/delta';
-import { compareVersions, VersionedValue } from '../../shared/state/words';
+import { compareVersions, VersionedValue } from '../../shared/state/versions';
 
 /** What a disk holds of one control key. */
 export interface RegisterState {
--- a/src/control/storage/synced-read.ts
+++ b/src/control/storage/synced-read.ts
@@ -5,7 +5,7 @@
 
 import { Left, Right } from 'purify-ts';
 import { errorOrValue, Result } from '../../shared/errors/errors';
-import { Disk } from '../../shared/ports/ports';
+import { Disk } from '../../shared/ports/disk';
 
 /** Files that are read at a start, and synced after that. */
 export interface SyncedReader {
--- a/src/data/api.ts
+++ b/src/data/api.ts
@@ -6,16 +6,11 @@
   splitIntoBlocks,
   tokenise,
 } from '../shared/contracts/engine';
-import {
-  sendError,
-  sendJson,
-  httpHandler,
-  parseBody,
-  readJsonBody,
-} from '../shared/transport/handlers';
+import { sendError, sendJson, httpHandler, readJsonBody } from '../shared/transport/http-handlers';
+import { parseBody } from '../shared/transport/body-fields';
 import { OperationError, errorOrValue } from '../shared/errors/errors';
-import { sha256Hex } from '../shared/util/lib';
-import { IncomingRequest } from '../shared/ports/ports';
+import { sha256Hex } from '../shared/util/hashing';
+import { IncomingRequest } from '../shared/ports/network';
 import { holdKey, tellRun, votersMark } from './once';
 import { Overlap, Placement } from './place';
 import { CallerAsk, CheckedAsk, isToken, tokensOf } from './caller-ask';
--- a/src/data/caller-ask.ts
+++ b/src/data/caller-ask.ts
@@ -1,6 +1,6 @@
 import { PromptBlock } from '../shared/contracts/engine';
-import { bodyField } from '../shared/transport/handlers';
-import { Service } from '../shared/state/words';
+import { bodyField } from '../shared/transport/body-fields';
+import { Service } from '../shared/state/intents';
 
 /** What a caller asks for, as its body says it. */
 export class CallerAsk {
--- a/src/data/engines.ts
+++ b/src/data/engines.ts
@@ -3,7 +3,8 @@
 import { Follower } from '../shared/replication/follower';
 import { Ports } from '../shared/ports/ports';
 import { TimeLimits } from '../shared/settings/time-limits';
-import { Engine, CONTROL_KEYS } from '../shared/state/words';
+import { Engine } from '../shared/state/engines';
+import { CONTROL_KEYS } from '../shared/state/control-keys';
 
 /** What this router knows of one engine's health and load. */
 export interface Seen {
--- a/src/data/gateway/budget.ts
+++ b/src/data/gateway/budget.ts
@@ -1,4 +1,4 @@
-import { Clock } from '../../shared/ports/ports';
+import { Clock } from '../../shared/ports/clock';
 import { Settings } from '../../shared/settings/settings';
 
 /** The part of what the fleet may spend that routers spend together, so that counting apart stays sound. */
--- a/src/data/gateway/drain.ts
+++ b/src/data/gateway/drain.ts
@@ -1,6 +1,8 @@
 /** How a router leaves: what it still takes once it is told to end, and for how long it waits. */
 
-import { Clock, Logger, RawListener } from '../../shared/ports/ports';
+import { Clock } from '../../shared/ports/clock';
+import { Logger } from '../../shared/ports/logger';
+import { RawListener } from '../../shared/ports/raw-http';
 import { Settings } from '../../shared/settings/settings';
 import { StallMonitor } from '../../shared/observability/event-loop-stalls';
 import { InFlight } from './in-flight';
--- a/src/data/gateway/forward.ts
+++ b/src/data/gateway/forward.ts
@@ -1,7 +1,7 @@
 import { CallerRequest, HttpRoute, TenantAccess } from '../../shared/state/deployment';
 import { RawHeaders, StreamEvent } from '../../shared/platform-adapter/platform-adapter';
 import { OperationError, errorOrValue } from '../../shared/errors/errors';
-import { HttpConnection, RawIncomingRequest, RawHttpResponse } from '../../shared/ports/ports';
+import { HttpConnection, RawIncomingRequest, RawHttpResponse } from '../../shared/ports/raw-http';
 import { AttemptEnd, Chosen, Load, Wanted } from './choose';
 import { RequestInFlight } from './in-flight';
 import { GatewayParts } from './parts';
--- a/src/data/gateway/gateway.ts
+++ b/src/data/gateway/gateway.ts
@@ -3,11 +3,14 @@
 import { PlatformAdapter } from '../../shared/platform-adapter/platform-adapter';
 import { failure, errorOrValue, Result } from '../../shared/errors/errors';
 import { Follower } from '../../shared/replication/follower';
-import { RawHttpNetwork, Ports, RawIncomingRequest, ServeLimits } from '../../shared/ports/ports';
+import { RawHttpNetwork, RawIncomingRequest, ServeLimits } from '../../shared/ports/raw-http';
+import { Ports } from '../../shared/ports/ports';
 import { Settings } from '../../shared/settings/settings';
 import { makeStallMonitor } from '../../shared/observability/event-loop-stalls';
 import { NamedWeights } from '../../shared/state/weights';
-import { Engine, CONTROL_KEYS, VersionedValue } from '../../shared/state/words';
+import { Engine } from '../../shared/state/engines';
+import { CONTROL_KEYS } from '../../shared/state/control-keys';
+import { VersionedValue } from '../../shared/state/versions';
 import { makeRetryBudget } from './budget';
 import { makeChooser } from './choose';
 import { makeDrain } from './drain';
--- a/src/data/gateway/in-flight.ts
+++ b/src/data/gateway/in-flight.ts
@@ -1,6 +1,7 @@
 /** The requests that a router has taken and whose answers have not ended, and what is logged of those that are cut off. */
 
-import { Clock, Logger } from '../../shared/ports/ports';
+import { Clock } from '../../shared/ports/clock';
+import { Logger } from '../../shared/ports/logger';
 import { Settings } from '../../shared/settings/settings';
 
 /** A request on its way through a router. Times are of the clock port, in ms. */
--- a/src/data/gateway/indexers.ts
+++ b/src/data/gateway/indexers.ts
@@ -1,7 +1,7 @@
 import { Hello, makeConnectionPool } from '../../shared/transport/connections';
 import { errorOrValue } from '../../shared/errors/errors';
 import { Follower } from '../../shared/replication/follower';
-import { rankByRendezvousHash } from '../../shared/util/lib';
+import { rankByRendezvousHash } from '../../shared/util/hashing';
 import {
   EngineLoad,
   LoadReply,
@@ -11,7 +11,7 @@
 } from '../../shared/contracts/indexer';
 import { Ports } from '../../shared/ports/ports';
 import { TimeLimits } from '../../shared/settings/time-limits';
-import { Member } from '../../shared/state/words';
+import { Member } from '../../shared/state/members';
 import { Loads } from './loads';
 
 /** What a router says to indexers. */
--- a/src/data/gateway/parts.ts
+++ b/src/data/gateway/parts.ts
@@ -1,7 +1,7 @@
 import { PlatformAdapter } from '../../shared/platform-adapter/platform-adapter';
 import { Ports } from '../../shared/ports/ports';
 import { Settings } from '../../shared/settings/settings';
-import { Engine } from '../../shared/state/words';
+import { Engine } from '../../shared/state/engines';
 import { RetryBudget } from './budget';
 import { Chooser } from './choose';
 import { Drain } from './drain';
--- a/src/data/gateway/pools.ts
+++ b/src/data/gateway/pools.ts
@@ -1,8 +1,9 @@
 import { Left, Right } from 'purify-ts';
 import { makeError, errorOrValue, Result } from '../../shared/errors/errors';
-import { Clock, HttpConnection, RawHttpNetwork } from '../../shared/ports/ports';
+import { Clock } from '../../shared/ports/clock';
+import { HttpConnection, RawHttpNetwork } from '../../shared/ports/raw-http';
 import { Settings } from '../../shared/settings/settings';
-import { Engine } from '../../shared/state/words';
+import { Engine } from '../../shared/state/engines';
 
 /** The share of an engine's connections that routers take together. */
 const SHARE = 0.8;
--- a/src/data/gateway/request.ts
+++ b/src/data/gateway/request.ts
@@ -1,6 +1,6 @@
 import { errorOrValue } from '../../shared/errors/errors';
 import { CallerRequest, HttpRoute, TenantAccess } from '../../shared/state/deployment';
-import { HttpConnection, RawIncomingRequest } from '../../shared/ports/ports';
+import { HttpConnection, RawIncomingRequest } from '../../shared/ports/raw-http';
 import { Chosen, Load, Refusal } from './choose';
 import { Attempted, forward, Taken, wantedOf } from './forward';
 import { CutOffCause, RequestInFlight } from './in-flight';
--- a/src/data/gateway/weights.ts
+++ b/src/data/gateway/weights.ts
@@ -1,8 +1,9 @@
 import { Right } from 'purify-ts';
-import { bodyField, HandlerResult, messageHandler } from '../../shared/transport/handlers';
-import { Clock } from '../../shared/ports/ports';
+import { bodyField } from '../../shared/transport/body-fields';
+import { HandlerResult, messageHandler } from '../../shared/transport/message-handlers';
+import { Clock } from '../../shared/ports/clock';
 import { compareWeights, lacks, NamedWeights } from '../../shared/state/weights';
-import { Engine } from '../../shared/state/words';
+import { Engine } from '../../shared/state/engines';
 
 /** The weights that a fresh request is sent under: `now` are the named ones or newer, `old` ones may serve for some time yet; an engine that is `loading` turns requests away until it is done. */
 export interface Expected {
--- a/src/data/once.ts
+++ b/src/data/once.ts
@@ -1,5 +1,6 @@
 import { Follower } from '../shared/replication/follower';
-import { Member, Voter } from '../shared/state/words';
+import { Member } from '../shared/state/members';
+import { Voter } from '../shared/state/voter-set';
 
 interface VoteAnswer {
   disk: string;
--- a/src/data/parts.ts
+++ b/src/data/parts.ts
@@ -3,7 +3,7 @@
 import { Ports } from '../shared/ports/ports';
 import { TimeLimits } from '../shared/settings/time-limits';
 import { Settings } from '../shared/settings/settings';
-import { Service } from '../shared/state/words';
+import { Service } from '../shared/state/intents';
 import { Engines, Seen } from './engines';
 import { Placer } from './place';
 
--- a/src/data/place.ts
+++ b/src/data/place.ts
@@ -1,11 +1,14 @@
 import { PromptBlock } from '../shared/contracts/engine';
 import { errorOrValue } from '../shared/errors/errors';
 import { Follower } from '../shared/replication/follower';
-import { rankByRendezvousHash } from '../shared/util/lib';
+import { rankByRendezvousHash } from '../shared/util/hashing';
 import { Ports } from '../shared/ports/ports';
 import { TimeLimits } from '../shared/settings/time-limits';
 import { Hello, makeConnectionPool } from '../shared/transport/connections';
-import { addressOf, CacheStore, IntentsValue, CONTROL_KEYS, Member } from '../shared/state/words';
+import { addressOf } from '../shared/state/voter-set';
+import { CacheStore, IntentsValue } from '../shared/state/intents';
+import { CONTROL_KEYS } from '../shared/state/control-keys';
+import { Member } from '../shared/state/members';
 import { Engines, Seen } from './engines';
 
 /** How much a doubted token counts of a sure one. */
--- a/src/data/router.ts
+++ b/src/data/router.ts
@@ -1,21 +1,18 @@
 import { Left, Right } from 'purify-ts';
 import { errorOrValue, Result } from '../shared/errors/errors';
-import { makeRequestListener } from '../shared/transport/handlers';
+import { makeRequestListener } from '../shared/transport/http-handlers';
 import { followCore } from '../shared/replication/follower';
 import { makeMetrics } from '../shared/observability/metrics';
-import { Ports, Connection } from '../shared/ports/ports';
+import { Ports } from '../shared/ports/ports';
+import { Connection } from '../shared/ports/network';
 import { timeLimitsOf } from '../shared/settings/time-limits';
 import { Settings } from '../shared/settings/settings';
 import { openChannel, HelloHandlers } from '../shared/transport/connections';
 import { helloOf } from '../shared/transport/hello';
-import {
-  IntentsValue,
-  CONTROL_KEYS,
-  Member,
-  VersionedValue,
-  Rule,
-  Service,
-} from '../shared/state/words';
+import { IntentsValue, Rule, Service } from '../shared/state/intents';
+import { CONTROL_KEYS } from '../shared/state/control-keys';
+import { Member } from '../shared/state/members';
+import { VersionedValue } from '../shared/state/versions';
 import { PlatformAdapter } from '../shared/platform-adapter/platform-adapter';
 import { CallerApi } from './api';
 import { Seen, watchEngines } from './engines';
--- a/src/index/api.ts
+++ b/src/index/api.ts
@@ -1,12 +1,13 @@
+import { bodyField } from '../shared/transport/body-fields';
 import {
-  bodyField,
   sendJson,
   httpHandler,
   readBodyAs,
   makeRequestListener,
-} from '../shared/transport/handlers';
+} from '../shared/transport/http-handlers';
 import { Result } from '../shared/errors/errors';
-import { IncomingRequest, Listener, Ports } from '../shared/ports/ports';
+import { IncomingRequest, Listener } from '../shared/ports/network';
+import { Ports } from '../shared/ports/ports';
 import { Indexer } from './indexer';
 import { partsOf, QueryAsk } from './messages';
 
--- a/src/index/listener.ts
+++ b/src/index/listener.ts
@@ -1,7 +1,7 @@
 import { Stream as Feed } from 'most';
 import { EventBatch, EventsReply } from '../shared/contracts/engine';
 import { errorOrValue } from '../shared/errors/errors';
-import { makePushStream } from '../shared/util/lib';
+import { makePushStream } from '../shared/util/push-stream';
 import { Ports } from '../shared/ports/ports';
 import { TimeLimits } from '../shared/settings/time-limits';
 import { Registration, Sources } from './sources';
--- a/src/index/messages.ts
+++ b/src/index/messages.ts
@@ -1,6 +1,7 @@
 import { Right } from 'purify-ts';
 import { PromptBlock, BlockEvent, splitIntoBlocks, tokenise } from '../shared/contracts/engine';
-import { bodyField, HandlerResult, messageHandler } from '../shared/transport/handlers';
+import { bodyField } from '../shared/transport/body-fields';
+import { HandlerResult, messageHandler } from '../shared/transport/message-handlers';
 import { BatchRing, Heard } from './listener';
 import { Overlap, Rows } from './tree';
 
--- a/src/index/overlap.ts
+++ b/src/index/overlap.ts
@@ -1,6 +1,6 @@
 import { Right } from 'purify-ts';
 import { PeerChannel } from '../shared/transport/connections';
-import { HandlerResult, messageHandler } from '../shared/transport/handlers';
+import { HandlerResult, messageHandler } from '../shared/transport/message-handlers';
 import { failure } from '../shared/errors/errors';
 import {
   LoadReportBody,
--- a/src/index/repair.ts
+++ b/src/index/repair.ts
@@ -1,7 +1,8 @@
 import { Right } from 'purify-ts';
 import { failure, errorOrValue } from '../shared/errors/errors';
-import { bodyField, HandlerResult, messageHandler } from '../shared/transport/handlers';
-import { rankByRendezvousHash } from '../shared/util/lib';
+import { bodyField } from '../shared/transport/body-fields';
+import { HandlerResult, messageHandler } from '../shared/transport/message-handlers';
+import { rankByRendezvousHash } from '../shared/util/hashing';
 import { ConnectionPool } from '../shared/transport/connections';
 import { Ports } from '../shared/ports/ports';
 import { TimeLimits } from '../shared/settings/time-limits';
--- a/src/index/sources.ts
+++ b/src/index/sources.ts
@@ -8,7 +8,9 @@
 import { sendAdapterRequest } from '../shared/platform-adapter/adapter-request';
 import { Ports } from '../shared/ports/ports';
 import { TimeLimits } from '../shared/settings/time-limits';
-import { CacheStore, Engine, IntentsValue, CONTROL_KEYS } from '../shared/state/words';
+import { CacheStore, IntentsValue } from '../shared/state/intents';
+import { Engine } from '../shared/state/engines';
+import { CONTROL_KEYS } from '../shared/state/control-keys';
 
 /** A registration derived from the platform's list or from a declared store. */
 export interface Registration {
--- a/src/programs/common.ts
+++ b/src/programs/common.ts
@@ -3,14 +3,12 @@
 import { platform } from '../../platform/dialect';
 import { PlatformAdapter } from '../shared/platform-adapter/platform-adapter';
 import { OperationError, errorOrValue, describeError } from '../shared/errors/errors';
-import { tryCatch } from '../shared/util/lib';
+import { tryCatch } from '../shared/util/try-catch';
 import { Ports } from '../shared/ports/ports';
-import {
-  makeSystemClock,
-  makeSystemRandom,
-  makeFileDisk,
-  makeLogger,
-} from '../shared/system/system-ports';
+import { makeSystemClock } from '../shared/system/system-clock';
+import { makeSystemRandom } from '../shared/system/system-random';
+import { makeFileDisk } from '../shared/system/file-disk';
+import { makeLogger } from '../shared/system/logger';
 import { makeRawHttpNetwork } from '../shared/system/raw-http';
 import { makeSystemNetwork } from '../shared/system/tcp-network';
 import { Settings } from '../shared/settings/settings';
--- a/src/programs/history-command.ts
+++ b/src/programs/history-command.ts
@@ -4,7 +4,7 @@
 import { errorOrValue, describeError } from '../shared/errors/errors';
 import { HistoryCall, LineFault, parseHistory } from '../shared/history/calls';
 import { checkHistory, sayVerdict } from '../shared/history/verdict';
-import { tryCatch } from '../shared/util/lib';
+import { tryCatch } from '../shared/util/try-catch';
 
 const FINE = 0;
 const FINDINGS = 1;
--- a/src/shared/concurrency/timeout.ts
+++ b/src/shared/concurrency/timeout.ts
@@ -1,5 +1,5 @@
 import { failure, Result } from '../errors/errors';
-import { Clock } from '../ports/ports';
+import { Clock } from '../ports/clock';
 
 /** Waits for a result, but not past a time; what comes later is dropped, and its fate is told as unknown. */
 export function withTimeout<T>(
--- a/src/shared/concurrency/waker.ts
+++ b/src/shared/concurrency/waker.ts
@@ -1,4 +1,4 @@
-import { Clock } from '../ports/ports';
+import { Clock } from '../ports/clock';
 
 /** Waits that end at their time, or sooner where something has come up meanwhile. */
 export interface Waker {
--- a/src/shared/contracts/engine.ts
+++ b/src/shared/contracts/engine.ts
@@ -1,7 +1,10 @@
 import { Left, Right } from 'purify-ts';
 import { failure, makeError, errorOrValue, Result } from '../errors/errors';
-import { requestJson, readToEnd, makeLineReader, parseJson, shortHash } from '../util/lib';
-import { Ports, Network } from '../ports/ports';
+import { requestJson, readToEnd, makeLineReader } from '../util/http-json';
+import { parseJson } from '../util/try-catch';
+import { shortHash } from '../util/hashing';
+import { Ports } from '../ports/ports';
+import { Network } from '../ports/network';
 
 /** A part of a prompt: its hash takes in all before it. */
 export interface PromptBlock {
--- a/src/shared/contracts/indexer.ts
+++ b/src/shared/contracts/indexer.ts
@@ -1,4 +1,4 @@
-import { bodyField } from '../transport/handlers';
+import { bodyField } from '../transport/body-fields';
 
 /** What runs at one engine: its id, requests in flight, prompt tokens that it has not yet read, and tokens of memory that they take, where that is told. */
 export type EngineLoad = [
--- a/src/shared/contracts/platform.ts
+++ b/src/shared/contracts/platform.ts
@@ -1,8 +1,8 @@
 import { Left, Right } from 'purify-ts';
 import { failure, errorOrValue, Result } from '../errors/errors';
-import { requestJson } from '../util/lib';
-import { Network } from '../ports/ports';
-import { Engine } from '../state/words';
+import { requestJson } from '../util/http-json';
+import { Network } from '../ports/network';
+import { Engine } from '../state/engines';
 
 /** Asks the platform for its list of engines. */
 export async function listEngines(
--- a/src/shared/contracts/store.ts
+++ b/src/shared/contracts/store.ts
@@ -1,5 +1,5 @@
 import { Result } from '../errors/errors';
-import { Network } from '../ports/ports';
+import { Network } from '../ports/network';
 import { EventsReply, pullEvents } from './engine';
 
 /** Pulls the store's events: the store tells of its parts as engines do. */
--- a/src/shared/history/calls.ts
+++ b/src/shared/history/calls.ts
@@ -1,7 +1,7 @@
 /** The file format of recorded histories: one JSON object on each line, one line for each call. */
 import { Either, Left, Right } from 'purify-ts';
 import { errorOrValue } from '../errors/errors';
-import { parseJson } from '../util/lib';
+import { parseJson } from '../util/try-catch';
 
 /** What a caller asked for: a whole document, a named change of one, a name for weights, or the value that stands. */
 export type CallKind = 'replace' | 'update' | 'name' | 'read';
--- a/src/shared/observability/event-loop-stalls.ts
+++ b/src/shared/observability/event-loop-stalls.ts
@@ -1,6 +1,6 @@
 /** When the event loop last stood still, so that what is handled late is known to have come earlier. */
 
-import { Clock } from '../ports/ports';
+import { Clock } from '../ports/clock';
 
 /** How late a look may be, as a share of the time between two, before the loop counts as having stood still. */
 const TOLERANCE = 0.4;
--- a/src/shared/observability/metrics.ts
+++ b/src/shared/observability/metrics.ts
@@ -1,5 +1,6 @@
 import type { Histogram, Registry } from 'prom-client';
-import { Clock, Disk } from '../ports/ports';
+import { Clock } from '../ports/clock';
+import { Disk } from '../ports/disk';
 
 /** Figures of one process in the text form that collectors read. */
 export interface Metrics {
--- a/src/shared/platform-adapter/adapter-request.ts
+++ b/src/shared/platform-adapter/adapter-request.ts
@@ -1,8 +1,8 @@
 import { Left, Right } from 'purify-ts';
 import { AdapterRequest } from './platform-adapter';
 import { errorOrValue, Result } from '../errors/errors';
-import { parseJson } from '../util/lib';
-import { Network } from '../ports/ports';
+import { parseJson } from '../util/try-catch';
+import { Network } from '../ports/network';
 
 /** What was answered to what a dialect worded; a body that is no JSON is none. */
 export interface AdapterResponse {
--- a/src/shared/platform-adapter/platform-adapter.ts
+++ b/src/shared/platform-adapter/platform-adapter.ts
@@ -1,8 +1,8 @@
 import { Either } from 'purify-ts';
 import { CallerRequest, Deployment, NamedChange } from '../state/deployment';
-import { RawHeaderList } from '../ports/ports';
+import { RawHeaderList } from '../ports/raw-http';
 import { Settings } from '../settings/settings';
-import { Engine } from '../state/words';
+import { Engine } from '../state/engines';
 
 /** A header list as it stands on the wire: name, value, name, value. */
 export type RawHeaders = RawHeaderList;
--- /dev/null
+++ b/src/shared/ports/random.ts
@@ -0,0 +1,9 @@
+/**
+ * The port of randomness.
+ */
+
+/** Randomness. */
+export interface RandomSource {
+  next(): number;
+  uuid(): string;
+}
--- a/src/shared/replication/catch-up.ts
+++ b/src/shared/replication/catch-up.ts
@@ -9,7 +9,7 @@
 import { PeerChannel } from '../transport/connections';
 import { errorOrValue } from '../errors/errors';
 import { makeChunkFetcher } from './chunk-fetcher';
-import { VersionedValue } from '../state/words';
+import { VersionedValue } from '../state/versions';
 
 /** What fetching missed changes needs of its node. */
 export interface CatchUpDependencies {
--- a/src/shared/replication/change-message.ts
+++ b/src/shared/replication/change-message.ts
@@ -2,8 +2,8 @@
 import { compress, decompress, deflate } from '../transport/compression';
 import { Delta, versionOf, readDelta } from './delta';
 import { digestOf } from './digest';
-import { shortHashOfBytes } from '../util/lib';
-import { compareVersions, VersionedValue, Version } from '../state/words';
+import { shortHashOfBytes } from '../util/hashing';
+import { compareVersions, VersionedValue, Version } from '../state/versions';
 
 /** A committed change on its way to a node that lacks it, in a form that is read at once. */
 export type InlineChange = FullChange | CompressedChange | DeltaChange | CompressedDelta;
--- a/src/shared/replication/chunk-fetcher.ts
+++ b/src/shared/replication/chunk-fetcher.ts
@@ -9,9 +9,9 @@
 import { ChangeOffer, fetchedMessage, InlineChange } from './change-message';
 import { PeerChannel } from '../transport/connections';
 import { versionOf } from './delta';
-import { bodyField } from '../transport/handlers';
+import { bodyField } from '../transport/body-fields';
 import { errorOrValue } from '../errors/errors';
-import { Version } from '../state/words';
+import { Version } from '../state/versions';
 
 /** Bytes of one piece: some 20 ms on a link of 7 Mbit/s. */
 export const CHUNK_BYTES = 16384;
--- a/src/shared/replication/delta.ts
+++ b/src/shared/replication/delta.ts
@@ -1,6 +1,6 @@
 import { isDeepStrictEqual } from 'node:util';
 import { digestOf } from './digest';
-import { compareVersions, VersionedValue, Version } from '../state/words';
+import { compareVersions, VersionedValue, Version } from '../state/versions';
 
 type PlainObject = Record<string, unknown>;
 
--- a/src/shared/replication/digest.ts
+++ b/src/shared/replication/digest.ts
@@ -1,4 +1,4 @@
-import { shortHash } from '../util/lib';
+import { shortHash } from '../util/hashing';
 
 /** A hash of a value's content and the length of its text; equal content has equal digests. */
 export interface Digest {
--- a/src/shared/replication/draining-engines.ts
+++ b/src/shared/replication/draining-engines.ts
@@ -5,7 +5,7 @@
  * name, and a list may have been read before the advice was given: so a list that shows such an engine as serving does
  * not end the advice. It ends with a list that shows the same or has the engine no more, or after a time.
  */
-import { Engine } from '../state/words';
+import { Engine } from '../state/engines';
 
 /** Engines that are heard to leave. */
 export interface DrainingEngines {
--- a/src/shared/replication/follower-handlers.ts
+++ b/src/shared/replication/follower-handlers.ts
@@ -11,8 +11,9 @@
   targetOf,
 } from './change-message';
 import { PeerChannel } from '../transport/connections';
-import { HandlerResult, messageHandler } from '../transport/handlers';
-import { VersionedValue, VoterSet } from '../state/words';
+import { HandlerResult, messageHandler } from '../transport/message-handlers';
+import { VersionedValue } from '../state/versions';
+import { VoterSet } from '../state/voter-set';
 
 /** What the handlers of a follower work with. */
 export interface FollowerHandlersDependencies {
--- a/src/shared/replication/follower.ts
+++ b/src/shared/replication/follower.ts
@@ -5,7 +5,7 @@
 import { OperationError, errorOrValue, Result } from '../errors/errors';
 import { applyMessages, FollowerHandlers } from './follower-handlers';
 import { makeKeyJournal } from './key-journal';
-import { makePushStream } from '../util/lib';
+import { makePushStream } from '../util/push-stream';
 import { LeaseReply, makeLeaseRenewals } from './lease-renewal';
 import { makeDrainingEngines } from './draining-engines';
 import { makeMemberView } from './member-view';
@@ -21,19 +21,11 @@
   MAX_BACKOFF_RATIO,
   notConnected,
 } from '../transport/connections';
-import {
-  allVoters,
-  addressOf,
-  compareVersions,
-  Engine,
-  isQuorum,
-  CONTROL_KEYS,
-  Member,
-  VersionedValue,
-  Version,
-  Voter,
-  VoterSet,
-} from '../state/words';
+import { allVoters, addressOf, isQuorum, Voter, VoterSet } from '../state/voter-set';
+import { compareVersions, VersionedValue, Version } from '../state/versions';
+import { Engine } from '../state/engines';
+import { CONTROL_KEYS } from '../state/control-keys';
+import { Member } from '../state/members';
 
 /** A node's view of the control state, kept up by news and leases. */
 export interface Follower {
--- a/src/shared/replication/lease-renewal.ts
+++ b/src/shared/replication/lease-renewal.ts
@@ -10,7 +10,9 @@
 import { MemberUpdate } from './member-view';
 import { Ports } from '../ports/ports';
 import { makeWaker, Waker } from '../concurrency/waker';
-import { Member, VersionedValue, VoterSet } from '../state/words';
+import { Member } from '../state/members';
+import { VersionedValue } from '../state/versions';
+import { VoterSet } from '../state/voter-set';
 
 /** A controller's answer to an ask for a lease. */
 export interface LeaseReply extends MemberUpdate {
--- a/src/shared/replication/member-view.ts
+++ b/src/shared/replication/member-view.ts
@@ -1,4 +1,4 @@
-import { Member } from '../state/words';
+import { Member } from '../state/members';
 
 /** What a controller's grant of a lease tells of the members: all of them, or who joined and left since. */
 export interface MemberUpdate {
--- a/src/shared/settings/settings.ts
+++ b/src/shared/settings/settings.ts
@@ -3,7 +3,7 @@
 import { readFileSync } from 'node:fs';
 import { address, addresses, ipOrNone, notNegative, positive, regions, share } from './validators';
 import { OperationError } from '../errors/errors';
-import { tryCatch } from '../util/lib';
+import { tryCatch } from '../util/try-catch';
 
 /** What a process is told at its start. */
 export interface Settings {
--- a/src/shared/system/http-client.ts
+++ b/src/shared/system/http-client.ts
@@ -1,7 +1,7 @@
 import http from 'node:http';
 import { Left, Right } from 'purify-ts';
 import { makeError, Result } from '../errors/errors';
-import { HttpRequest, HttpResponse } from '../ports/ports';
+import { HttpRequest, HttpResponse } from '../ports/network';
 
 const SURE = new Set(['ECONNREFUSED', 'EHOSTUNREACH', 'ENETUNREACH', 'ECONNTIMEOUT']);
 const MOST_CONNECTIONS = 256;
--- a/src/shared/system/raw-http-client.ts
+++ b/src/shared/system/raw-http-client.ts
@@ -2,7 +2,7 @@
 import net from 'node:net';
 import { Left, Right } from 'purify-ts';
 import { makeError, Result } from '../errors/errors';
-import { HttpConnection, RawHttpRequest, RawHttpResponse } from '../ports/ports';
+import { HttpConnection, RawHttpRequest, RawHttpResponse } from '../ports/raw-http';
 import { ignore, splitAddress } from './http-io';
 
 /** How long a connection may be without traffic before the kernel probes its peer. */
--- a/src/shared/system/raw-http-server.ts
+++ b/src/shared/system/raw-http-server.ts
@@ -3,7 +3,7 @@
 import { setImmediate as nextTurn, setTimeout as sleep } from 'node:timers/promises';
 import { Left, Right } from 'purify-ts';
 import { makeError, Result } from '../errors/errors';
-import { RawIncomingRequest, RawListener, ServeLimits } from '../ports/ports';
+import { RawIncomingRequest, RawListener, ServeLimits } from '../ports/raw-http';
 import { CallerConnectionTracker, trackCallerConnections } from './raw-http-connections';
 import { ignore, readBody, splitAddress, writeChunk } from './http-io';
 
--- a/src/shared/system/raw-http.ts
+++ b/src/shared/system/raw-http.ts
@@ -5,7 +5,7 @@
   RawIncomingRequest,
   RawListener,
   ServeLimits,
-} from '../ports/ports';
+} from '../ports/raw-http';
 import { splitAddress } from './http-io';
 import { connect } from './raw-http-client';
 import { serve } from './raw-http-server';
--- a/src/shared/system/tcp-network.ts
+++ b/src/shared/system/tcp-network.ts
@@ -3,10 +3,10 @@
 import { PackrStream, UnpackrStream } from 'msgpackr';
 import { Left, Right } from 'purify-ts';
 import { makeError, Result } from '../errors/errors';
-import { IncomingRequest, Listener, Message, Connection, Network } from '../ports/ports';
+import { IncomingRequest, Listener, Message, Connection, Network } from '../ports/network';
 import { makeHttpClient } from './http-client';
 import { readBody, splitAddress, writeChunk } from './http-io';
-import { makePushStream } from '../util/lib';
+import { makePushStream } from '../util/push-stream';
 
 function listen(
   server: net.Server,
--- a/src/shared/transport/compressed-requests.ts
+++ b/src/shared/transport/compressed-requests.ts
@@ -4,7 +4,8 @@
 import { pack } from 'msgpackr';
 import { decompress, deflate } from './compression';
 import { PeerChannel } from './connections';
-import { dispatch, bodyField, HandlerResult, messageHandler } from './handlers';
+import { dispatch, HandlerResult, messageHandler } from './message-handlers';
+import { bodyField } from './body-fields';
 import { errorOrValue, Result } from '../errors/errors';
 
 /** An ask of more bytes than this is compressed. */
--- a/src/shared/transport/compression.ts
+++ b/src/shared/transport/compression.ts
@@ -4,7 +4,7 @@
 import { deflateRawSync, inflateRawSync } from 'node:zlib';
 import { pack, unpack } from 'msgpackr';
 import { Result } from '../errors/errors';
-import { tryCatch } from '../util/lib';
+import { tryCatch } from '../util/try-catch';
 
 /** Speed before size: controllers have little processor time. */
 const COMPRESSION_LEVEL = 1;
--- a/src/shared/transport/connections.ts
+++ b/src/shared/transport/connections.ts
@@ -1,7 +1,8 @@
 import { Left, Right } from 'purify-ts';
 import { failure, OperationError, makeError, errorOrValue, Result } from '../errors/errors';
-import { dispatch, HandlerResult, messageHandler } from './handlers';
-import { Message, Ports, Connection } from '../ports/ports';
+import { dispatch, HandlerResult, messageHandler } from './message-handlers';
+import { Message, Connection } from '../ports/network';
+import { Ports } from '../ports/ports';
 import { decodeError, encodeError, WireError } from './wire-error';
 
 /** The version of our wire messages; a peer more than one off is refused. */
--- a/src/shared/transport/handlers.ts
+++ b/src/shared/transport/http-handlers.ts
@@ -1,33 +1,20 @@
-import { Right } from 'purify-ts';
-import { failure, errorOrValue, Result, describeError } from '../errors/errors';
-import { IncomingRequest, Logger } from '../ports/ports';
-import { parseJson } from '../util/lib';
+/**
+ * Handlers of HTTP requests, declared by decorators, and the documented form of errors.
+ */
+
+import { errorOrValue, describeError } from '../errors/errors';
+import { IncomingRequest } from '../ports/network';
+import { Logger } from '../ports/logger';
+import { parseJson } from '../util/try-catch';
+import { Maker, parseBody } from './body-fields';
 
-type Maker<T> = new () => T;
-type FieldSort = 'string' | 'number' | 'boolean' | 'object' | 'list' | 'any';
-interface FieldRule {
-  sort: FieldSort;
-  need: boolean;
-}
 interface Handling {
   verb: string;
   path: string;
   name: string;
 }
 
-const fieldsOf = new Map<unknown, Map<string, FieldRule>>();
 const handlingsOf = new Map<unknown, Handling[]>();
-const messagesOf = new Map<unknown, Map<string, { name: string; shape?: Maker<object> }>>();
-
-/** Marks a checked field of something that crosses an edge. */
-export function bodyField(sort: FieldSort, need = true): (target: object, name: string) => void {
-  function mark(target: object, name: string): void {
-    const m = fieldsOf.get(target.constructor) ?? new Map<string, FieldRule>();
-    m.set(name, { sort, need });
-    fieldsOf.set(target.constructor, m);
-  }
-  return mark;
-}
 
 /** Marks a method as the handler of an HTTP verb and path; `:x` parts match one segment. */
 export function httpHandler(verb: string, path: string): (target: object, name: string) => void {
@@ -40,78 +27,6 @@
   return mark;
 }
 
-/** Marks a method as the handler of a wire message, its body checked against a shape. */
-export function messageHandler(
-  type: string,
-  shape?: Maker<object>,
-): (target: object, name: string) => void {
-  function mark(target: object, name: string): void {
-    const m =
-      messagesOf.get(target.constructor) ??
-      new Map<string, { name: string; shape?: Maker<object> }>();
-    m.set(type, { name, shape });
-    messagesOf.set(target.constructor, m);
-  }
-  return mark;
-}
-
-function sortOf(v: unknown): FieldSort {
-  if (Array.isArray(v)) return 'list';
-  return typeof v as FieldSort;
-}
-
-/** Checks a body against a marked shape; unknown fields are dropped. */
-export function parseBody<T extends object>(
-  shape: Maker<T>,
-  body: unknown,
-  step: string,
-  peer: string,
-): Result<T> {
-  if (typeof body !== 'object' || body === null || Array.isArray(body))
-    return failure(step, peer, 'an object is wanted', 'refused', 'bad-shape');
-  const out = new shape() as Record<string, unknown>;
-  const src = body as Record<string, unknown>;
-  for (const [name, rule] of fieldsOf.get(shape) ?? []) {
-    const v = src[name];
-    if (v === undefined || v === null) {
-      if (rule.need) return failure(step, peer, `field ${name} is missing`, 'refused', 'bad-shape');
-      continue;
-    }
-    if (rule.sort !== 'any' && sortOf(v) !== rule.sort)
-      return failure(step, peer, `field ${name} must be a ${rule.sort}`, 'refused', 'bad-shape');
-    if (rule.sort === 'number' && !Number.isFinite(v))
-      return failure(step, peer, `field ${name} must be finite`, 'refused', 'bad-shape');
-    out[name] = v;
-  }
-  return Right(out as T);
-}
-
-/** What a message handler gives back. */
-export type HandlerResult = Promise<Result<unknown>>;
-
-/** Hands a wire message to the first of the objects that handles its type. */
-export async function dispatch(
-  edges: readonly object[],
-  type: string,
-  body: unknown,
-  from: unknown,
-  peer: string,
-): HandlerResult {
-  for (const e of edges) {
-    const h = messagesOf.get(e.constructor)?.get(type);
-    if (!h) continue;
-    const [f, v] = errorOrValue(
-      h.shape ? parseBody(h.shape, body, type, peer) : Right(body as object),
-    );
-    if (f) return failure(f.step, f.peer, f.reason, f.certainty, f.code);
-    return (e as unknown as Record<string, (b: unknown, x: unknown) => HandlerResult>)[h.name](
-      v,
-      from,
-    );
-  }
-  return failure(type, peer, 'message not known here', 'refused', 'not-known');
-}
-
 /** Sends a JSON return whole. */
 export function sendJson(
   call: IncomingRequest,
--- a/src/shared/transport/quorum-poll.ts
+++ b/src/shared/transport/quorum-poll.ts
@@ -1,6 +1,6 @@
 import { Left, Right } from 'purify-ts';
 import { makeError, errorOrValue, Result } from '../errors/errors';
-import { allVoters, isQuorum, Voter, VoterSet } from '../state/words';
+import { allVoters, isQuorum, Voter, VoterSet } from '../state/voter-set';
 
 function sameDisk(r: { disk?: string } | undefined, v: Voter): boolean {
   return r?.disk === v.disk;
--- a/test/control/cut-off.test.ts
+++ b/test/control/cut-off.test.ts
@@ -1,7 +1,7 @@
 import { Controller } from '../../src/control/controller';
 import { Settings } from '../../src/shared/settings/settings';
-import { IncomingRequest } from '../../src/shared/ports/ports';
-import { CONTROL_KEYS } from '../../src/shared/state/words';
+import { IncomingRequest } from '../../src/shared/ports/network';
+import { CONTROL_KEYS } from '../../src/shared/state/control-keys';
 import { Proc } from '../../tools/sim/simworld';
 import { CoreRig, documentOf, Heard, makeCore, PATHS } from './deploymentrig';
 
--- a/test/control/deployment-histories.test.ts
+++ b/test/control/deployment-histories.test.ts
@@ -1,6 +1,7 @@
 import { makeDeploymentOperation } from '../../src/control/configuration/deployment-change';
 import { DeploymentValue, StoredOrder } from '../../src/shared/state/deployment';
-import { Clock, RandomSource } from '../../src/shared/ports/ports';
+import { Clock } from '../../src/shared/ports/clock';
+import { RandomSource } from '../../src/shared/ports/random';
 import { seededDice } from '../../tools/sim/dice';
 import { Proc } from '../../tools/sim/simworld';
 import { begin, CoreRig, documentOf, isolate, PATHS } from './deploymentrig';
--- a/test/control/deployment-memory.test.ts
+++ b/test/control/deployment-memory.test.ts
@@ -7,7 +7,7 @@
 import { MAX_ACCEPTED_CHANGES } from '../../src/control/configuration/accepted-changes';
 import { DeploymentValue } from '../../src/shared/state/deployment';
 import { OperationError } from '../../src/shared/errors/errors';
-import { VersionedValue } from '../../src/shared/state/words';
+import { VersionedValue } from '../../src/shared/state/versions';
 import { platform } from '../../platform/dialect';
 import { documentOf } from './deploymentrig';
 
--- a/test/control/deploymentrig.ts
+++ b/test/control/deploymentrig.ts
@@ -2,7 +2,7 @@
 import { serveDeployment } from '../../src/control/api/deployment-api';
 import { startBackgroundTasks } from '../../src/control/singletons/background-tasks';
 import { errorOrValue } from '../../src/shared/errors/errors';
-import { requestJson } from '../../src/shared/util/lib';
+import { requestJson } from '../../src/shared/util/http-json';
 import { defaultSettings, Settings } from '../../src/shared/settings/settings';
 import { platform } from '../../platform/dialect';
 import { makeNet, SimNet } from '../../tools/sim/simwire';
--- a/test/control/follower-lag.test.ts
+++ b/test/control/follower-lag.test.ts
@@ -1,5 +1,6 @@
 import { lagMetricRows, makeFollowerLag } from '../../src/control/leases/follower-lag';
-import { CONTROL_KEYS, Version } from '../../src/shared/state/words';
+import { CONTROL_KEYS } from '../../src/shared/state/control-keys';
+import { Version } from '../../src/shared/state/versions';
 import { makeNewsRig } from '../../tools/sim/news/rig';
 
 function placeAt(number: number): Version {
--- a/test/control/founding.test.ts
+++ b/test/control/founding.test.ts
@@ -1,4 +1,4 @@
-import { allVoters } from '../../src/shared/state/words';
+import { allVoters } from '../../src/shared/state/voter-set';
 import { askCore, makeSimFleet, SimFleet, simIntents } from '../../tools/sim/simfleet';
 
 type Reply = { status: number; body: Record<string, unknown> };
--- a/test/control/hand-over.test.ts
+++ b/test/control/hand-over.test.ts
@@ -4,7 +4,7 @@
 import { timeLimitsOf } from '../../src/shared/settings/time-limits';
 import { PeerChannel } from '../../src/shared/transport/connections';
 import { failure, Result } from '../../src/shared/errors/errors';
-import { Clock } from '../../src/shared/ports/ports';
+import { Clock } from '../../src/shared/ports/clock';
 import { defaultSettings } from '../../src/shared/settings/settings';
 import { drawnDocument } from '../../tools/sim/news/rig';
 
--- a/test/control/lease-costs.test.ts
+++ b/test/control/lease-costs.test.ts
@@ -10,7 +10,9 @@
 import { Ports } from '../../src/shared/ports/ports';
 import { timeLimitsOf } from '../../src/shared/settings/time-limits';
 import { defaultSettings } from '../../src/shared/settings/settings';
-import { Member, VersionedValue, VoterSet } from '../../src/shared/state/words';
+import { Member } from '../../src/shared/state/members';
+import { VersionedValue } from '../../src/shared/state/versions';
+import { VoterSet } from '../../src/shared/state/voter-set';
 
 interface Answer {
   granted: boolean;
--- a/test/control/leases.test.ts
+++ b/test/control/leases.test.ts
@@ -3,7 +3,7 @@
 import { errorOrValue } from '../../src/shared/errors/errors';
 import { timeLimitsOf } from '../../src/shared/settings/time-limits';
 import { PeerChannel } from '../../src/shared/transport/connections';
-import { VersionedValue } from '../../src/shared/state/words';
+import { VersionedValue } from '../../src/shared/state/versions';
 import { makeSimFleet } from '../../tools/sim/simfleet';
 import { makeNet } from '../../tools/sim/simwire';
 import { makeWorld } from '../../tools/sim/simworld';
--- a/test/control/leave.test.ts
+++ b/test/control/leave.test.ts
@@ -1,5 +1,5 @@
 import { Result } from '../../src/shared/errors/errors';
-import { requestJson } from '../../src/shared/util/lib';
+import { requestJson } from '../../src/shared/util/http-json';
 import {
   back,
   lose,
--- a/test/control/log-differences.test.ts
+++ b/test/control/log-differences.test.ts
@@ -8,10 +8,12 @@
 import { Acceptor } from '../../src/control/consensus/acceptor';
 import { makeKeyOwner } from '../../src/control/consensus/key-owner';
 import { makeDelta } from '../../src/shared/replication/delta';
-import { dispatch } from '../../src/shared/transport/handlers';
+import { dispatch } from '../../src/shared/transport/message-handlers';
 import { errorOrValue, Result } from '../../src/shared/errors/errors';
-import { Disk, Ports } from '../../src/shared/ports/ports';
-import { VersionedValue, Voter, VoterSet } from '../../src/shared/state/words';
+import { Disk } from '../../src/shared/ports/disk';
+import { Ports } from '../../src/shared/ports/ports';
+import { VersionedValue } from '../../src/shared/state/versions';
+import { Voter, VoterSet } from '../../src/shared/state/voter-set';
 import { makeNet } from '../../tools/sim/simwire';
 import { makeWorld } from '../../tools/sim/simworld';
 
--- a/test/control/news-sender.test.ts
+++ b/test/control/news-sender.test.ts
@@ -4,8 +4,8 @@
 import { AppliedEntry, ChangeMessage, targetOf } from '../../src/shared/replication/change-message';
 import { PeerChannel } from '../../src/shared/transport/connections';
 import { makeError, Result } from '../../src/shared/errors/errors';
-import { Logger } from '../../src/shared/ports/ports';
-import { VersionedValue, Version } from '../../src/shared/state/words';
+import { Logger } from '../../src/shared/ports/logger';
+import { VersionedValue, Version } from '../../src/shared/state/versions';
 
 /** One follower whose answers are given by hand. */
 interface Follower {
--- a/test/control/orders-resent.test.ts
+++ b/test/control/orders-resent.test.ts
@@ -1,4 +1,4 @@
-import { CONTROL_KEYS } from '../../src/shared/state/words';
+import { CONTROL_KEYS } from '../../src/shared/state/control-keys';
 import { defaultSettings } from '../../src/shared/settings/settings';
 import { seededDice } from '../../tools/sim/dice';
 import { begin, CoreRig, documentOf, Heard, PATHS, statusOf } from './deploymentrig';
--- a/test/control/reads.test.ts
+++ b/test/control/reads.test.ts
@@ -7,10 +7,12 @@
 import { Acceptor, VoterTransport } from '../../src/control/consensus/acceptor';
 import { makeKeyOwner, KeyOwner } from '../../src/control/consensus/key-owner';
 import { openControlStore, ControlStore } from '../../src/control/storage/control-store';
-import { dispatch } from '../../src/shared/transport/handlers';
+import { dispatch } from '../../src/shared/transport/message-handlers';
 import { failure, errorOrValue, Result } from '../../src/shared/errors/errors';
 import { Ports } from '../../src/shared/ports/ports';
-import { CONTROL_KEYS, VersionedValue, Voter, VoterSet } from '../../src/shared/state/words';
+import { CONTROL_KEYS } from '../../src/shared/state/control-keys';
+import { VersionedValue } from '../../src/shared/state/versions';
+import { Voter, VoterSet } from '../../src/shared/state/voter-set';
 import { makeNet } from '../../tools/sim/simwire';
 import { makeWorld, Proc, World } from '../../tools/sim/simworld';
 
--- a/test/control/recommitted.test.ts
+++ b/test/control/recommitted.test.ts
@@ -9,7 +9,8 @@
   isAtLeast,
   readChange,
 } from '../../src/shared/replication/change-message';
-import { CONTROL_KEYS, VersionedValue } from '../../src/shared/state/words';
+import { CONTROL_KEYS } from '../../src/shared/state/control-keys';
+import { VersionedValue } from '../../src/shared/state/versions';
 import { back, lose, makeOperator, running, until } from '../../tools/sim/simcore';
 import { SimFleet } from '../../tools/sim/simfleet';
 import { all, applied, CORE, founded } from './rosterrig';
--- a/test/control/register.test.ts
+++ b/test/control/register.test.ts
@@ -2,9 +2,10 @@
 import { Acceptor, VoterTransport } from '../../src/control/consensus/acceptor';
 import { makeKeyOwner, KeyOwner } from '../../src/control/consensus/key-owner';
 import { openControlStore } from '../../src/control/storage/control-store';
-import { dispatch } from '../../src/shared/transport/handlers';
+import { dispatch } from '../../src/shared/transport/message-handlers';
 import { failure, errorOrValue, Result } from '../../src/shared/errors/errors';
-import { VersionedValue, Voter, VoterSet } from '../../src/shared/state/words';
+import { VersionedValue } from '../../src/shared/state/versions';
+import { Voter, VoterSet } from '../../src/shared/state/voter-set';
 import { makeNet } from '../../tools/sim/simwire';
 import { makeWorld, World } from '../../tools/sim/simworld';
 
--- a/test/control/repair-retries.test.ts
+++ b/test/control/repair-retries.test.ts
@@ -3,7 +3,7 @@
  * commit every key anew, which would be news to every follower and to the newcomer.
  */
 
-import { CONTROL_KEYS } from '../../src/shared/state/words';
+import { CONTROL_KEYS } from '../../src/shared/state/control-keys';
 import { back, lose, makeOperator, procOf, running, until } from '../../tools/sim/simcore';
 import { all, applied, CORE, founded } from './rosterrig';
 
--- a/test/control/rolloutdesk.ts
+++ b/test/control/rolloutdesk.ts
@@ -1,11 +1,12 @@
 import { platform } from '../../platform/dialect';
 import { Controller, startController } from '../../src/control/controller';
 import { runWeightsRollout } from '../../src/control/singletons/weights-rollout';
-import { sendJson, readJsonBody } from '../../src/shared/transport/handlers';
+import { sendJson, readJsonBody } from '../../src/shared/transport/http-handlers';
 import { errorOrValue } from '../../src/shared/errors/errors';
-import { IncomingRequest, Ports } from '../../src/shared/ports/ports';
+import { IncomingRequest } from '../../src/shared/ports/network';
+import { Ports } from '../../src/shared/ports/ports';
 import { defaultSettings, Settings } from '../../src/shared/settings/settings';
-import { Engine } from '../../src/shared/state/words';
+import { Engine } from '../../src/shared/state/engines';
 import { makeNet, SimNet } from '../../tools/sim/simwire';
 import { makeWorld, Proc, World } from '../../tools/sim/simworld';
 
--- a/test/control/roster.test.ts
+++ b/test/control/roster.test.ts
@@ -1,5 +1,5 @@
-import { planVoterSet, VoterHealth } from '../../src/control/membership/voter-set-controller';
-import { Voter } from '../../src/shared/state/words';
+import { planVoterSet, VoterHealth } from '../../src/control/membership/voter-set-plan';
+import { Voter } from '../../src/shared/state/voter-set';
 import {
   back,
   isFounded,
--- a/test/control/weights-naming.test.ts
+++ b/test/control/weights-naming.test.ts
@@ -1,7 +1,7 @@
 import { computeNextValue } from '../../src/control/configuration/operations';
 import { OperationError } from '../../src/shared/errors/errors';
 import { NamedWeights } from '../../src/shared/state/weights';
-import { VersionedValue } from '../../src/shared/state/words';
+import { VersionedValue } from '../../src/shared/state/versions';
 import { seededDice } from '../../tools/sim/dice';
 import { begin, CoreRig, insisted, isolate, PATHS, post, SILENCE } from './deploymentrig';
 
--- a/test/control/weights.test.ts
+++ b/test/control/weights.test.ts
@@ -4,10 +4,10 @@
   WeightsBook,
   WeightsEdge,
 } from '../../src/data/gateway/weights';
-import { dispatch } from '../../src/shared/transport/handlers';
-import { Clock } from '../../src/shared/ports/ports';
+import { dispatch } from '../../src/shared/transport/message-handlers';
+import { Clock } from '../../src/shared/ports/clock';
 import { compareWeights, lacks } from '../../src/shared/state/weights';
-import { Engine } from '../../src/shared/state/words';
+import { Engine } from '../../src/shared/state/engines';
 
 const STOP = 6000;
 const LATE = 2000;
--- a/test/data/gateway-connections.test.ts
+++ b/test/data/gateway-connections.test.ts
@@ -1,10 +1,11 @@
 import { keepConnections } from '../../src/data/gateway/pools';
 import { makeRetryBudget } from '../../src/data/gateway/budget';
 import { failure, errorOrValue, Result } from '../../src/shared/errors/errors';
-import { Clock, HttpConnection, RawHttpNetwork } from '../../src/shared/ports/ports';
+import { Clock } from '../../src/shared/ports/clock';
+import { HttpConnection, RawHttpNetwork } from '../../src/shared/ports/raw-http';
 import { Right } from 'purify-ts';
 import { defaultSettings } from '../../src/shared/settings/settings';
-import { Engine } from '../../src/shared/state/words';
+import { Engine } from '../../src/shared/state/engines';
 
 interface Hand extends HttpConnection {
   idle(): void;
--- a/test/data/gateway-drain-changes.test.ts
+++ b/test/data/gateway-drain-changes.test.ts
@@ -1,4 +1,4 @@
-import { CONTROL_KEYS } from '../../src/shared/state/words';
+import { CONTROL_KEYS } from '../../src/shared/state/control-keys';
 import { bareCaller } from './bare-caller';
 import { HeldRig, startHeldRig } from './drainrig';
 import { ask, deployment, Got, route, sealed, startStandIn, turnsAway } from './gatewayrig';
--- a/test/data/gateway-drain.test.ts
+++ b/test/data/gateway-drain.test.ts
@@ -1,5 +1,5 @@
 import http from 'node:http';
-import { RandomSource } from '../../src/shared/ports/ports';
+import { RandomSource } from '../../src/shared/ports/random';
 import { seededDice } from '../../tools/sim/dice';
 import { CONTACT_MS, GRACE_MS, startHeldRig } from './drainrig';
 import { ask, Got, Rig } from './gatewayrig';
--- a/test/data/gatewayrig.ts
+++ b/test/data/gatewayrig.ts
@@ -5,12 +5,14 @@
 import { Gateway, startGateway } from '../../src/data/gateway/gateway';
 import { Deployment, HttpRoute } from '../../src/shared/state/deployment';
 import { Follower } from '../../src/shared/replication/follower';
-import { makePushStream } from '../../src/shared/util/lib';
+import { makePushStream } from '../../src/shared/util/push-stream';
 import { Ports } from '../../src/shared/ports/ports';
-import { makeSystemClock } from '../../src/shared/system/system-ports';
+import { makeSystemClock } from '../../src/shared/system/system-clock';
 import { makeRawHttpNetwork } from '../../src/shared/system/raw-http';
 import { defaultSettings, Settings } from '../../src/shared/settings/settings';
-import { Engine, CONTROL_KEYS, VersionedValue } from '../../src/shared/state/words';
+import { Engine } from '../../src/shared/state/engines';
+import { CONTROL_KEYS } from '../../src/shared/state/control-keys';
+import { VersionedValue } from '../../src/shared/state/versions';
 
 /** What a stand-in engine was asked, and its answer to be given. */
 export interface EngineCall {
--- a/test/platform/platform-engine.test.ts
+++ b/test/platform/platform-engine.test.ts
@@ -1,5 +1,5 @@
 import { errorOrValue } from '../../src/shared/errors/errors';
-import { requestJson } from '../../src/shared/util/lib';
+import { requestJson } from '../../src/shared/util/http-json';
 import { startList } from '../../tools/standins/platform/instances';
 import { startStore } from '../../tools/standins/platform/store';
 import { AT, bench, call, FEED, Got, inTurn, play, prompt, STORE } from './platform-bench';
--- a/test/shared/clock.test.ts
+++ b/test/shared/clock.test.ts
@@ -1,5 +1,5 @@
 import os from 'node:os';
-import { makeSystemClock } from '../../src/shared/system/system-ports';
+import { makeSystemClock } from '../../src/shared/system/system-clock';
 
 /** What a clock shows to have passed while the machine's time since boot ran an hour ahead, in ms. */
 function passed(suspends: boolean): number {
--- a/test/shared/connections.test.ts
+++ b/test/shared/connections.test.ts
@@ -7,7 +7,7 @@
   maintainConnection,
   PROTOCOL_VERSION,
 } from '../../src/shared/transport/connections';
-import { Connection } from '../../src/shared/ports/ports';
+import { Connection } from '../../src/shared/ports/network';
 import { makeNet } from '../../tools/sim/simwire';
 import { makeWorld } from '../../tools/sim/simworld';
 
--- a/test/shared/delta.test.ts
+++ b/test/shared/delta.test.ts
@@ -1,5 +1,5 @@
 import { makeDelta, applyPatch, diff, readDelta } from '../../src/shared/replication/delta';
-import { VersionedValue } from '../../src/shared/state/words';
+import { VersionedValue } from '../../src/shared/state/versions';
 import { seededDice } from '../../tools/sim/dice';
 
 function random(dice: () => number, depth: number): unknown {
--- a/test/shared/manual-clock.ts
+++ b/test/shared/manual-clock.ts
@@ -1,6 +1,6 @@
 /** A clock that stands still until a test moves it on. */
 
-import { Clock } from '../../src/shared/ports/ports';
+import { Clock } from '../../src/shared/ports/clock';
 
 interface Timer {
   at: number;
--- a/test/shared/pieces.test.ts
+++ b/test/shared/pieces.test.ts
@@ -9,7 +9,7 @@
   CHUNK_BYTES,
   ChunkRequest,
 } from '../../src/shared/replication/chunk-fetcher';
-import { VersionedValue, Version } from '../../src/shared/state/words';
+import { VersionedValue, Version } from '../../src/shared/state/versions';
 import { drawnDocument } from '../../tools/sim/news/rig';
 
 const KEY = 'deployment';
--- a/test/shared/realhttp-close.test.ts
+++ b/test/shared/realhttp-close.test.ts
@@ -1,7 +1,7 @@
 import { once } from 'node:events';
 import http from 'node:http';
 import net from 'node:net';
-import { RawIncomingRequest, RawListener } from '../../src/shared/ports/ports';
+import { RawIncomingRequest, RawListener } from '../../src/shared/ports/raw-http';
 import { makeRawHttpNetwork } from '../../src/shared/system/raw-http';
 import { bareCaller } from '../data/bare-caller';
 
--- a/tools/capacity/hollow.ts
+++ b/tools/capacity/hollow.ts
@@ -2,15 +2,13 @@
 import { mkdirSync, rmSync } from 'node:fs';
 import { join, resolve } from 'node:path';
 import { Ports } from '../../src/shared/ports/ports';
-import {
-  makeSystemClock,
-  makeSystemRandom,
-  makeFileDisk,
-  makeLogger,
-} from '../../src/shared/system/system-ports';
+import { makeSystemClock } from '../../src/shared/system/system-clock';
+import { makeSystemRandom } from '../../src/shared/system/system-random';
+import { makeFileDisk } from '../../src/shared/system/file-disk';
+import { makeLogger } from '../../src/shared/system/logger';
 import { makeSystemNetwork } from '../../src/shared/system/tcp-network';
 import { readSettings, Settings } from '../../src/shared/settings/settings';
-import { Engine } from '../../src/shared/state/words';
+import { Engine } from '../../src/shared/state/engines';
 import { startPlatform } from '../standins/platform';
 import { Figures, Rates, ratesOf } from './meter';
 import { startList } from './platform';
--- a/tools/capacity/meter.ts
+++ b/tools/capacity/meter.ts
@@ -1,7 +1,9 @@
 import { subscribe } from 'node:diagnostics_channel';
 import { Socket } from 'node:net';
-import { Connection, Disk, Message, Ports, Network } from '../../src/shared/ports/ports';
-import { Listener } from '../../src/shared/ports/ports';
+import { Connection, Message, Network } from '../../src/shared/ports/network';
+import { Disk } from '../../src/shared/ports/disk';
+import { Ports } from '../../src/shared/ports/ports';
+import { Listener } from '../../src/shared/ports/network';
 import { Result } from '../../src/shared/errors/errors';
 
 /** What one process has used since it began; memory is as it stands. */
--- a/tools/capacity/operators.ts
+++ b/tools/capacity/operators.ts
@@ -1,6 +1,6 @@
 import { errorOrValue } from '../../src/shared/errors/errors';
-import { requestJson } from '../../src/shared/util/lib';
-import { Intents, Rule, Tenant } from '../../src/shared/state/words';
+import { requestJson } from '../../src/shared/util/http-json';
+import { Intents, Rule, Tenant } from '../../src/shared/state/intents';
 import { Hollow, MODEL } from './hollow';
 
 /** What one change cost its operator: ms to the return, and whether it was in effect by then. */
--- a/tools/capacity/platform.ts
+++ b/tools/capacity/platform.ts
@@ -1,8 +1,9 @@
-import { sendJson } from '../../src/shared/transport/handlers';
-import { requestJson } from '../../src/shared/util/lib';
+import { sendJson } from '../../src/shared/transport/http-handlers';
+import { requestJson } from '../../src/shared/util/http-json';
 import { errorOrValue, Result } from '../../src/shared/errors/errors';
-import { IncomingRequest, Listener, Ports } from '../../src/shared/ports/ports';
-import { Engine } from '../../src/shared/state/words';
+import { IncomingRequest, Listener } from '../../src/shared/ports/network';
+import { Ports } from '../../src/shared/ports/ports';
+import { Engine } from '../../src/shared/state/engines';
 import { Hollow, MODEL } from './hollow';
 import { ChangeSeen } from './operators';
 import { CHAIN, hollowHash, SourceWays } from './sources';
--- a/tools/capacity/role.ts
+++ b/tools/capacity/role.ts
@@ -10,17 +10,15 @@
 import { followCore, Follower } from '../../src/shared/replication/follower';
 import { HelloHandlers, PROTOCOL_VERSION } from '../../src/shared/transport/connections';
 import { Ports } from '../../src/shared/ports/ports';
-import {
-  makeSystemClock,
-  makeSystemRandom,
-  makeFileDisk,
-  makeLogger,
-} from '../../src/shared/system/system-ports';
+import { makeSystemClock } from '../../src/shared/system/system-clock';
+import { makeSystemRandom } from '../../src/shared/system/system-random';
+import { makeFileDisk } from '../../src/shared/system/file-disk';
+import { makeLogger } from '../../src/shared/system/logger';
 import { makeRawHttpNetwork } from '../../src/shared/system/raw-http';
 import { makeSystemNetwork } from '../../src/shared/system/tcp-network';
 import { Settings } from '../../src/shared/settings/settings';
 import { timeLimitsOf } from '../../src/shared/settings/time-limits';
-import { VersionedValue } from '../../src/shared/state/words';
+import { VersionedValue } from '../../src/shared/state/versions';
 import { Figures, startMeter } from './meter';
 import { startPlatformSource } from './platform';
 import { SourceWays, startSource } from './sources';
--- a/tools/capacity/sources.ts
+++ b/tools/capacity/sources.ts
@@ -1,7 +1,12 @@
 import { EventBatch, BlockEvent } from '../../src/shared/contracts/engine';
-import { sendJson, httpHandler, makeRequestListener } from '../../src/shared/transport/handlers';
+import {
+  sendJson,
+  httpHandler,
+  makeRequestListener,
+} from '../../src/shared/transport/http-handlers';
 import { Result } from '../../src/shared/errors/errors';
-import { IncomingRequest, Listener, Ports } from '../../src/shared/ports/ports';
+import { IncomingRequest, Listener } from '../../src/shared/ports/network';
+import { Ports } from '../../src/shared/ports/ports';
 
 /** How a hollow source of kept parts behaves: it keeps `holds` parts, and then stores and drops at its pace. */
 export interface SourceWays {
--- a/tools/compatibility/controller-asks.ts
+++ b/tools/compatibility/controller-asks.ts
@@ -9,7 +9,7 @@
 import { timeLimitsOf } from '../../src/shared/settings/time-limits';
 import { openChannel } from '../../src/shared/transport/connections';
 import { Result } from '../../src/shared/errors/errors';
-import { allVoters, Voter } from '../../src/shared/state/words';
+import { allVoters, Voter } from '../../src/shared/state/voter-set';
 import { asked, isFounded, procOf, until, votersOf } from '../sim/simcore';
 import { makeSimFleet, SimFleet, simIntents } from '../sim/simfleet';
 import { makeProbe, Probe, settled } from './probe';
--- a/tools/compatibility/disk-state.ts
+++ b/tools/compatibility/disk-state.ts
@@ -5,7 +5,7 @@
 import { createHash } from 'node:crypto';
 import { Right } from 'purify-ts';
 import { openControlStore, ControlStore } from '../../src/control/storage/control-store';
-import { StoredVotes, readStoredVotes, Vote } from '../../src/control/storage/idempotency-votes';
+import { StoredVotes, readStoredVotes, Vote } from '../../src/control/storage/vote-files';
 import { errorOrValue, Result } from '../../src/shared/errors/errors';
 import { Ports } from '../../src/shared/ports/ports';
 import { seededDice } from '../sim/dice';
--- a/tools/compatibility/recording.ts
+++ b/tools/compatibility/recording.ts
@@ -3,7 +3,7 @@
  */
 
 import { Packr } from 'msgpackr';
-import { Message } from '../../src/shared/ports/ports';
+import { Message } from '../../src/shared/ports/network';
 import { ThinLinks } from '../sim/thin-links';
 import { addFieldPaths, fieldPaths } from './field-paths';
 
--- a/tools/compatibility/stored-disks.ts
+++ b/tools/compatibility/stored-disks.ts
@@ -5,7 +5,8 @@
 import { crc32 } from 'node:zlib';
 import { pack } from 'msgpackr';
 import { Controller } from '../../src/control/controller';
-import { CONTROL_KEYS, Voter, VoterSet } from '../../src/shared/state/words';
+import { CONTROL_KEYS } from '../../src/shared/state/control-keys';
+import { Voter, VoterSet } from '../../src/shared/state/voter-set';
 import { asked, back, counts, isFounded, lose, procOf, until, votersOf } from '../sim/simcore';
 import { makeSimFleet, SimFleet, simIntents } from '../sim/simfleet';
 import { damagedForms } from './disk-damage';
--- a/tools/compatibility/stored-dump.ts
+++ b/tools/compatibility/stored-dump.ts
@@ -4,7 +4,7 @@
 
 import { Right } from 'purify-ts';
 import { unpack } from 'msgpackr';
-import { HandlerResult, messageHandler } from '../../src/shared/transport/handlers';
+import { HandlerResult, messageHandler } from '../../src/shared/transport/message-handlers';
 import { makeScene, PROMPT, SALT, Scene } from '../sim/feedscene';
 
 /** What a replica tells of a prompt that was in the dump, and of one that was not. */
--- a/tools/compatibility/write-on.ts
+++ b/tools/compatibility/write-on.ts
@@ -3,7 +3,8 @@
  */
 
 import { RegisterState } from '../../src/control/storage/control-store';
-import { Vote, IdempotencyVotes } from '../../src/control/storage/idempotency-votes';
+import { Vote } from '../../src/control/storage/vote-files';
+import { IdempotencyVotes } from '../../src/control/storage/idempotency-votes';
 import { DiskFiles, digestOfBytes, DiskState, openDisk, cellsOf } from './disk-state';
 
 /** What the process that wrote held at its end. */
--- a/tools/fleet/faults.ts
+++ b/tools/fleet/faults.ts
@@ -1,5 +1,5 @@
 import { rmSync } from 'node:fs';
-import { requestJson } from '../../src/shared/util/lib';
+import { requestJson } from '../../src/shared/util/http-json';
 import { listed } from '../standins/deploy';
 import { controlOf, type Fleet, type Proc } from './processes';
 
--- a/tools/fleet/machines.ts
+++ b/tools/fleet/machines.ts
@@ -1,7 +1,7 @@
 import { ChildProcess, spawn } from 'node:child_process';
 import { mkdirSync, rmSync, writeFileSync } from 'node:fs';
 import { join, resolve } from 'node:path';
-import { Clock } from '../../src/shared/ports/ports';
+import { Clock } from '../../src/shared/ports/clock';
 import { Book, troubled } from '../standins/platform/book';
 import { kept } from '../standins/platform/serve';
 import { SettingsOf, settingsText } from '../standins/platform/settingsfile';
--- a/tools/fleet/platform.ts
+++ b/tools/fleet/platform.ts
@@ -1,7 +1,7 @@
 import { mkdirSync, rmSync } from 'node:fs';
 import { resolve } from 'node:path';
-import { Clock } from '../../src/shared/ports/ports';
-import { makeSystemClock } from '../../src/shared/system/system-ports';
+import { Clock } from '../../src/shared/ports/clock';
+import { makeSystemClock } from '../../src/shared/system/system-clock';
 import { seededDice } from '../sim/dice';
 import { Day, startDay } from '../standins/platform/day';
 import { Entry } from '../standins/platform/entry';
--- a/tools/fleet/processes.ts
+++ b/tools/fleet/processes.ts
@@ -5,15 +5,13 @@
 import { ChildProcess, spawn } from 'node:child_process';
 import { writeFileSync } from 'node:fs';
 import { join, resolve } from 'node:path';
-import { requestJson } from '../../src/shared/util/lib';
+import { requestJson } from '../../src/shared/util/http-json';
 import { errorOrValue } from '../../src/shared/errors/errors';
 import { Ports } from '../../src/shared/ports/ports';
-import {
-  makeSystemClock,
-  makeSystemRandom,
-  makeFileDisk,
-  makeLogger,
-} from '../../src/shared/system/system-ports';
+import { makeSystemClock } from '../../src/shared/system/system-clock';
+import { makeSystemRandom } from '../../src/shared/system/system-random';
+import { makeFileDisk } from '../../src/shared/system/file-disk';
+import { makeLogger } from '../../src/shared/system/logger';
 import { makeSystemNetwork } from '../../src/shared/system/tcp-network';
 import { Deployment, listed } from '../standins/deploy';
 import { boundOf } from '../standins/links';
--- a/tools/fleet/soak.ts
+++ b/tools/fleet/soak.ts
@@ -3,7 +3,7 @@
  * using the connections that they have.
  */
 
-import { RandomSource } from '../../src/shared/ports/ports';
+import { RandomSource } from '../../src/shared/ports/random';
 
 /** One trouble of a soak, begun whether or not the ones before it are over. */
 export interface SoakStep {
--- a/tools/fleet/troubles.ts
+++ b/tools/fleet/troubles.ts
@@ -1,4 +1,4 @@
-import { sha256Hex } from '../../src/shared/util/lib';
+import { sha256Hex } from '../../src/shared/util/hashing';
 import { SPOILT, spoiltItems } from './invalid-changes';
 import { ConfigDoc, ConfigSent, troubled } from '../standins/platform/book';
 import { Day } from '../standins/platform/day';
--- a/tools/history/generate.ts
+++ b/tools/history/generate.ts
@@ -1,6 +1,6 @@
 /** Random histories of a register that is right, for tests of the checker. */
 import { HistoryCall } from '../../src/shared/history/calls';
-import { RandomSource } from '../../src/shared/ports/ports';
+import { RandomSource } from '../../src/shared/ports/random';
 import { seededDice } from '../sim/dice';
 
 /** How a random history is made. */
--- a/tools/model/disk.ts
+++ b/tools/model/disk.ts
@@ -1,7 +1,7 @@
 /** A simulated data folder: what is written is cached at once, and durable after its sync. */
 import { Right } from 'purify-ts';
 import { Result } from '../../src/shared/errors/errors';
-import { Disk } from '../../src/shared/ports/ports';
+import { Disk } from '../../src/shared/ports/disk';
 import { digest } from './scheduler';
 
 interface File {
--- a/tools/model/mutations.ts
+++ b/tools/model/mutations.ts
@@ -6,8 +6,9 @@
 import { KeyOwner } from '../../src/control/consensus/key-owner';
 import { LogEntry, ControlStore } from '../../src/control/storage/control-store';
 import { OperationError, Result } from '../../src/shared/errors/errors';
-import { Disk } from '../../src/shared/ports/ports';
-import { VersionedValue, Voter, VoterSet } from '../../src/shared/state/words';
+import { Disk } from '../../src/shared/ports/disk';
+import { VersionedValue } from '../../src/shared/state/versions';
+import { Voter, VoterSet } from '../../src/shared/state/voter-set';
 import { InvariantName } from './invariants';
 
 /** One mechanism left out; what is absent stays as it is. */
--- a/tools/model/node.ts
+++ b/tools/model/node.ts
@@ -17,18 +17,15 @@
 import { makeKeyOwner, KeyOwner } from '../../src/control/consensus/key-owner';
 import { openControlStore, ControlStore } from '../../src/control/storage/control-store';
 import { PeerChannel } from '../../src/shared/transport/connections';
-import { dispatch } from '../../src/shared/transport/handlers';
+import { dispatch } from '../../src/shared/transport/message-handlers';
 import { failure, errorOrValue, Result } from '../../src/shared/errors/errors';
-import { RandomSource, Ports } from '../../src/shared/ports/ports';
+import { RandomSource } from '../../src/shared/ports/random';
+import { Ports } from '../../src/shared/ports/ports';
 import { TimeLimits } from '../../src/shared/settings/time-limits';
 import { Settings } from '../../src/shared/settings/settings';
-import {
-  allVoters,
-  CONTROL_KEYS,
-  VersionedValue,
-  Voter,
-  VoterSet,
-} from '../../src/shared/state/words';
+import { allVoters, Voter, VoterSet } from '../../src/shared/state/voter-set';
+import { CONTROL_KEYS } from '../../src/shared/state/control-keys';
+import { VersionedValue } from '../../src/shared/state/versions';
 import { Folder, makeFolder } from './disk';
 import { Checker } from './invariants';
 import { Mutation } from './mutations';
--- a/tools/model/worlds.ts
+++ b/tools/model/worlds.ts
@@ -1,5 +1,5 @@
 /** The small worlds that are checked. */
-import { CONTROL_KEYS } from '../../src/shared/state/words';
+import { CONTROL_KEYS } from '../../src/shared/state/control-keys';
 import { Step, WEIGHTS_KEY } from './operators';
 
 /** How many faults of each kind a schedule may have. */
--- a/tools/sim/dice.ts
+++ b/tools/sim/dice.ts
@@ -1,4 +1,4 @@
-import { RandomSource } from '../../src/shared/ports/ports';
+import { RandomSource } from '../../src/shared/ports/random';
 
 /** Randomness from a seed, the same every run. */
 export function seededDice(seed: number): RandomSource {
--- a/tools/sim/feedscene.ts
+++ b/tools/sim/feedscene.ts
@@ -6,7 +6,7 @@
 import { errorOrValue } from '../../src/shared/errors/errors';
 import { defaultSettings } from '../../src/shared/settings/settings';
 import { WireBlock } from '../../src/shared/contracts/indexer';
-import { CONTROL_KEYS } from '../../src/shared/state/words';
+import { CONTROL_KEYS } from '../../src/shared/state/control-keys';
 import { startCore, StandInCore } from '../standins/core';
 import { KvSource, KvWays, makeKvSource } from '../standins/kvsource';
 import { makeNet, SimNet } from './simwire';
--- a/tools/sim/news/play.ts
+++ b/tools/sim/news/play.ts
@@ -1,8 +1,10 @@
 /** Plays changes at a rate over many followers behind thin links, and measures how they get there. */
 import { DeploymentValue } from '../../../src/shared/state/deployment';
 import { errorOrValue } from '../../../src/shared/errors/errors';
-import { Message } from '../../../src/shared/ports/ports';
-import { Engine, CONTROL_KEYS, VersionedValue } from '../../../src/shared/state/words';
+import { Message } from '../../../src/shared/ports/network';
+import { Engine } from '../../../src/shared/state/engines';
+import { CONTROL_KEYS } from '../../../src/shared/state/control-keys';
+import { VersionedValue } from '../../../src/shared/state/versions';
 import { drawnDocument, drawnRoute, makeNewsRig, NewsRig, ProcessorShares } from './rig';
 
 /** What is played. */
--- a/tools/sim/news/rig.ts
+++ b/tools/sim/news/rig.ts
@@ -7,12 +7,14 @@
   PROTOCOL_VERSION,
 } from '../../../src/shared/transport/connections';
 import { errorOrValue, Result } from '../../../src/shared/errors/errors';
-import { sha256Hex } from '../../../src/shared/util/lib';
+import { sha256Hex } from '../../../src/shared/util/hashing';
 import { followCore, Follower } from '../../../src/shared/replication/follower';
-import { Connection, Ports } from '../../../src/shared/ports/ports';
+import { Connection } from '../../../src/shared/ports/network';
+import { Ports } from '../../../src/shared/ports/ports';
 import { timeLimitsOf } from '../../../src/shared/settings/time-limits';
 import { defaultSettings, Settings } from '../../../src/shared/settings/settings';
-import { CONTROL_KEYS, Member } from '../../../src/shared/state/words';
+import { CONTROL_KEYS } from '../../../src/shared/state/control-keys';
+import { Member } from '../../../src/shared/state/members';
 import { platform } from '../../../platform/dialect';
 import { makeProcessors } from '../processors';
 import { makeNet, SimNet } from '../simwire';
--- a/tools/sim/overlap.ts
+++ b/tools/sim/overlap.ts
@@ -1,5 +1,6 @@
 import { Command } from 'commander';
-import { IntentsValue, CONTROL_KEYS } from '../../src/shared/state/words';
+import { IntentsValue } from '../../src/shared/state/intents';
+import { CONTROL_KEYS } from '../../src/shared/state/control-keys';
 import { Seen } from '../standins/callers';
 import { DEPLOYMENTS } from '../standins/deploy';
 import { Fault } from './simfaults';
--- a/tools/sim/placing.ts
+++ b/tools/sim/placing.ts
@@ -11,7 +11,7 @@
   PoolView,
   Underway,
 } from '../../src/data/gateway/placement-types';
-import { RandomSource } from '../../src/shared/ports/ports';
+import { RandomSource } from '../../src/shared/ports/random';
 import { makeAgenda } from './agenda';
 import { makePartCache, PartCache } from './partcache';
 import { seededDice } from './dice';
--- a/tools/sim/simcore.ts
+++ b/tools/sim/simcore.ts
@@ -1,5 +1,6 @@
 import { Controller } from '../../src/control/controller';
-import { allVoters, IntentsValue, Voter } from '../../src/shared/state/words';
+import { allVoters, Voter } from '../../src/shared/state/voter-set';
+import { IntentsValue } from '../../src/shared/state/intents';
 import { askCore, SimFleet, simIntents } from './simfleet';
 import { Proc } from './simworld';
 
--- a/tools/sim/simfaults.ts
+++ b/tools/sim/simfaults.ts
@@ -1,4 +1,4 @@
-import { RandomSource } from '../../src/shared/ports/ports';
+import { RandomSource } from '../../src/shared/ports/random';
 import { EngineWays } from '../standins/engineways';
 import { SimFleet } from './simfleet';
 import { Proc } from './simworld';
--- a/tools/sim/simops.ts
+++ b/tools/sim/simops.ts
@@ -1,5 +1,6 @@
 import { errorOrValue } from '../../src/shared/errors/errors';
-import { requestJson, readToEnd, makeLineReader, parseJson } from '../../src/shared/util/lib';
+import { requestJson, readToEnd, makeLineReader } from '../../src/shared/util/http-json';
+import { parseJson } from '../../src/shared/util/try-catch';
 import { askCore, SimFleet, simIntents } from './simfleet';
 
 /** What operators were told, and what that lets us expect. */
--- a/tools/sim/simpipe.ts
+++ b/tools/sim/simpipe.ts
@@ -2,8 +2,8 @@
  * The simulated network's pipes: orderly, one-way, and lossless until they break; two make a connection.
  */
 
-import { makePushStream } from '../../src/shared/util/lib';
-import { Connection, Message } from '../../src/shared/ports/ports';
+import { makePushStream } from '../../src/shared/util/push-stream';
+import { Connection, Message } from '../../src/shared/ports/network';
 import { Proc, World } from './simworld';
 
 /** One direction between two processes. */
--- a/tools/sim/simwire.ts
+++ b/tools/sim/simwire.ts
@@ -5,11 +5,11 @@
   IncomingRequest,
   Listener,
   Message,
-  Ports,
   HttpResponse,
   Connection,
   Network,
-} from '../../src/shared/ports/ports';
+} from '../../src/shared/ports/network';
+import { Ports } from '../../src/shared/ports/ports';
 import { Proc, World } from './simworld';
 import { makePipes, NetWays, Pipe, PipeEnds } from './simpipe';
 import { ThinLinks } from './thin-links';
--- a/tools/sim/simworld.ts
+++ b/tools/sim/simworld.ts
@@ -1,7 +1,10 @@
 import { Left, Right } from 'purify-ts';
 import { countingSuspension } from '../../src/shared/system/suspension-clock';
 import { makeError, Result } from '../../src/shared/errors/errors';
-import { Clock, RandomSource, Disk, Logger } from '../../src/shared/ports/ports';
+import { Clock } from '../../src/shared/ports/clock';
+import { RandomSource } from '../../src/shared/ports/random';
+import { Disk } from '../../src/shared/ports/disk';
+import { Logger } from '../../src/shared/ports/logger';
 import { seededDice } from './dice';
 import { makeEventHeap, SimEvent } from './event-heap';
 import { Processors } from './processors';
--- a/tools/sim/thin-links.ts
+++ b/tools/sim/thin-links.ts
@@ -1,5 +1,5 @@
 import { pack } from 'msgpackr';
-import { Message } from '../../src/shared/ports/ports';
+import { Message } from '../../src/shared/ports/network';
 
 /** Machines' links of limited bandwidth. */
 export interface ThinLinks {
--- a/tools/sim/traffic.ts
+++ b/tools/sim/traffic.ts
@@ -1,5 +1,5 @@
 import { pack } from 'msgpackr';
-import { Message } from '../../src/shared/ports/ports';
+import { Message } from '../../src/shared/ports/network';
 
 /** Messages and bytes between our processes, by sender's role and type. */
 export interface Traffic {
--- a/tools/sim/without.ts
+++ b/tools/sim/without.ts
@@ -15,10 +15,12 @@
 import { OperationError, Result } from '../../src/shared/errors/errors';
 import * as clock from '../../src/shared/system/suspension-clock';
 import * as follow from '../../src/shared/replication/follower';
-import { IncomingRequest, Ports } from '../../src/shared/ports/ports';
+import { IncomingRequest } from '../../src/shared/ports/network';
+import { Ports } from '../../src/shared/ports/ports';
 import * as bounds from '../../src/shared/settings/time-limits';
 import { Settings } from '../../src/shared/settings/settings';
-import { Engine, Intents } from '../../src/shared/state/words';
+import { Engine } from '../../src/shared/state/engines';
+import { Intents } from '../../src/shared/state/intents';
 import * as operations from '../../src/control/configuration/operations';
 
 type Patch = Record<string, (...x: never[]) => unknown>;
--- a/tools/sim/worst/day.ts
+++ b/tools/sim/worst/day.ts
@@ -1,7 +1,7 @@
 /** A worst day: storms of operators' changes over a core in trouble, and what is judged of it. */
 import { errorOrValue } from '../../../src/shared/errors/errors';
 import { checkHistory, sayVerdict } from '../../../src/shared/history/verdict';
-import { CONTROL_KEYS } from '../../../src/shared/state/words';
+import { CONTROL_KEYS } from '../../../src/shared/state/control-keys';
 import { NamedWeights } from '../../../src/shared/state/weights';
 import { HistoryRecorder, makeHistoryRecorder } from '../../history/record';
 import { seededDice } from '../dice';
--- a/tools/sim/worst/faults.ts
+++ b/tools/sim/worst/faults.ts
@@ -1,5 +1,5 @@
 /** The faults of worst days: a schedule drawn by seed, brought about as far as the core bears them. */
-import { RandomSource } from '../../../src/shared/ports/ports';
+import { RandomSource } from '../../../src/shared/ports/random';
 import { Member, WorstCore } from './core';
 
 /** What can be done to the core. */
--- a/tools/sim/worst/orders.ts
+++ b/tools/sim/worst/orders.ts
@@ -1,6 +1,6 @@
 /** What operators of worst days ask for. */
 import { CallKind } from '../../../src/shared/history/calls';
-import { RandomSource } from '../../../src/shared/ports/ports';
+import { RandomSource } from '../../../src/shared/ports/random';
 import { platform } from '../../../platform/dialect';
 import {
   applyRouteChange,
--- a/tools/sim/worst/storm.ts
+++ b/tools/sim/worst/storm.ts
@@ -1,7 +1,7 @@
 /** Two operators who send hundreds of changes, several at once, and send them again where no answer came. */
 import { CallAnswer, RefusalReason } from '../../../src/shared/history/calls';
 import { errorOrValue } from '../../../src/shared/errors/errors';
-import { requestJson } from '../../../src/shared/util/lib';
+import { requestJson } from '../../../src/shared/util/http-json';
 import { platform } from '../../../platform/dialect';
 import { HistoryRecorder } from '../../history/record';
 import { httpOf, Member, WorstCore } from './core';
--- a/tools/standins/callers.ts
+++ b/tools/standins/callers.ts
@@ -1,8 +1,9 @@
 import { PromptBlock, splitIntoBlocks } from '../../src/shared/contracts/engine';
 import { errorOrValue } from '../../src/shared/errors/errors';
-import { readToEnd, makeLineReader, parseJson } from '../../src/shared/util/lib';
+import { readToEnd, makeLineReader } from '../../src/shared/util/http-json';
+import { parseJson } from '../../src/shared/util/try-catch';
 import { Ports } from '../../src/shared/ports/ports';
-import { Intents, Service } from '../../src/shared/state/words';
+import { Intents, Service } from '../../src/shared/state/intents';
 
 /** How callers behave. */
 export interface CallerWays {
--- a/tools/standins/core.ts
+++ b/tools/standins/core.ts
@@ -6,9 +6,12 @@
   HelloHandlers,
   PROTOCOL_VERSION,
 } from '../../src/shared/transport/connections';
-import { HandlerResult, messageHandler } from '../../src/shared/transport/handlers';
-import { Connection, Ports } from '../../src/shared/ports/ports';
-import { Member, VersionedValue, VoterSet } from '../../src/shared/state/words';
+import { HandlerResult, messageHandler } from '../../src/shared/transport/message-handlers';
+import { Connection } from '../../src/shared/ports/network';
+import { Ports } from '../../src/shared/ports/ports';
+import { Member } from '../../src/shared/state/members';
+import { VersionedValue } from '../../src/shared/state/versions';
+import { VoterSet } from '../../src/shared/state/voter-set';
 
 /** A stand-in for a core of one controller: it grants every lease and tells what it is given. */
 export interface StandInCore {
--- a/tools/standins/deploy.ts
+++ b/tools/standins/deploy.ts
@@ -1,4 +1,5 @@
-import { Engine, Intents, Service, Tenant } from '../../src/shared/state/words';
+import { Engine } from '../../src/shared/state/engines';
+import { Intents, Service, Tenant } from '../../src/shared/state/intents';
 import { EngineWays } from './engineways';
 
 /** The shape of one of the two deployments, on one machine's loopback addresses. */
--- a/tools/standins/engine.ts
+++ b/tools/standins/engine.ts
@@ -10,11 +10,12 @@
   httpHandler,
   makeRequestListener,
   readJsonBody,
-} from '../../src/shared/transport/handlers';
+} from '../../src/shared/transport/http-handlers';
 import { Result } from '../../src/shared/errors/errors';
-import { requestJson } from '../../src/shared/util/lib';
-import { IncomingRequest, Listener, Ports } from '../../src/shared/ports/ports';
-import { compareEpochs } from '../../src/shared/state/words';
+import { requestJson } from '../../src/shared/util/http-json';
+import { IncomingRequest, Listener } from '../../src/shared/ports/network';
+import { Ports } from '../../src/shared/ports/ports';
+import { compareEpochs } from '../../src/shared/state/versions';
 import { EngineCache, Kept, makeEngineCache } from './enginecache';
 import { EngineWays, LedgerEntry } from './engineways';
 
--- a/tools/standins/kvsource.ts
+++ b/tools/standins/kvsource.ts
@@ -1,5 +1,6 @@
-import { sendJson } from '../../src/shared/transport/handlers';
-import { IncomingRequest, Clock } from '../../src/shared/ports/ports';
+import { sendJson } from '../../src/shared/transport/http-handlers';
+import { IncomingRequest } from '../../src/shared/ports/network';
+import { Clock } from '../../src/shared/ports/clock';
 
 type Told = [number: number, sign: string, salt: string, id: string, kept: number, model: string];
 
--- a/tools/standins/links.ts
+++ b/tools/standins/links.ts
@@ -4,9 +4,10 @@
   httpHandler,
   makeRequestListener,
   readJsonBody,
-} from '../../src/shared/transport/handlers';
+} from '../../src/shared/transport/http-handlers';
 import { Result } from '../../src/shared/errors/errors';
-import { IncomingRequest, Listener, Ports } from '../../src/shared/ports/ports';
+import { IncomingRequest, Listener } from '../../src/shared/ports/network';
+import { Ports } from '../../src/shared/ports/ports';
 
 /** The stand-in for the network: it listens where processes say they are, and passes to where they bind. */
 export interface LinkWays {
--- a/tools/standins/platform.ts
+++ b/tools/standins/platform.ts
@@ -3,10 +3,11 @@
   httpHandler,
   makeRequestListener,
   readJsonBody,
-} from '../../src/shared/transport/handlers';
+} from '../../src/shared/transport/http-handlers';
 import { Result } from '../../src/shared/errors/errors';
-import { IncomingRequest, Listener, Ports } from '../../src/shared/ports/ports';
-import { Engine } from '../../src/shared/state/words';
+import { IncomingRequest, Listener } from '../../src/shared/ports/network';
+import { Ports } from '../../src/shared/ports/ports';
+import { Engine } from '../../src/shared/state/engines';
 
 /** The stand-in platform's list, which a test or the runner changes. */
 class PlatformEdge {
--- a/tools/standins/platform/book.ts
+++ b/tools/standins/platform/book.ts
@@ -1,4 +1,4 @@
-import { Clock } from '../../../src/shared/ports/ports';
+import { Clock } from '../../../src/shared/ports/clock';
 
 /** How often a kind of request may run. */
 export type RouteType = 'safe' | 'unsafe' | 'streaming';
--- a/tools/standins/platform/cache.ts
+++ b/tools/standins/platform/cache.ts
@@ -1,4 +1,5 @@
-import { Clock, RandomSource } from '../../../src/shared/ports/ports';
+import { Clock } from '../../../src/shared/ports/clock';
+import { RandomSource } from '../../../src/shared/ports/random';
 
 /** One kept part: its tokens were read by a run of one tenant under one version. */
 export interface KeptPart {
--- a/tools/standins/platform/channel.ts
+++ b/tools/standins/platform/channel.ts
@@ -1,5 +1,5 @@
 import net from 'node:net';
-import { Clock } from '../../../src/shared/ports/ports';
+import { Clock } from '../../../src/shared/ports/clock';
 import { kept, splitAt } from './serve';
 
 /** The head of an answer. */
--- a/tools/standins/platform/day.ts
+++ b/tools/standins/platform/day.ts
@@ -1,4 +1,5 @@
-import { Clock, RandomSource } from '../../../src/shared/ports/ports';
+import { Clock } from '../../../src/shared/ports/clock';
+import { RandomSource } from '../../../src/shared/ports/random';
 import { Book, ConfigDoc, makeBook } from './book';
 import { Clients, ClientWays, makeClients } from './clients';
 import { EngineLife, startEngine } from './engine';
--- a/tools/standins/platform/entry.ts
+++ b/tools/standins/platform/entry.ts
@@ -1,6 +1,6 @@
 import http from 'node:http';
-import { Clock } from '../../../src/shared/ports/ports';
-import { rankByRendezvousHash } from '../../../src/shared/util/lib';
+import { Clock } from '../../../src/shared/ports/clock';
+import { rankByRendezvousHash } from '../../../src/shared/util/hashing';
 import { each, kept, splitAt } from './serve';
 
 /** An edge node, as the platform's entry knows it. */
--- a/tools/standins/platform/ground.ts
+++ b/tools/standins/platform/ground.ts
@@ -1,4 +1,5 @@
-import { Clock, RandomSource } from '../../../src/shared/ports/ports';
+import { Clock } from '../../../src/shared/ports/clock';
+import { RandomSource } from '../../../src/shared/ports/random';
 import { Book } from './book';
 import { Keeper } from './cache';
 import { Door, DoorWays, Exchange, openDoor } from './serve';
--- a/tools/standins/platform/serve.ts
+++ b/tools/standins/platform/serve.ts
@@ -1,7 +1,8 @@
 import http from 'node:http';
 import net from 'node:net';
 import { errorOrValue } from '../../../src/shared/errors/errors';
-import { IncomingRequest, Clock, Network } from '../../../src/shared/ports/ports';
+import { IncomingRequest, Network } from '../../../src/shared/ports/network';
+import { Clock } from '../../../src/shared/ports/clock';
 
 /** One request that reached a stand-in, and the ways to answer it, also badly. */
 export interface Exchange {
