--- a/src/control/configuration/change-coordinator.ts
+++ b/src/control/configuration/change-coordinator.ts
@@ -1,6 +1,12 @@
 import { isDeepStrictEqual } from 'node:util';
 import { Left, Right } from 'purify-ts';
-import { failure, OperationError, errorOrValue, Result } from '../../shared/errors/errors';
+import {
+  failure,
+  OperationError,
+  errorOrValue,
+  Result,
+  isRetryableElsewhere,
+} from '../../shared/errors/errors';
 import { rankByRendezvousHash } from '../../shared/util/hashing';
 import { PeerChannel, notConnected } from '../../shared/transport/connections';
 import { Clock } from '../../shared/ports/clock';
@@ -57,21 +63,6 @@
 }
 
 const TRIES = 3;
-const PEER_CODES = new Set([
-  'no-stream',
-  'timeout',
-  'ended',
-  'no-quorum',
-  'no-voter',
-  'not-founded',
-  'disk',
-]);
-
-/** Whether a fault tells of the one that was asked rather than of what it was asked for, so that another may do it. What a majority no longer remembers, no other remembers either. */
-export function isPeerFailure(f: OperationError): boolean {
-  if (f.code === 'forgotten') return false;
-  return f.certainty === 'unknown' || PEER_CODES.has(f.code ?? '');
-}
 
 /** Whether the value that stands is what a change on a base has made of it. */
 function isMade(op: Operation, now: VersionedValue | undefined): boolean {
@@ -106,7 +97,9 @@
 
   /** A change that may stand already is not refused by a fault that says nothing of it. */
   function leaveOpen(f: OperationError): OperationError {
-    return f.certainty === 'refused' && isPeerFailure(f) ? { ...f, certainty: 'unknown' } : f;
+    return f.certainty === 'refused' && isRetryableElsewhere(f)
+      ? { ...f, certainty: 'unknown' }
+      : f;
   }
 
   /** Makes a change as the key's owner; one that is sent again meanwhile has the same outcome. */
@@ -184,7 +177,7 @@
     if (at === settings.wire) return here(op, TRIES, inDoubt);
     const [f, r] = errorOrValue(await handOverTo(at, op));
     if (!f) return Right(r as ChangeResult);
-    if (!isPeerFailure(f))
+    if (!isRetryableElsewhere(f))
       return Left(
         inDoubt && f.code === 'conflict' && op.kind !== 'deployment'
           ? { ...f, certainty: 'unknown', code: 'in-doubt' }
@@ -204,7 +197,7 @@
     if (at === settings.wire) return p.dispatchLocally(type, body);
     const o = await ask(at, type, body);
     const [f] = errorOrValue(o);
-    return f && isPeerFailure(f) ? p.dispatchLocally(type, body) : o;
+    return f && isRetryableElsewhere(f) ? p.dispatchLocally(type, body) : o;
   }
 
   async function settle(key: string): Promise<Result<unknown>> {
--- a/src/control/configuration/deployment-change.ts
+++ b/src/control/configuration/deployment-change.ts
@@ -2,6 +2,7 @@
 import { Deployment, DeploymentValue, NamedChange } from '../../shared/state/deployment';
 import { PlatformAdapter } from '../../shared/platform-adapter/platform-adapter';
 import { OperationError, makeError, Result } from '../../shared/errors/errors';
+import { ConfigurationErrorCode } from '../../shared/errors/error-codes';
 import { shortHash } from '../../shared/util/hashing';
 import { CONTROL_KEYS } from '../../shared/state/control-keys';
 import { VersionedValue } from '../../shared/state/versions';
@@ -74,11 +75,11 @@
   return op.change === undefined ? hashOrder('replace', op.doc) : hashOrder('update', op.change);
 }
 
-function refusal(why: string, code: string): OperationError {
+function refusal(why: string, code: ConfigurationErrorCode): OperationError {
   return makeError('apply', CONTROL_KEYS.deployment, why, 'refused', code);
 }
 
-function refused<T>(why: string, code: string): Result<T> {
+function refused<T>(why: string, code: ConfigurationErrorCode): Result<T> {
   return Left(refusal(why, code));
 }
 
--- a/src/control/storage/vote-files.ts
+++ b/src/control/storage/vote-files.ts
@@ -18,6 +18,7 @@
   state: RunState;
 }
 
+/** The files of votes, which are written in turn. */
 export const FILES = [0, 1, 2];
 
 interface VoteLine {
@@ -56,6 +57,7 @@
   return a.gen - b.gen;
 }
 
+/** The log entry that stores a vote. */
 export function asLine(vote: Vote): VoteLine {
   return { vote };
 }
--- a/src/shared/errors/errors.ts
+++ b/src/shared/errors/errors.ts
@@ -1,57 +1,73 @@
+/**
+ * Errors as values. Nothing in the core throws: a step that may go wrong returns a `Result`, and an error tells the
+ * step, the peer, what is certain of its effect, and a code by which callers decide.
+ */
+
 import { Either, Left } from 'purify-ts';
+import { ErrorCode, isAboutPeer } from './error-codes';
 
-/** How sure we are of what became of a thing that went wrong. */
+/**
+ * What is certain of the effect of an operation that went wrong. `refused`: it was certainly not carried out.
+ * `failed`: it was tried, and its result can't be used. `unknown`: it may have been carried out.
+ */
 export type Certainty = 'refused' | 'failed' | 'unknown';
 
-/** An error: the step and the peer at which it arose. */
+/** An error: the step at which it arose, the peer that the step was taken with, and what is known of its effect. */
 export interface OperationError {
   step: string;
+  /** An address, a node's name, a disk's id, or a file. */
   peer: string;
+  /** For people: it is logged, and never decided by. */
   reason: string;
   certainty: Certainty;
-  code?: string;
+  code?: ErrorCode;
 }
 
 /** The value of a step that may go wrong. */
 export type Result<T> = Either<OperationError, T>;
 
-/** Makes a fault. */
+/** Makes an error; of a thrown one the message is kept. */
 export function makeError(
   step: string,
   peer: string,
-  why: unknown,
-  sort: Certainty = 'failed',
-  code?: string,
+  reason: unknown,
+  certainty: Certainty = 'failed',
+  code?: ErrorCode,
 ): OperationError {
-  return {
-    step,
-    peer,
-    reason: why instanceof Error ? why.message : String(why),
-    certainty: sort,
-    code,
-  };
+  const text = reason instanceof Error ? reason.message : String(reason);
+  return { step, peer, reason: text, certainty, code };
 }
 
-/** Makes the left side from a fault's fields. */
+/** Makes a result that is an error. */
 export function failure<T>(
   step: string,
   peer: string,
-  why: unknown,
-  sort: Certainty = 'failed',
-  code?: string,
+  reason: unknown,
+  certainty: Certainty = 'failed',
+  code?: ErrorCode,
 ): Result<T> {
-  return Left(makeError(step, peer, why, sort, code));
+  return Left(makeError(step, peer, reason, certainty, code));
 }
 
-/** Opens an outcome to a pair, so that a function can leave early. */
+/** Opens a result to a pair of which one is undefined, so that a function can return early. */
 export function errorOrValue<T>(
-  o: Result<T>,
+  result: Result<T>,
 ): readonly [OperationError, undefined] | readonly [undefined, T] {
-  if (o.isLeft()) return [o.extract(), undefined];
-  return [undefined, o.extract() as T];
+  if (result.isLeft()) return [result.extract(), undefined];
+  return [undefined, result.extract() as T];
+}
+
+/** An error in one line, for logs and people. */
+export function describeError(error: OperationError): string {
+  return `${error.step} at ${error.peer}: ${error.reason} (${error.code ?? error.certainty})`;
 }
 
-/** A fault in one line, for logs and people. */
-export function describeError(f: OperationError): string {
-  return `${f.step} at ${f.peer}: ${f.reason} (${f.code ?? f.certainty})`;
+/**
+ * Whether an operation may be tried at another node: the error tells of the node that was asked, or nothing is known of
+ * its effect. What a majority no longer remembers no other node remembers either.
+ */
+export function isRetryableElsewhere(error: OperationError): boolean {
+  if (error.code === 'forgotten') return false;
+  if (error.certainty === 'unknown') return true;
+  return error.code !== undefined && isAboutPeer(error.code);
 }
--- a/src/shared/system/http-client.ts
+++ b/src/shared/system/http-client.ts
@@ -1,5 +1,6 @@
 import http from 'node:http';
 import { Left, Right } from 'purify-ts';
+import { ErrorCode, systemErrorCode } from '../errors/error-codes';
 import { makeError, Result } from '../errors/errors';
 import { HttpRequest, HttpResponse } from '../ports/network';
 
@@ -21,7 +22,7 @@
   function ask(q: HttpRequest): Promise<Result<HttpResponse>> {
     const step = `${q.method} ${q.path}`;
     const colon = q.address.lastIndexOf(':');
-    let fate: { sort: 'refused' | 'unknown'; code: string } | undefined;
+    let fate: { sort: 'refused' | 'unknown'; code: ErrorCode } | undefined;
     let connected = false;
 
     function wait(done: (o: Result<HttpResponse>) => void): void {
@@ -39,7 +40,7 @@
       const late = setTimeout(cut, q.timeoutMs, 'timeout');
       let dialled: ReturnType<typeof setTimeout> | undefined;
 
-      function cut(code: string): void {
+      function cut(code: ErrorCode): void {
         fate = fate ?? { sort: connected ? 'unknown' : 'refused', code };
         req.destroy(new Error(`given up: ${code}`));
       }
@@ -54,9 +55,9 @@
         q.signal?.removeEventListener('abort', gone);
       }
 
-      function failed(e: Error & { code?: string }): void {
+      function failed(e: Error): void {
         over();
-        const code = fate?.code ?? e.code;
+        const code = fate?.code ?? systemErrorCode(e);
         const sort = fate?.sort ?? (code !== undefined && SURE.has(code) ? 'refused' : 'unknown');
         done(Left(makeError(step, q.address, e, sort, code)));
       }
@@ -92,9 +93,7 @@
             return Right(undefined);
           } catch (e) {
             over();
-            return Left(
-              makeError(step, q.address, e, 'unknown', fate?.code ?? (e as { code?: string }).code),
-            );
+            return Left(makeError(step, q.address, e, 'unknown', fate?.code ?? systemErrorCode(e)));
           }
         }
         function cancel(): void {
--- a/src/shared/system/raw-http-client.ts
+++ b/src/shared/system/raw-http-client.ts
@@ -1,6 +1,7 @@
 import http from 'node:http';
 import net from 'node:net';
 import { Left, Right } from 'purify-ts';
+import { ErrorCode, systemErrorCode } from '../errors/error-codes';
 import { makeError, Result } from '../errors/errors';
 import { HttpConnection, RawHttpRequest, RawHttpResponse } from '../ports/raw-http';
 import { ignore, splitAddress } from './http-io';
@@ -26,7 +27,7 @@
   req: http.ClientRequest,
   res: http.IncomingMessage,
   over: () => void,
-  cut: () => string | undefined,
+  cut: () => ErrorCode | undefined,
 ): RawHttpResponse {
   const step = `${q.method} ${q.target}`;
   const queue: Buffer[] = [];
@@ -155,7 +156,7 @@
       busy = true;
       uses++;
       let whole = false;
-      let cut: string | undefined;
+      let cut: ErrorCode | undefined;
       const req = http.request({
         agent,
         ...splitAddress(at),
@@ -165,7 +166,7 @@
         setHost: false,
       });
       const t = setTimeout(late, within);
-      function cutBy(): string | undefined {
+      function cutBy(): ErrorCode | undefined {
         return cut;
       }
       function late(): void {
@@ -180,11 +181,11 @@
         clearTimeout(t);
         gone.removeEventListener('abort', left);
       }
-      function failed(e: Error & { code?: string }): void {
+      function failed(e: Error): void {
         if (whole) surplus = true;
         over();
         socket.destroy();
-        done(Left(makeError(step, at, e, 'unknown', cut ?? e.code)));
+        done(Left(makeError(step, at, e, 'unknown', cut ?? systemErrorCode(e))));
       }
       function answered(res: http.IncomingMessage): void {
         function ended(): void {
@@ -230,9 +231,9 @@
       socket.destroy();
       done(Left(makeError('connect', at, 'no connection in time', 'refused', 'timeout')));
     }
-    function failed(e: Error & { code?: string }): void {
+    function failed(e: Error): void {
       clearTimeout(t);
-      done(Left(makeError('connect', at, e, 'refused', e.code)));
+      done(Left(makeError('connect', at, e, 'refused', systemErrorCode(e))));
     }
     function up(): void {
       clearTimeout(t);
--- a/src/shared/system/tcp-network.ts
+++ b/src/shared/system/tcp-network.ts
@@ -2,6 +2,7 @@
 import net from 'node:net';
 import { PackrStream, UnpackrStream } from 'msgpackr';
 import { Left, Right } from 'purify-ts';
+import { systemErrorCode } from '../errors/error-codes';
 import { makeError, Result } from '../errors/errors';
 import { IncomingRequest, Listener, Message, Connection, Network } from '../ports/network';
 import { makeHttpClient } from './http-client';
@@ -162,9 +163,9 @@
       done(Left(makeError('dial', at, 'no stream in time', 'refused', 'timeout')));
     }
     const t = setTimeout(late, within);
-    function failed(e: Error & { code?: string }): void {
+    function failed(e: Error): void {
       clearTimeout(t);
-      done(Left(makeError('dial', at, e, 'refused', e.code)));
+      done(Left(makeError('dial', at, e, 'refused', systemErrorCode(e))));
     }
     function up(): void {
       clearTimeout(t);
--- a/src/shared/transport/body-fields.ts
+++ b/src/shared/transport/body-fields.ts
@@ -5,6 +5,7 @@
 import { Right } from 'purify-ts';
 import { failure, Result } from '../errors/errors';
 
+/** The class of a body, whose declared fields are checked. */
 export type Maker<T> = new () => T;
 
 type FieldSort = 'string' | 'number' | 'boolean' | 'object' | 'list' | 'any';
--- a/src/shared/transport/wire-error.ts
+++ b/src/shared/transport/wire-error.ts
@@ -3,6 +3,7 @@
  * stay: during a rolling upgrade the peer may be of the release before.
  */
 
+import { ErrorCode } from '../errors/error-codes';
 import { Certainty, OperationError } from '../errors/errors';
 
 /** An error as it is sent. */
@@ -13,7 +14,7 @@
   why: string;
   /** `OperationError.certainty` */
   sort: Certainty;
-  code?: string;
+  code?: ErrorCode;
 }
 
 /** The form of an error that is sent; `code` is left out where the error has none. */
--- a/test/control/register.test.ts
+++ b/test/control/register.test.ts
@@ -105,7 +105,7 @@
 
 /** Any fault is by what stands, whatever its code. */
 async function outdatedVerdict(): Promise<void> {
-  for (const code of ['stands', 'bad-deployment', 'conflict']) {
+  for (const code of ['stands', 'bad-deployment', 'conflict'] as const) {
     const t = await three();
     const a = t.owner('a');
     const b = t.owner('b');
--- a/tools/model/mutations.ts
+++ b/tools/model/mutations.ts
@@ -6,6 +6,7 @@
 import { KeyOwner } from '../../src/control/consensus/key-owner';
 import { LogEntry, ControlStore } from '../../src/control/storage/control-store';
 import { OperationError, Result } from '../../src/shared/errors/errors';
+import { ErrorCode } from '../../src/shared/errors/error-codes';
 import { Disk } from '../../src/shared/ports/disk';
 import { VersionedValue } from '../../src/shared/state/versions';
 import { Voter, VoterSet } from '../../src/shared/state/voter-set';
@@ -181,7 +182,7 @@
 }
 
 /** Changes the faults whose fate is open. */
-function changedDoubt(o: Result<ChangeResult>, code?: string): Result<ChangeResult> {
+function changedDoubt(o: Result<ChangeResult>, code?: ErrorCode): Result<ChangeResult> {
   return o.mapLeft(refused);
   function refused(fault: OperationError): OperationError {
     return fault.certainty === 'unknown'
--- a/tools/sim/simwire.ts
+++ b/tools/sim/simwire.ts
@@ -1,5 +1,6 @@
 import { Left, Right } from 'purify-ts';
 import { makeError, Result } from '../../src/shared/errors/errors';
+import { ErrorCode } from '../../src/shared/errors/error-codes';
 import {
   HttpRequest,
   IncomingRequest,
@@ -174,13 +175,13 @@
             k(o);
           } else got.push(o);
         }
-        function fail(sort: 'refused' | 'unknown', code: string): void {
+        function fail(certainty: 'refused' | 'unknown', code: ErrorCode): void {
           if (over) return;
           over = true;
           off();
           function tell(): void {
             if (!mine()) return;
-            const f = Left(makeError(step, q.address, code, sort, code));
+            const f = Left(makeError(step, q.address, code, certainty, code));
             if (!headed) done(f);
             else settleOne(f);
           }
