--- a/src/control/api/call-draining.ts
+++ b/src/control/api/call-draining.ts
@@ -9,7 +9,7 @@
 export interface CallCounter {
   /** A wire whose served calls are counted. */
   network: Network;
-  inFlight(): number;
+  inFlight: () => number;
 }
 
 /** Counts the calls that are served by a wire. */
--- a/src/control/configuration/change-coordinator.ts
+++ b/src/control/configuration/change-coordinator.ts
@@ -13,7 +13,7 @@
 import { RandomSource } from '../../shared/ports/random';
 import { TimeLimits } from '../../shared/settings/time-limits';
 import { Settings } from '../../shared/settings/settings';
-import { Intents, IntentsValue } from '../../shared/state/intents';
+import { IntentsValue } from '../../shared/state/intents';
 import { CONTROL_KEYS } from '../../shared/state/control-keys';
 import { VersionedValue, Version } from '../../shared/state/versions';
 import { VoterSet } from '../../shared/state/voter-set';
@@ -40,26 +40,30 @@
   timeLimits: TimeLimits;
   keyOwner: KeyOwner;
   parser: DocumentParser | undefined;
-  voters(): VoterSet | undefined;
-  liveAddresses(): string[];
-  channelTo(at: string): PeerChannel | undefined;
-  dispatchLocally(type: string, body: unknown): Promise<Result<unknown>>;
+  voters: () => VoterSet | undefined;
+  liveAddresses: () => string[];
+  channelTo: (at: string) => PeerChannel | undefined;
+  dispatchLocally: (type: string, body: unknown) => Promise<Result<unknown>>;
   /** Reads what a majority holds as committed of a key, without its owner; a fault where a change may be under way. */
-  readIfStable(key: string): Promise<Result<VersionedValue | undefined>>;
+  readIfStable: (key: string) => Promise<Result<VersionedValue | undefined>>;
 }
 
 /** How changes are made, here or by the key's owner. */
 export interface ChangeCoordinator {
   /** Makes a change here, as the key's owner. */
-  changeAsOwner(op: Operation, tries?: number, inDoubt?: boolean): Promise<Result<ChangeResult>>;
+  changeAsOwner: (
+    op: Operation,
+    tries?: number,
+    inDoubt?: boolean,
+  ) => Promise<Result<ChangeResult>>;
   /** Has the key's owner make a change, and makes it here where that one does not. */
-  commit(op: Operation): Promise<Result<ChangeResult>>;
+  commit: (op: Operation) => Promise<Result<ChangeResult>>;
   /** Asks a key's owner; where that one does not answer, this node takes its place. */
-  requestOwner(key: string, type: string, body: object): Promise<Result<unknown>>;
+  requestOwner: (key: string, type: string, body: object) => Promise<Result<unknown>>;
   /** Has a key's owner commit its value anew; where that one does not answer, nobody takes its place. */
-  recommit(key: string): Promise<Result<unknown>>;
+  recommit: (key: string) => Promise<Result<unknown>>;
   /** Whether an order is being worked on here, as by the key's owner. */
-  isInProgress(identity: string): boolean;
+  isInProgress: (identity: string) => boolean;
 }
 
 const TRIES = 3;
@@ -69,10 +73,7 @@
   if (!now || (op.kind !== 'voters' && op.kind !== 'intents') || now.number !== op.basedOn + 1)
     return false;
   if (op.kind === 'voters') return isDeepStrictEqual(now.value, op.voters);
-  return isDeepStrictEqual(
-    (now.value as IntentsValue).doc,
-    validateIntents(op.doc).extract() as Intents,
-  );
+  return isDeepStrictEqual((now.value as IntentsValue).doc, validateIntents(op.doc).extract());
 }
 
 /** What identifies an operator's order; other changes have no identity. */
--- a/src/control/configuration/change-effects.ts
+++ b/src/control/configuration/change-effects.ts
@@ -17,18 +17,18 @@
   clock: Clock;
   settings: Settings;
   timeLimits: TimeLimits;
-  voters(): VoterSet | undefined;
-  requestVoter(v: Voter, type: string, body: unknown, within: number): Promise<Result<unknown>>;
-  commit(op: Operation): Promise<Result<ChangeResult>>;
+  voters: () => VoterSet | undefined;
+  requestVoter: (v: Voter, type: string, body: unknown, within: number) => Promise<Result<unknown>>;
+  commit: (op: Operation) => Promise<Result<ChangeResult>>;
   /** Notes how long a change took until it was in effect. */
-  observeEffectMs(ms: number): void;
+  observeEffectMs: (ms: number) => void;
 }
 
 /** Changes, with the wait until every router goes by them. */
 export interface ChangeEffects {
   /** Whether at a majority of the voters every router with a live lease has applied a change, within so many ms. */
-  awaitEffect(key: string, place: Version, within: number): Promise<boolean>;
-  change(op: Operation): Promise<Result<ChangeResult>>;
+  awaitEffect: (key: string, place: Version, within: number) => Promise<boolean>;
+  change: (op: Operation) => Promise<Result<ChangeResult>>;
 }
 
 /** Makes the changes that wait for their effect. */
--- a/src/control/configuration/deployment-change.ts
+++ b/src/control/configuration/deployment-change.ts
@@ -120,7 +120,7 @@
     if (d.revision <= revision) faults.push(`revision ${d.revision} is not above ${revision}`);
     return faults.length > 0 ? Left(faults) : Right(d);
   }
-  if (read.isLeft()) return refused((read.extract() as string[]).join('; '), 'bad-deployment');
+  if (read.isLeft()) return refused(read.extract().join('; '), 'bad-deployment');
   const fresh = (read.extract() as Deployment).revision;
   return Right({
     revision: fresh,
@@ -139,7 +139,7 @@
   const conflict = `based on revision ${op.base}, but ${revision} stands`;
   if (!isOlderThanHistory(orders, op.base)) return refusal(conflict, 'conflict');
   const own = revisionOf(op, reader);
-  if (own.isLeft()) return refusal((own.extract() as string[]).join('; '), 'bad-deployment');
+  if (own.isLeft()) return refusal(own.extract().join('; '), 'bad-deployment');
   const why = `${conflict}; it may have been taken`;
   return mayBeEvicted(orders, op.base, own.extract() as number)
     ? makeError('apply', CONTROL_KEYS.deployment, why, 'unknown', 'forgotten')
--- a/src/control/configuration/intents-validation.ts
+++ b/src/control/configuration/intents-validation.ts
@@ -1,6 +1,5 @@
 import convict from 'convict';
 import { Either, Left, Right } from 'purify-ts';
-import { OperationError } from '../../shared/errors/errors';
 import { tryCatch } from '../../shared/util/try-catch';
 import { id, maybeId, neededAddress, share, whole } from '../../shared/settings/validators';
 import { Intents } from '../../shared/state/intents';
@@ -58,7 +57,7 @@
     return c.getProperties();
   }
   if (o.isLeft()) {
-    for (const line of (o.extract() as OperationError).reason.split('\n')) {
+    for (const line of o.extract().reason.split('\n')) {
       const m = /^(\w+): (.*)$/.exec(line.trim());
       faults.push({ path: m ? `${path}.${m[1]}` : path, why: m ? m[2] : line.trim() });
     }
--- a/src/control/configuration/operations.ts
+++ b/src/control/configuration/operations.ts
@@ -144,7 +144,7 @@
       const at = now?.number ?? 0;
       if (op.at !== undefined && op.basedOn !== at)
         return failure('take duty', op.duty, `held by ${v?.holder}`, 'refused', 'conflict');
-      return Right({ holder: op.holder, at: op.at, fence: at + 1 } as SingletonHolder);
+      return Right({ holder: op.holder, at: op.at, fence: at + 1 });
     }
     case 'voters': {
       if (op.basedOn !== (now?.number ?? 0))
--- a/src/control/connection-acceptor.ts
+++ b/src/control/connection-acceptor.ts
@@ -11,7 +11,7 @@
   handlers: readonly object[];
   /** A connection that is silent for this long is closed. */
   idleTimeoutMs: number;
-  isStopped(): boolean;
+  isStopped: () => boolean;
 }
 
 /** Takes connections, and closes those that fall silent, as a peer that holds one never does. */
--- a/src/control/consensus/acceptor.ts
+++ b/src/control/consensus/acceptor.ts
@@ -20,10 +20,10 @@
 export interface VoterTransport {
   ownerId: string;
   timeoutMs: number;
-  voters(): VoterSet | undefined;
-  request(v: Voter, type: string, body: unknown, within: number): Promise<Result<unknown>>;
-  onLearned(n: VersionedValue, before?: VersionedValue): void;
-  learnLocally(n: VersionedValue): Promise<unknown>;
+  voters: () => VoterSet | undefined;
+  request: (v: Voter, type: string, body: unknown, within: number) => Promise<Result<unknown>>;
+  onLearned: (n: VersionedValue, before?: VersionedValue) => void;
+  learnLocally: (n: VersionedValue) => Promise<unknown>;
 }
 
 class PrepareRequest {
@@ -106,15 +106,15 @@
   async prepare(m: PrepareRequest): HandlerResult {
     const later = newerVoterSet(this.slots, m.voters);
     const seen = this.slots.registers.get(m.key)?.promised ?? { epoch: 0, by: '' };
-    if (later) return Right({ ok: false, seen, voters: later } as AcceptorReply);
+    if (later) return Right({ ok: false, seen, voters: later });
     if (!this.votes())
       return failure('prepare', this.slots.diskId, 'not a voter', 'refused', 'no-voter');
-    if (m.epoch <= seen.epoch) return Right({ ok: false, seen } as AcceptorReply);
+    if (m.epoch <= seen.epoch) return Right({ ok: false, seen });
     const promised = { epoch: m.epoch, by: m.by };
     const accepted = newestAccepted(this.slots.registers.get(m.key));
     const [f] = errorOrValue(await this.slots.put({ key: m.key, promised }));
     if (f) return Left(f);
-    return Right({ ok: true, seen: promised, accepted } as AcceptorReply);
+    return Right({ ok: true, seen: promised, accepted });
   }
 
   /** Takes a change unless a higher epoch was promised. */
@@ -128,17 +128,16 @@
     const c = m.change;
     const cell = this.slots.registers.get(c.key);
     const seen = cell?.promised ?? { epoch: 0, by: '' };
-    if (later) return Right({ ok: false, seen, voters: later } as AcceptorReply);
+    if (later) return Right({ ok: false, seen, voters: later });
     if (!this.votes())
       return failure('accept', this.slots.diskId, 'not a voter', 'refused', 'no-voter');
-    if (compareEpochs(c, seen) < 0) return Right({ ok: false, seen } as AcceptorReply);
-    if (cell?.accepted && compareVersions(c, cell.accepted) < 0)
-      return Right({ ok: false, seen } as AcceptorReply);
+    if (compareEpochs(c, seen) < 0) return Right({ ok: false, seen });
+    if (cell?.accepted && compareVersions(c, cell.accepted) < 0) return Right({ ok: false, seen });
     const promised = { epoch: c.epoch, by: c.by };
     const accepted = delta ? c : { ...c, value: shareUnchanged(cell?.learned?.value, c.value) };
     const [f] = errorOrValue(await this.slots.put({ key: c.key, promised, accepted }, delta));
     if (f) return Left(f);
-    return Right({ ok: true, seen: promised } as AcceptorReply);
+    return Right({ ok: true, seen: promised });
   }
 
   /** Takes a change told as the difference to what is learned here. */
@@ -183,6 +182,6 @@
       disk: this.slots.diskId,
       accepted: placeOnly(newestAccepted(this.slots.registers.get(m.key))),
       voters: newerVoterSet(this.slots, m.voters),
-    } as AcceptedVersionReply);
+    });
   }
 }
--- a/src/control/consensus/key-maintenance.ts
+++ b/src/control/consensus/key-maintenance.ts
@@ -34,20 +34,20 @@
   keyOwner: KeyOwner;
   timeLimits: TimeLimits;
   connections: ConnectionPool;
-  liveAddresses(): string[];
-  hasQuorum(): boolean;
-  committedValues(): VersionedValue[];
-  learn(m: { change: VersionedValue }): Promise<Result<unknown>>;
+  liveAddresses: () => string[];
+  hasQuorum: () => boolean;
+  committedValues: () => VersionedValue[];
+  learn: (m: { change: VersionedValue }) => Promise<Result<unknown>>;
   /** Notes that a change was not heard as it was made. */
-  onCaughtUp(key: string): void;
+  onCaughtUp: (key: string) => void;
 }
 
 /** Keeps a controller's keys up: what it missed, and which ones it owns. */
 export interface KeyMaintenance {
-  catchUp(): Promise<void>;
-  acquireAssignedKeys(): Promise<void>;
+  catchUp: () => Promise<void>;
+  acquireAssignedKeys: () => Promise<void>;
   /** Writes on a disk anew that has failed a write, so that it votes again once there is room. */
-  retryFailedDisk(): void;
+  retryFailedDisk: () => void;
 }
 
 /** Keys that are taken over at once; their writes share syncs. */
--- a/src/control/consensus/key-owner.ts
+++ b/src/control/consensus/key-owner.ts
@@ -3,12 +3,12 @@
 import { isDeepStrictEqual } from 'node:util';
 import { Left, Right } from 'purify-ts';
 import { Delta, makeDelta } from '../../shared/replication/delta';
-import { failure, OperationError, errorOrValue, Result } from '../../shared/errors/errors';
+import { failure, errorOrValue, Result } from '../../shared/errors/errors';
 import { pollVoters } from '../../shared/transport/quorum-poll';
 import { compareVersions, VersionedValue } from '../../shared/state/versions';
 import { CONTROL_KEYS } from '../../shared/state/control-keys';
 import { Voter } from '../../shared/state/voter-set';
-import { AcceptedVersionReply, placeOnly, AcceptorReply, VoterTransport } from './acceptor';
+import { placeOnly, AcceptorReply, VoterTransport } from './acceptor';
 import { hasNewerAccepted, pollAcceptedVersions } from './accepted-versions';
 import { ControlStore } from '../storage/control-store';
 
@@ -24,19 +24,19 @@
 /** The owner's side: one turn at a time for each key. */
 export interface KeyOwner {
   /** Makes a change; where another owner came between, it is made anew up to `tries` times if it certainly did not stand. */
-  change(
+  change: (
     key: string,
     make: (now: VersionedValue | undefined) => Result<unknown>,
     tries?: number,
-  ): Promise<Result<VersionedValue>>;
-  acquire(key: string): Promise<Result<VersionedValue | undefined>>;
+  ) => Promise<Result<VersionedValue>>;
+  acquire: (key: string) => Promise<Result<VersionedValue | undefined>>;
   /** Takes a key anew; whatever is under way for it before counts for nothing. */
-  reacquire(key: string): Promise<Result<VersionedValue | undefined>>;
-  owns(key: string): boolean;
-  ownedKeys(): string[];
-  release(key: string): void;
+  reacquire: (key: string) => Promise<Result<VersionedValue | undefined>>;
+  owns: (key: string) => boolean;
+  ownedKeys: () => string[];
+  release: (key: string) => void;
   /** Takes note that another owns the key under an epoch. */
-  noteNewerEpoch(key: string, epoch: number): void;
+  noteNewerEpoch: (key: string, epoch: number) => void;
 }
 
 /** Makes the owner's side of the registers. */
@@ -172,7 +172,7 @@
     const o = owned.get(key);
     if (o) return Right(o);
     const [f, v] = errorOrValue(await acquire(key));
-    if (f) return Left({ ...f, step: `own ${key}` } as OperationError);
+    if (f) return Left({ ...f, step: `own ${key}` });
     return Right(v);
   }
 
@@ -187,7 +187,7 @@
       key,
       votersPlace(),
     );
-    return held.isRight() && !hasNewerAccepted(held.extract() as AcceptedVersionReply[], o.current);
+    return held.isRight() && !hasNewerAccepted(held.extract(), o.current);
   }
 
   function askShortly(v: Voter, type: string, body: unknown): Promise<Result<unknown>> {
--- a/src/control/consensus/linearizable-read.ts
+++ b/src/control/consensus/linearizable-read.ts
@@ -16,11 +16,11 @@
 export interface ReadDependencies {
   store: ControlStore;
   keyOwner: KeyOwner;
-  voters(): VoterSet | undefined;
-  requestVoter(v: Voter, type: string, body: unknown): Promise<Result<unknown>>;
-  requestOwner(key: string, type: string, body: unknown): Promise<Result<unknown>>;
+  voters: () => VoterSet | undefined;
+  requestVoter: (v: Voter, type: string, body: unknown) => Promise<Result<unknown>>;
+  requestOwner: (key: string, type: string, body: object) => Promise<Result<unknown>>;
   /** Keeps here what is committed. */
-  learnLocally(n: VersionedValue): Promise<unknown>;
+  learnLocally: (n: VersionedValue) => Promise<unknown>;
 }
 
 /** What controllers ask one another for a read. */
--- a/src/control/consensus/replica-sync.ts
+++ b/src/control/consensus/replica-sync.ts
@@ -42,7 +42,7 @@
     for (const place of m.places)
       if (!isAtLeast(this.slots.registers.get(place.key)?.learned, place)) lacking.push(place.key);
     const [f] = errorOrValue(await this.slots.flush());
-    return f ? Left(f) : Right({ disk: this.slots.diskId, lacking } as LackingReply);
+    return f ? Left(f) : Right({ disk: this.slots.diskId, lacking });
   }
 
   /** Tells how many changes before these places what this disk has learned is. */
@@ -57,7 +57,7 @@
     return Right({
       epoch: cells.get(CONTROL_KEYS.voters)?.learned?.epoch ?? 0,
       behind,
-    } as ReplicaProgress);
+    });
   }
 }
 
@@ -72,7 +72,7 @@
 /** What bringing a voter up to date needs of its controller. */
 export interface ReplicaSyncDependencies {
   store: ControlStore;
-  requestVoter(v: Voter, type: string, body: unknown): Promise<Result<unknown>>;
+  requestVoter: (v: Voter, type: string, body: unknown) => Promise<Result<unknown>>;
 }
 
 /** Brings a voter to have learned, on its synced disk and by its own word, all that is committed here now, and tells how many keys it had lacked; safe to repeat, and each batch that it took stays. */
--- a/src/control/controller-interface.ts
+++ b/src/control/controller-interface.ts
@@ -40,23 +40,23 @@
   keyOwner: KeyOwner;
   membershipRequests: MembershipRequests;
   /** Makes a waker that wakes when a peer has come or gone, or the voters have changed. */
-  addWaker(): Waker;
+  addWaker: () => Waker;
   metrics: Metrics;
   handlers: object[];
-  voters(): VoterSet | undefined;
-  isPreferredOwner(key: string): boolean;
-  change(op: Operation): Promise<Result<ChangeResult>>;
+  voters: () => VoterSet | undefined;
+  isPreferredOwner: (key: string) => boolean;
+  change: (op: Operation) => Promise<Result<ChangeResult>>;
   /** Has a key's owner commit its value anew. */
-  recommit(key: string): Promise<Result<unknown>>;
-  bootstrap(without: string[]): Promise<Result<VoterSet>>;
-  awaitEffect(key: string, p: Version, within: number): Promise<boolean>;
-  committedValue<T>(key: string): { place: VersionedValue; value: T } | undefined;
+  recommit: (key: string) => Promise<Result<unknown>>;
+  bootstrap: (without: string[]) => Promise<Result<VoterSet>>;
+  awaitEffect: (key: string, p: Version, within: number) => Promise<boolean>;
+  committedValue: <T>(key: string) => { place: VersionedValue; value: T } | undefined;
   /** What is committed of a key, never older than what was acknowledged before the call. */
-  readLinearizable(key: string): Promise<Result<VersionedValue | undefined>>;
-  wasLearnedLive(key: string): boolean;
-  requestVoter(v: Voter, type: string, body: unknown, within: number): Promise<Result<unknown>>;
+  readLinearizable: (key: string) => Promise<Result<VersionedValue | undefined>>;
+  wasLearnedLive: (key: string) => boolean;
+  requestVoter: (v: Voter, type: string, body: unknown, within: number) => Promise<Result<unknown>>;
   /** Leaves the voters; comes back when this controller may end. */
-  drain(): Promise<unknown>;
-  stop(): Promise<void>;
-  isStopped(): boolean;
+  drain: () => Promise<unknown>;
+  stop: () => Promise<void>;
+  isStopped: () => boolean;
 }
--- a/src/control/controller.ts
+++ b/src/control/controller.ts
@@ -5,7 +5,6 @@
 import { helloOf } from '../shared/transport/hello';
 import { makeMetrics, Metrics, timedDisk } from '../shared/observability/metrics';
 import { CompressedRequestHandlers } from '../shared/transport/compressed-requests';
-import { Listener } from '../shared/ports/network';
 import { Ports } from '../shared/ports/ports';
 import { timeLimitsOf } from '../shared/settings/time-limits';
 import { Settings } from '../shared/settings/settings';
@@ -383,7 +382,7 @@
     stopped = true;
     wake();
     helds.stop();
-    await (listening as Listener).close();
+    await listening!.close();
   }
 
   function isStopped(): boolean {
--- a/src/control/leases/change-sender.ts
+++ b/src/control/leases/change-sender.ts
@@ -21,18 +21,18 @@
   logger: Logger;
   /** How far the follower has applied each key, as far as is known here. */
   applied: Map<string, Version>;
-  newest(key: string): VersionedValue | undefined;
-  messageFor(change: VersionedValue, held: Version | undefined): ChangeMessage;
+  newest: (key: string) => VersionedValue | undefined;
+  messageFor: (change: VersionedValue, held: Version | undefined) => ChangeMessage;
   /** Called when more is known to be applied. */
-  onApplied(): void;
+  onApplied: () => void;
 }
 
 /** Sends changes to one follower. */
 export interface ChangeSender {
   /** Has the newest version of a key sent. */
-  send(key: string): void;
+  send: (key: string) => void;
   /** Has the newest version of a key sent unless the follower says that it has it already. */
-  confirm(key: string): void;
+  confirm: (key: string) => void;
 }
 
 /**
--- a/src/control/leases/follower-lag.ts
+++ b/src/control/leases/follower-lag.ts
@@ -9,9 +9,9 @@
 /** When versions were learned here. */
 export interface FollowerLag {
   /** Takes note of a version as it is learned. */
-  note(change: VersionedValue): void;
+  note: (change: VersionedValue) => void;
   /** For how long a follower has lacked a later version than the one that it holds, in ms. */
-  lagMs(key: string, held: Version | undefined): number;
+  lagMs: (key: string, held: Version | undefined) => number;
 }
 
 interface LearnedAt {
--- a/src/control/leases/version-history.ts
+++ b/src/control/leases/version-history.ts
@@ -13,11 +13,11 @@
 /** The versions of each key that were committed here lately, for differences to what other nodes hold. */
 export interface VersionHistory {
   /** Takes note of a version that is committed. */
-  note(change: VersionedValue): void;
+  note: (change: VersionedValue) => void;
   /** The message that brings a node from the version that it holds to `change`; only a node that fetches pieces is offered what is long. */
-  messageFor(change: VersionedValue, held: Version | undefined, pieces: boolean): ChangeMessage;
+  messageFor: (change: VersionedValue, held: Version | undefined, pieces: boolean) => ChangeMessage;
   /** One piece of an offered change; nothing where its versions are not known here any more, or gave other bytes. */
-  chunk(ask: ChunkRequest): Uint8Array | undefined;
+  chunk: (ask: ChunkRequest) => Uint8Array | undefined;
 }
 
 /** Versions kept of each key; they share what did not change. */
--- a/src/control/membership/bootstrap.ts
+++ b/src/control/membership/bootstrap.ts
@@ -21,21 +21,21 @@
   timeLimits: TimeLimits;
   clock: Clock;
   store: ControlStore;
-  voters(): VoterSet | undefined;
-  who(at: string): Promise<Result<unknown>>;
-  requestVoter(v: Voter, type: string, body: unknown): Promise<Result<unknown>>;
+  voters: () => VoterSet | undefined;
+  who: (at: string) => Promise<Result<unknown>>;
+  requestVoter: (v: Voter, type: string, body: unknown) => Promise<Result<unknown>>;
   /** Commits the founders as the voters, where this controller owns that key. */
-  commitBootstrap(v: VoterSet): Promise<void>;
+  commitBootstrap: (v: VoterSet) => Promise<void>;
 }
 
 /** The founding of a blank fleet. */
 export interface Bootstrap {
   /** Founds without the founders that are named as absent; refused where that is unsafe. */
-  bootstrap(without: string[]): Promise<Result<VoterSet>>;
+  bootstrap: (without: string[]) => Promise<Result<VoterSet>>;
   /** Founds where this start may, and it is this founder's turn. */
-  bootstrapIfReady(): Promise<void>;
+  bootstrapIfReady: () => Promise<void>;
   /** Tells the other founders what was founded, until the voters are committed. */
-  announce(): Promise<void>;
+  announce: () => Promise<void>;
 }
 
 /** Makes the founding of one controller. */
--- a/src/control/membership/graceful-leave.ts
+++ b/src/control/membership/graceful-leave.ts
@@ -22,12 +22,12 @@
   store: ControlStore;
   self: Voter;
   liveness: VoterLiveness;
-  voters(): VoterSet | undefined;
+  voters: () => VoterSet | undefined;
   /** Controllers that would vote. */
-  candidates(): Voter[];
-  requestVoter(v: Voter, type: string, body: unknown): Promise<Result<unknown>>;
+  candidates: () => Voter[];
+  requestVoter: (v: Voter, type: string, body: unknown) => Promise<Result<unknown>>;
   /** Has the loops of this controller look at the voters anew. */
-  wake(): void;
+  wake: () => void;
 }
 
 /** Leaves the voters: hands this controller's keys over at once, and comes back when its disk is needed no longer, or its time is nearly over. Until then it votes on. */
--- a/src/control/membership/membership-requests.ts
+++ b/src/control/membership/membership-requests.ts
@@ -53,7 +53,7 @@
     this.left.set(m.disk, this.ports.clock.now());
     this.asked.delete(m.at);
     if (isNews) this.told();
-    return Right({ stays: !this.leaving() } as LeaveReply);
+    return Right({ stays: !this.leaving() });
   }
 
   /** Takes no notice of one that asked, until it asks again. */
--- a/src/control/membership/reconfiguration.ts
+++ b/src/control/membership/reconfiguration.ts
@@ -69,7 +69,7 @@
   const [f, w] = errorOrValue(
     await requestOnce(ports, c.hello, [], into, 'who', {}, c.timeLimits.requestTimeoutMs),
   );
-  if (f) return Left({ ...f, certainty: 'refused' } as OperationError);
+  if (f) return Left({ ...f, certainty: 'refused' });
   const { disk } = w as { disk: string };
   function isNew(x: Voter): boolean {
     return x.disk === disk;
--- a/src/control/membership/seed-announcer.ts
+++ b/src/control/membership/seed-announcer.ts
@@ -15,13 +15,13 @@
   hello: Hello;
   handlers: readonly object[];
   connections: ConnectionPool;
-  voters(): VoterSet | undefined;
-  hasQuorum(): boolean;
-  committedValues(): VersionedValue[];
-  learn(m: { change: VersionedValue }): Promise<Result<unknown>>;
+  voters: () => VoterSet | undefined;
+  hasQuorum: () => boolean;
+  committedValues: () => VersionedValue[];
+  learn: (m: { change: VersionedValue }) => Promise<Result<unknown>>;
   /** Notes that a change was not heard as it was made. */
-  onCaughtUp(key: string): void;
-  isStopped(): boolean;
+  onCaughtUp: (key: string) => void;
+  isStopped: () => boolean;
 }
 
 /** Tells the seeds that are not of the core where it is: they are asked first, and may be machines that know of nobody. A node that has lost the core asks them. */
--- a/src/control/membership/step-times.ts
+++ b/src/control/membership/step-times.ts
@@ -5,9 +5,9 @@
 /** Measures steps by name, in ms. */
 export interface StepTimes {
   /** Waits for a step, and notes how long that took. */
-  timed<T>(name: string, step: Promise<T>): Promise<T>;
+  timed: <T>(name: string, step: Promise<T>) => Promise<T>;
   /** The time of each step so far; one that was taken several times has their sum. */
-  took(): Record<string, number>;
+  took: () => Record<string, number>;
 }
 
 /** Makes times that are empty. */
--- a/src/control/membership/voter-liveness.ts
+++ b/src/control/membership/voter-liveness.ts
@@ -7,33 +7,33 @@
   clock: Clock;
   /** This controller's own place among the voters. */
   self: Voter;
-  voters(): VoterSet | undefined;
+  voters: () => VoterSet | undefined;
   /** The connection to a controller, while it is up. */
-  channelTo(at: string): PeerChannel | undefined;
+  channelTo: (at: string) => PeerChannel | undefined;
   /** Whether a disk said that it leaves, and has not come back since a time. */
-  announcedLeave(disk: string, upSince: number | undefined): boolean;
+  announcedLeave: (disk: string, upSince: number | undefined) => boolean;
 }
 
 /** How the voters stand, as this controller sees them. */
 export interface VoterLiveness {
-  isSelf(x: Voter): boolean;
+  isSelf: (x: Voter) => boolean;
   /** Whether a voter is up with its own disk; an emptied one at its address is not that voter. */
-  isUp(x: Voter): boolean;
+  isUp: (x: Voter) => boolean;
   /** Whether a voter's machine is there with another disk, so that its own is gone. */
-  hasOtherDisk(x: Voter): boolean;
-  isLeaving(x: Voter): boolean;
+  hasOtherDisk: (x: Voter) => boolean;
+  isLeaving: (x: Voter) => boolean;
   /** The addresses of the voters that are up and stay. */
-  liveAddresses(): string[];
-  hasQuorum(): boolean;
+  liveAddresses: () => string[];
+  hasQuorum: () => boolean;
   /** Notes that the connection to a controller has come up. */
-  noteUp(at: string): void;
+  noteUp: (at: string) => void;
   /** Notes that this controller leaves. */
-  beginLeave(): void;
-  isSelfLeaving(): boolean;
+  beginLeave: () => void;
+  isSelfLeaving: () => boolean;
   /** Notes the voters that were learned. */
-  noteVoters(v: VoterSet): void;
+  noteVoters: (v: VoterSet) => void;
   /** For how many ms a joint set has been known here; 0 where none stands. */
-  jointForMs(): number;
+  jointForMs: () => number;
 }
 
 /** Makes the view of the voters. */
--- a/src/control/peer-handlers.ts
+++ b/src/control/peer-handlers.ts
@@ -5,7 +5,6 @@
 import { allVoters, addressOf, Voter, VoterSet } from '../shared/state/voter-set';
 import { VersionedValue, Version } from '../shared/state/versions';
 import { CONTROL_KEYS } from '../shared/state/control-keys';
-import { LearnedSince } from './consensus/key-maintenance';
 import { Operation } from './configuration/operations';
 import { ControlStore } from './storage/control-store';
 
@@ -53,7 +52,7 @@
       life: this.c.ownerId,
       count: learned.count(),
       has: keys && appliedEntries(has),
-    } as LearnedSince);
+    });
   }
 
   /** Gives what is committed here of some keys. */
@@ -122,11 +121,11 @@
   ownerId: string;
   store: ControlStore;
   mayBootstrap: boolean;
-  voters(): VoterSet | undefined;
-  changeAsOwner(op: Operation): Promise<Result<unknown>>;
-  isInProgress(identity: string): boolean;
-  committedValues(): VersionedValue[];
-  onCoreHint(ats: string[]): void;
-  isUp(x: Voter): boolean;
-  wake(): void;
+  voters: () => VoterSet | undefined;
+  changeAsOwner: (op: Operation) => Promise<Result<unknown>>;
+  isInProgress: (identity: string) => boolean;
+  committedValues: () => VersionedValue[];
+  onCoreHint: (ats: string[]) => void;
+  isUp: (x: Voter) => boolean;
+  wake: () => void;
 }
--- a/src/control/singletons/singleton-lease.ts
+++ b/src/control/singletons/singleton-lease.ts
@@ -12,13 +12,13 @@
 /** A duty that one controller at a time holds, by terms that end a whole lease before the next one acts. */
 export interface SingletonLease {
   /** Notes what is known of the duty by now; called often, so that the time of each change is known. */
-  observe(): void;
+  observe: () => void;
   /** The fence, where this node holds the duty and a majority said so just now; takes the duty where it is free. Nothing where another holds it, or this node leaves. `waitedMs` is how long its work has waited. */
-  acquireFencingToken(waitedMs: number): Promise<number | undefined>;
+  acquireFencingToken: (waitedMs: number) => Promise<number | undefined>;
   /** Whether the fence may still be acted under, at this very moment. */
-  isFresh(): boolean;
+  isFresh: () => boolean;
   /** Whether the last confirmation is recent enough that no other may soon take the duty for free. */
-  isSafeFromTakeover(): boolean;
+  isSafeFromTakeover: () => boolean;
 }
 
 /** Holds a duty for this node's life. A change of the duty's register stands for every sign of its holder: each confirmation commits a new number, and only one who has seen the newest number for longer than a lease, and what a confirmation allows beside it, may take the duty. */
--- a/src/control/singletons/weights-rollout.ts
+++ b/src/control/singletons/weights-rollout.ts
@@ -246,7 +246,7 @@
       await sendAdapterRequest(wire, t.engine.at, speak.report.ask(), bounds.engineOrderTimeoutMs),
     );
     const read = f ? undefined : speak.report.read(r.status, r.body);
-    return read?.isRight() ? (read.extract() as EngineReport) : undefined;
+    return read?.isRight() ? read.extract() : undefined;
   }
 
   function has(r: EngineReport, t: Task): boolean {
--- a/src/control/storage/control-store.ts
+++ b/src/control/storage/control-store.ts
@@ -31,12 +31,12 @@
   registers: Map<string, RegisterState>;
   /** The keys that were learned in this life, in order. */
   learnedKeys: KeyJournal;
-  bootstrapVoterSet(): unknown;
-  recordBootstrap(v: unknown): Promise<Result<void>>;
+  bootstrapVoterSet: () => unknown;
+  recordBootstrap: (v: unknown) => Promise<Result<void>>;
   /** Applies a line and comes back when it is synced; `delta` is its accepted value as the difference to what is learned here, where that is at hand. */
-  put(l: LogEntry, delta?: Delta): Promise<Result<void>>;
-  flush(): Promise<Result<void>>;
-  isWritable(): boolean;
+  put: (l: LogEntry, delta?: Delta) => Promise<Result<void>>;
+  flush: () => Promise<Result<void>>;
+  isWritable: () => boolean;
   isCorrupt: boolean;
 }
 
--- a/src/control/storage/group-commit.ts
+++ b/src/control/storage/group-commit.ts
@@ -5,8 +5,8 @@
 
 /** Lines that wait for the disk and are written and synced together, in order. */
 export interface GroupCommit<T> {
-  add(line: T): Promise<Result<void>>;
-  flush(): Promise<Result<void>>;
+  add: (line: T) => Promise<Result<void>>;
+  flush: () => Promise<Result<void>>;
 }
 
 /** Groups lines; `settled` comes back when all that was added before it is synced, and writes anew where the disk is behind. */
--- a/src/control/storage/synced-read.ts
+++ b/src/control/storage/synced-read.ts
@@ -9,9 +9,9 @@
 
 /** Files that are read at a start, and synced after that. */
 export interface SyncedReader {
-  read(name: string): Promise<Result<Uint8Array | undefined>>;
+  read: (name: string) => Promise<Result<Uint8Array | undefined>>;
   /** Syncs each file that was read with content; goes on where it failed before. */
-  sync(): Promise<Result<void>>;
+  sync: () => Promise<Result<void>>;
 }
 
 const NO_BYTES = new Uint8Array(0);
--- a/src/control/storage/vote-files.ts
+++ b/src/control/storage/vote-files.ts
@@ -35,7 +35,7 @@
   isCorrupt: boolean;
   isLegacy?: boolean;
   /** Syncs the files that were read. */
-  sync(): Promise<Result<void>>;
+  sync: () => Promise<Result<void>>;
 }
 
 /** A file of votes that was written whole: its head, and the batches behind it. */
--- a/src/data/engines.ts
+++ b/src/data/engines.ts
@@ -25,18 +25,18 @@
 
 /** The engines as the news lists them, with their health. */
 export interface Engines {
-  ofModel(model: string): Seen[];
-  get(id: string): Seen | undefined;
-  fit(s: Seen): boolean;
-  leaves(s: Seen): boolean;
-  began(s: Seen, tokens: number): void;
-  ended(s: Seen, good: boolean): void;
-  learnedPrefill(s: Seen, read: number, ms: number): void;
-  turnedAway(s: Seen): void;
-  linkCost(from: string, to: string): number;
-  learnedLink(from: string, to: string, tokens: number, ms: number): void;
-  renew(): void;
-  stop(): void;
+  ofModel: (model: string) => Seen[];
+  get: (id: string) => Seen | undefined;
+  fit: (s: Seen) => boolean;
+  leaves: (s: Seen) => boolean;
+  began: (s: Seen, tokens: number) => void;
+  ended: (s: Seen, good: boolean) => void;
+  learnedPrefill: (s: Seen, read: number, ms: number) => void;
+  turnedAway: (s: Seen) => void;
+  linkCost: (from: string, to: string) => number;
+  learnedLink: (from: string, to: string, tokens: number, ms: number) => void;
+  renew: () => void;
+  stop: () => void;
 }
 
 const FAULTS_TO_OPEN = 3;
--- a/src/data/gateway/budget.ts
+++ b/src/data/gateway/budget.ts
@@ -9,11 +9,11 @@
 /** Pays for a request's attempts after its first. */
 export interface RetryBudget {
   /** Counts a request for a pool. */
-  asked(pool: string): void;
+  asked: (pool: string) => void;
   /** Whether one further attempt is left. */
-  left(pool: string): boolean;
+  left: (pool: string) => boolean;
   /** Spends one further attempt, where one is left. */
-  spend(pool: string): boolean;
+  spend: (pool: string) => boolean;
 }
 
 interface Window {
--- a/src/data/gateway/choose.ts
+++ b/src/data/gateway/choose.ts
@@ -58,19 +58,19 @@
 /** An attempt as a load on its engine. */
 export interface Load {
   /** Hears of the first event, in ms from the attempt's start. */
-  firstEvent(ms: number): void;
+  firstEvent: (ms: number) => void;
   /** Hears of the weights that the engine runs with, by model. */
-  told(weights: Record<string, string>): void;
+  told: (weights: Record<string, string>) => void;
   /** Hears that another instance stands at the engine's address, or other weights are there. */
-  turnedAway(verdict: 'not-run' | 'other-instance' | 'other-weights'): void;
-  ended(how: AttemptEnd): void;
+  turnedAway: (verdict: 'not-run' | 'other-instance' | 'other-weights') => void;
+  ended: (how: AttemptEnd) => void;
 }
 
 /** Chooses engines for requests. */
 export interface Chooser {
-  choose(w: Wanted): Promise<Either<Refusal, Chosen>>;
-  began(c: Chosen, w: Wanted): Load;
-  stop(): void;
+  choose: (w: Wanted) => Promise<Either<Refusal, Chosen>>;
+  began: (c: Chosen, w: Wanted) => Load;
+  stop: () => void;
 }
 
 /** What a chooser needs. */
@@ -79,10 +79,10 @@
   settings: Settings;
   follower: Follower;
   weights: WeightsBook;
-  pool(name: string): Pool | undefined;
-  stores(): readonly PartStore[];
+  pool: (name: string) => Pool | undefined;
+  stores: () => readonly PartStore[];
   /** How many routers there are, as far as it is known. */
-  routers(): number | undefined;
+  routers: () => number | undefined;
 }
 
 /** The wall behind which engines keep a tenant's parts: its own where it is isolated, one for all others. */
@@ -226,7 +226,7 @@
       if (answer) kept.set(salt, answer);
     }
     const o = placement.place(ask, kept);
-    if (o.isLeft()) return Left(refusalOf(o.extract() as NoPlace, w));
+    if (o.isLeft()) return Left(refusalOf(o.extract(), w));
     const placed = o.extract() as Placed;
     const { able, fetch } = placed.reckoned;
     const engine = engines(w.pool).find(same);
--- a/src/data/gateway/drain.ts
+++ b/src/data/gateway/drain.ts
@@ -24,19 +24,19 @@
 
 /** The leaving of a router. */
 export interface Drain {
-  isLeaving(): boolean;
+  isLeaving: () => boolean;
   /** How long ago this router was told to end, in ms. */
-  leavingMs(): number | undefined;
+  leavingMs: () => number | undefined;
   /** Whether a request may be taken whose time is over at `until`, in ms of the clock port. */
-  takes(until: number): boolean;
+  takes: (until: number) => boolean;
   /** Whether the drain's time is over: no further attempt begins. */
-  isOver(): boolean;
+  isOver: () => boolean;
   /** Begins to leave. */
-  begin(): void;
+  begin: () => void;
   /** Comes once nothing is in flight and nothing new comes, or at the end of the drain's time. */
-  run(server: RawListener): Promise<void>;
+  run: (server: RawListener) => Promise<void>;
   /** Ends the drain, and closes the server; what arrives meanwhile is refused. */
-  close(server: RawListener): Promise<void>;
+  close: (server: RawListener) => Promise<void>;
 }
 
 /** Makes the drain of a router that serves. Its time counts from when the signal may have been sent, which is before it is handled where the process was held up. */
--- a/src/data/gateway/forward.ts
+++ b/src/data/gateway/forward.ts
@@ -107,7 +107,7 @@
   call: RawIncomingRequest,
   x: Taken,
   c: Chosen,
-): { signal: AbortSignal; stop(): void } {
+): { signal: AbortSignal; stop: () => void } {
   const { clock } = g.ports;
   const began = clock.now();
   const soon = Math.max(x.route.aimMs, x.route.gapAimMs);
--- a/src/data/gateway/gateway.ts
+++ b/src/data/gateway/gateway.ts
@@ -25,9 +25,9 @@
 export interface Gateway {
   counts: GatewayCounts;
   /** Whether it takes connections. */
-  ready(): boolean;
-  drain(): Promise<void>;
-  stop(): Promise<void>;
+  ready: () => boolean;
+  drain: () => Promise<void>;
+  stop: () => Promise<void>;
 }
 
 /** Limits until the deployment tells them, as shares of `contactMs`. */
@@ -207,7 +207,7 @@
     if (d.isLeft())
       return ports.logger.error(
         { step: 'read deployment', peer: settings.name },
-        (d.extract() as string[]).join('; '),
+        d.extract().join('; '),
       );
     current = makeRouteTable(d.extract() as Deployment, current);
     connections.idleMs(current.limits.idleTimeoutMs);
--- a/src/data/gateway/homes.ts
+++ b/src/data/gateway/homes.ts
@@ -1,7 +1,7 @@
 /** Orders names for a key by rendezvous hash, cheaply: the same at every router, and a name that comes or goes moves only its own keys. */
 export interface Homes {
   /** Ranks by name, 0 is the home. */
-  ranks(key: string, names: readonly string[]): Map<string, number>;
+  ranks: (key: string, names: readonly string[]) => Map<string, number>;
 }
 
 const MOST_NAMES = 4096;
--- a/src/data/gateway/in-flight.ts
+++ b/src/data/gateway/in-flight.ts
@@ -36,12 +36,12 @@
 
 /** Keeps the requests in flight. */
 export interface InFlight {
-  began(): RequestInFlight;
-  ended(request: RequestInFlight): void;
-  count(): number;
-  all(): Iterable<RequestInFlight>;
+  began: () => RequestInFlight;
+  ended: (request: RequestInFlight) => void;
+  count: () => number;
+  all: () => Iterable<RequestInFlight>;
   /** Logs once that a request was cut off; `leavingMs` is the time since this router was told to end. */
-  cutOff(request: RequestInFlight, cause: CutOffCause, leavingMs?: number): void;
+  cutOff: (request: RequestInFlight, cause: CutOffCause, leavingMs?: number) => void;
 }
 
 /** Lines that are logged within `contactMs`; cut-offs beyond them are counted in the next line. */
--- a/src/data/gateway/indexers.ts
+++ b/src/data/gateway/indexers.ts
@@ -17,12 +17,12 @@
 /** What a router says to indexers. */
 export interface Indexers {
   /** Asks how much of a prompt each source keeps; nothing where no indexer answers in time. */
-  overlap(q: OverlapRequest, withinMs: number): Promise<OverlapReply | undefined>;
+  overlap: (q: OverlapRequest, withinMs: number) => Promise<OverlapReply | undefined>;
   /** Tells all indexers of a request that was placed, and the board of what it adds to its engine. */
-  placed(p: PlacementNotice): void;
+  placed: (p: PlacementNotice) => void;
   /** Brings what is known of other routers' loads up to now; waits no longer than that. */
-  renewLoads(withinMs: number): Promise<void>;
-  stop(): void;
+  renewLoads: (withinMs: number) => Promise<void>;
+  stop: () => void;
 }
 
 /** Answers that may stay out, one after the other, before an indexer is left alone for a while. */
--- a/src/data/gateway/links.ts
+++ b/src/data/gateway/links.ts
@@ -1,10 +1,10 @@
 /** How slow moves of kept parts are, by source, learned from requests that fetched. */
 export interface Links {
   /** Ms to move so many bytes between two places over the slower of two links. */
-  moveMs(from: Side, to: Side, bytes: number): number;
+  moveMs: (from: Side, to: Side, bytes: number) => number;
   /** What a request that fetched showed: whether the move took far longer than reckoned. */
-  learn(from: string, to: string, slower: boolean): void;
-  keep(names: ReadonlySet<string>): void;
+  learn: (from: string, to: string, slower: boolean) => void;
+  keep: (names: ReadonlySet<string>) => void;
 }
 
 /** One end of a move. */
--- a/src/data/gateway/loads.ts
+++ b/src/data/gateway/loads.ts
@@ -32,19 +32,19 @@
 
 /** Requests in flight by engine: this router's own, and those of all others as the load board told them. */
 export interface Loads {
-  began(f: Flight): void;
-  first(f: Flight): void;
-  ended(f: Flight): void;
-  of(engine: string): Load;
+  began: (f: Flight) => void;
+  first: (f: Flight) => void;
+  ended: (f: Flight) => void;
+  of: (engine: string) => Load;
   /** Own loads for the board. */
-  own(): EngineLoad[];
+  own: () => EngineLoad[];
   /** Takes what the board told of all others. */
-  others(list: EngineLoad[], full: boolean): void;
+  others: (list: EngineLoad[], full: boolean) => void;
   /** Forgets what the board told, as it is silent. */
-  noBoard(): void;
+  noBoard: () => void;
   /** Forgets engines that are gone. */
-  keep(names: ReadonlySet<string>): void;
-  hasBoard(): boolean;
+  keep: (names: ReadonlySet<string>) => void;
+  hasBoard: () => boolean;
 }
 
 /** The least of a request's unread tokens that counts until its first event comes. */
--- a/src/data/gateway/pace.ts
+++ b/src/data/gateway/pace.ts
@@ -20,14 +20,14 @@
 
 /** Learns how fast engines are from what attempts show. */
 export interface Paces {
-  of(pool: string, engine: string): Pace;
-  learn(pool: string, engine: string, seen: PaceSeen): void;
+  of: (pool: string, engine: string) => Pace;
+  learn: (pool: string, engine: string, seen: PaceSeen) => void;
   /** Ms for which a request kept its place. */
-  learnPlace(pool: string, ms: number): void;
+  learnPlace: (pool: string, ms: number) => void;
   /** Ms from a request's first event to its end, and the most tokens that it might give. */
-  learnOut(pool: string, engine: string, ms: number, tokens: number): void;
+  learnOut: (pool: string, engine: string, ms: number, tokens: number) => void;
   /** Forgets engines that are gone. */
-  keep(engines: ReadonlySet<string>): void;
+  keep: (engines: ReadonlySet<string>) => void;
 }
 
 /** First guesses, left after a few answers. */
--- a/src/data/gateway/parts.ts
+++ b/src/data/gateway/parts.ts
@@ -31,9 +31,9 @@
   budget: RetryBudget;
   counts: GatewayCounts;
   /** The deployment's look-ups, once this router may serve. */
-  table(): RouteTable | undefined;
+  table: () => RouteTable | undefined;
   /** Whether an engine is still listed and not leaving. */
-  stands(e: Engine): boolean;
+  stands: (e: Engine) => boolean;
   draining: Drain;
   inFlight: InFlight;
   /** Ids of requests under way that may run once only. */
--- a/src/data/gateway/placement-types.ts
+++ b/src/data/gateway/placement-types.ts
@@ -75,8 +75,8 @@
 
 /** A request under way at its engine. */
 export interface Underway {
-  first(): void;
-  ended(how: Ending): void;
+  first: () => void;
+  ended: (how: Ending) => void;
 }
 
 /** How engines are compared: `full` reckons all that is known, `affinity` takes the home, `least-busy` the engine with the least at work. */
@@ -85,16 +85,16 @@
 /** Places requests at engines. */
 export interface Placement {
   /** The salts under which an index is worth asking for this request. */
-  wantsIndex(ask: PlaceAsk): string[];
+  wantsIndex: (ask: PlaceAsk) => string[];
   /** Places a request; `kept` is what an index answered by salt. */
-  place(ask: PlaceAsk, kept: ReadonlyMap<string, OverlapReply>): Either<NoPlace, Placed>;
-  began(p: Placed): Underway;
+  place: (ask: PlaceAsk, kept: ReadonlyMap<string, OverlapReply>) => Either<NoPlace, Placed>;
+  began: (p: Placed) => Underway;
   loads: Loads;
   paces: Paces;
   links: Links;
   standings: Standings;
   /** Forgets engines and stores that are gone. */
-  keep(names: ReadonlySet<string>): void;
+  keep: (names: ReadonlySet<string>) => void;
 }
 
 /** What placement stands on. */
--- a/src/data/gateway/pools.ts
+++ b/src/data/gateway/pools.ts
@@ -19,23 +19,23 @@
 /** Kept connections to engines; what was used last is used first. */
 export interface EngineConnections {
   /** Takes a connection to an engine; `most` is what the engine takes from all callers. */
-  take(e: Engine, most: number): Promise<Result<HttpConnection>>;
+  take: (e: Engine, most: number) => Promise<Result<HttpConnection>>;
   /** Takes back a connection that was not used. */
-  giveBack(e: Engine, c: HttpConnection): void;
+  giveBack: (e: Engine, c: HttpConnection) => void;
   /** Hears for how long an engine keeps an idle connection. */
-  told(e: Engine, keepS: number | undefined): void;
+  told: (e: Engine, keepS: number | undefined) => void;
   /** Hears that bytes came from an engine. */
-  heard(e: Engine): void;
+  heard: (e: Engine) => void;
   /** When bytes last came from an engine on any connection. */
-  heardAt(e: Engine): number;
+  heardAt: (e: Engine) => number;
   /** Asks, by a new connection, whether an engine's machine is still there. */
-  reaches(e: Engine): Promise<boolean>;
+  reaches: (e: Engine) => Promise<boolean>;
   /** Hears that an engine mixes answers up. */
-  garbles(e: Engine): void;
+  garbles: (e: Engine) => void;
   /** Hears which engines there are. */
-  renew(ids: ReadonlySet<string>): void;
-  idleMs(ms: number): void;
-  stop(): void;
+  renew: (ids: ReadonlySet<string>) => void;
+  idleMs: (ms: number) => void;
+  stop: () => void;
 }
 
 interface Kept {
--- a/src/data/gateway/request.ts
+++ b/src/data/gateway/request.ts
@@ -109,8 +109,7 @@
     if (g.draining.isOver()) return end;
     const wanted = wantedOf(x);
     const chosen = await g.chooser.choose(wanted);
-    if (chosen.isLeft())
-      return { ...end, refusal: chosen.extract() as Refusal, cause: 'no-engine' };
+    if (chosen.isLeft()) return { ...end, refusal: chosen.extract(), cause: 'no-engine' };
     const c = chosen.unsafeCoerce();
     const load = g.chooser.began(c, wanted);
     x.avoid.add(c.engine.id);
@@ -191,7 +190,7 @@
   if (f) return answer(g, call, f.code === 'too-large' ? 413 : 400, f.reason);
   if (!g.table()) return refuse(g, call, comeAgain(g, NO_DEPLOYMENT));
   const r = g.dialect.callers.read(call.method, call.target, call.headersByName);
-  if (r.isLeft()) return answer(g, call, 400, r.extract() as string);
+  if (r.isLeft()) return answer(g, call, 400, r.extract());
   return { request: r.extract() as CallerRequest, body };
 }
 
--- a/src/data/gateway/routes.ts
+++ b/src/data/gateway/routes.ts
@@ -22,9 +22,9 @@
 export interface RouteTable {
   limits: CallerLimits;
   /** The route of that host with the longest prefix that begins the path. */
-  find(host: string, path: string): HttpRoute | undefined;
-  tenantOf(key: string): TenantAccess | undefined;
-  pool(name: string): Pool | undefined;
+  find: (host: string, path: string) => HttpRoute | undefined;
+  tenantOf: (key: string) => TenantAccess | undefined;
+  pool: (name: string) => Pool | undefined;
   stores: readonly PartStore[];
   /** What the next deployment's table is made from. */
   index: RouteIndex;
--- a/src/data/gateway/standing.ts
+++ b/src/data/gateway/standing.ts
@@ -4,13 +4,13 @@
 /** Which engines are left alone, as attempts there failed or were turned away, and for how long. */
 export interface Standings {
   /** Of these, the ones that may be used; those on trial only one request at a time, and not by one that may not repeat where others are. */
-  able(names: readonly string[], repeatable: boolean): string[];
-  began(name: string): void;
+  able: (names: readonly string[], repeatable: boolean) => string[];
+  began: (name: string) => void;
   /** Hears how an attempt ended that began at `at`. */
-  ended(name: string, how: Ending, at: number): void;
+  ended: (name: string, how: Ending, at: number) => void;
   /** Ms until the first of these may be used. */
-  nextIn(names: readonly string[]): number;
-  keep(names: ReadonlySet<string>): void;
+  nextIn: (names: readonly string[]) => number;
+  keep: (names: ReadonlySet<string>) => void;
 }
 
 interface Standing {
--- a/src/data/gateway/weights.ts
+++ b/src/data/gateway/weights.ts
@@ -14,15 +14,15 @@
 /** What a router knows of which engine runs with which weights. */
 export interface WeightsBook {
   /** Hears the news of a model; `live` is whether this router heard it as it was made, not on catching up. */
-  named(v: NamedWeights, live: boolean): void;
+  named: (v: NamedWeights, live: boolean) => void;
   /** Takes the list of engines. */
-  listed(engines: readonly Engine[]): void;
+  listed: (engines: readonly Engine[]) => void;
   /** Hears from an engine's answer, also one that turned a request away, which weights it runs with, by model. */
-  told(instance: string, weights: Record<string, string>): void;
+  told: (instance: string, weights: Record<string, string>) => void;
   /** Hears that engines are about to take up weights, so that nothing fresh is sent there until they have them or `withinMs` has passed. */
-  loading(instances: readonly string[], withinMs: number): void;
+  loading: (instances: readonly string[], withinMs: number) => void;
   /** The weights to expect of an engine for a fresh request; none where it may not serve one. */
-  expect(instance: string, model: string): Expected | undefined;
+  expect: (instance: string, model: string) => Expected | undefined;
 }
 
 /** Makes the book. Older weights serve fresh requests for `stopMs` from when the newer naming was heard, or for `lateMs` where it was only caught up on. An engine's weights never fall within one life, so the newest that any source tells are what it has. */
--- a/src/data/parts.ts
+++ b/src/data/parts.ts
@@ -44,22 +44,22 @@
   placer: Placer;
   counts: RouterCounts;
   metrics: Metrics;
-  firstTook(ms: number): void;
-  tenantOf(hash: string): string | undefined;
-  serviceOf(
+  firstTook: (ms: number) => void;
+  tenantOf: (hash: string) => string | undefined;
+  serviceOf: (
     tenant: string,
     service: string | undefined,
     label: string | undefined,
-  ): Service | 'missing' | 'foreign';
-  saltOf(tenant: string): string | undefined;
-  freshWeights(model: string): {
+  ) => Service | 'missing' | 'foreign';
+  saltOf: (tenant: string) => string | undefined;
+  freshWeights: (model: string) => {
     now: (s: Seen) => string | undefined;
     old?: (s: Seen) => string | undefined;
     queried: string[];
   };
-  allowSecond(service: Service): boolean;
-  earn(service: Service): void;
-  runId(): string;
+  allowSecond: (service: Service) => boolean;
+  earn: (service: Service) => void;
+  runId: () => string;
   underWay: Set<Attempt>;
-  draining(): boolean;
+  draining: () => boolean;
 }
--- a/src/data/place.ts
+++ b/src/data/place.ts
@@ -56,16 +56,16 @@
 
 /** Asks indexers and works out placements. */
 export interface Placer {
-  overlaps(
+  overlaps: (
     model: string,
     salt: string,
     weights: string,
     parts: PromptBlock[],
-  ): Promise<Overlap[] | undefined>;
-  choose(w: Wanted, by: Map<string, Overlap[] | undefined>): Placement | undefined;
-  tellReused(body: object): void;
-  reach(members: Member[]): void;
-  stop(): void;
+  ) => Promise<Overlap[] | undefined>;
+  choose: (w: Wanted, by: Map<string, Overlap[] | undefined>) => Placement | undefined;
+  tellReused: (body: object) => void;
+  reach: (members: Member[]) => void;
+  stop: () => void;
 }
 
 /** Makes the placer; it keeps a connection up to each indexer. */
--- a/src/data/router.ts
+++ b/src/data/router.ts
@@ -23,8 +23,8 @@
 /** A running router. */
 export interface Router {
   parts: RouterParts;
-  stop(): Promise<void>;
-  drain(): Promise<void>;
+  stop: () => Promise<void>;
+  drain: () => Promise<void>;
 }
 
 interface NamedWeights {
@@ -34,8 +34,8 @@
 
 /** A running router of either manner of speaking. */
 export interface RunningRouter {
-  stop(): Promise<void>;
-  drain(): Promise<void>;
+  stop: () => Promise<void>;
+  drain: () => Promise<void>;
 }
 
 /** What a router is in the fleet's list, in this life of its process. */
--- a/src/index/coming.ts
+++ b/src/index/coming.ts
@@ -16,16 +16,16 @@
 /** Parts that are on their way to engines: requests that read them were placed there, and no event has told of them yet. */
 export interface Coming {
   /** Takes a router's note of a request that it placed. */
-  placed(router: object, p: PlacementNotice, keeps: (part: WireBlock) => boolean): void;
+  placed: (router: object, p: PlacementNotice, keeps: (part: WireBlock) => boolean) => void;
   /** The engines to which a part is on its way. */
-  at(model: string, salt: string, hash: string): ReadonlyMap<string, unknown> | undefined;
+  at: (model: string, salt: string, hash: string) => ReadonlyMap<string, unknown> | undefined;
   /** A part was told of. */
-  heard(model: string, salt: string, hash: string, source: string): void;
+  heard: (model: string, salt: string, hash: string, source: string) => void;
   /** Forgets a source's notes. */
-  dropSource(source: string): void;
+  dropSource: (source: string) => void;
   /** Forgets the notes of a router that has gone. */
-  dropRouter(router: object): void;
-  size(): number;
+  dropRouter: (router: object) => void;
+  size: () => number;
 }
 
 /** Keeps notes for `keptMs`, at most `most` of them; the oldest go first. */
--- a/src/index/gaps.ts
+++ b/src/index/gaps.ts
@@ -32,15 +32,15 @@
   peers: ConnectionPool;
   repair: Repair;
   counts: GapCounts;
-  apply(source: string, epoch: string, b: EventBatch): void;
+  apply: (source: string, epoch: string, b: EventBatch) => void;
 }
 
 /** The gaps of an indexer's sources. */
 export interface Gaps {
   /** Asks peers for the batches after what was heard and before `next`; what none has is lost. */
-  fill(source: string, h: Heard, next: number): Promise<void>;
-  of(source: string): SourceGaps;
-  forget(source: string): void;
+  fill: (source: string, h: Heard, next: number) => Promise<void>;
+  of: (source: string) => SourceGaps;
+  forget: (source: string) => void;
 }
 
 /** A gap is asked for back to this many batches. */
--- a/src/index/indexer.ts
+++ b/src/index/indexer.ts
@@ -36,15 +36,15 @@
   follower: Follower;
   trees: Trees;
   edges: object[];
-  gateOpen(): boolean;
-  listeners(): ListenerView[];
+  gateOpen: () => boolean;
+  listeners: () => ListenerView[];
   counts: IndexCounts;
   coming: Coming;
   sources: Sources;
   /** Whether a source's feed can be reached. */
-  reached(source: string): boolean;
+  reached: (source: string) => boolean;
   repair: Repair;
-  stop(): Promise<void>;
+  stop: () => Promise<void>;
 }
 
 /** What an indexer counts. */
--- a/src/index/listener.ts
+++ b/src/index/listener.ts
@@ -29,10 +29,10 @@
 export interface Listener {
   reg: Registration;
   pulls: Feed<EventsReply>;
-  view(): { status: ListenerView['status']; lastError?: string };
+  view: () => { status: ListenerView['status']; lastError?: string };
   /** Whether its last call reached the source, or none has failed yet. */
-  reached(): boolean;
-  stop(): void;
+  reached: () => boolean;
+  stop: () => void;
 }
 
 /** Pulls one source's events for as long as it is registered, one task for each. */
@@ -110,8 +110,8 @@
 
 /** The newest batches of a source, kept for peers that missed some. */
 export interface BatchRing {
-  add(epoch: string, b: EventBatch): void;
-  between(epoch: string, from: number, to: number): EventBatch[];
+  add: (epoch: string, b: EventBatch) => void;
+  between: (epoch: string, from: number, to: number) => EventBatch[];
 }
 
 /** Makes a ring of batches. */
--- a/src/index/loads.ts
+++ b/src/index/loads.ts
@@ -13,11 +13,11 @@
 /** What all routers have in flight at each engine, held at one indexer for all of them. */
 export interface Loads {
   /** Takes a router's loads on one of its connections and tells it those of the others. */
-  tell(connection: object, router: string, t: LoadReport): LoadReply;
+  tell: (connection: object, router: string, t: LoadReport) => LoadReply;
   /** A connection has ended: its router's loads go. */
-  drop(connection: object): void;
+  drop: (connection: object) => void;
   /** The sums over all routers. */
-  totals(): EngineLoad[];
+  totals: () => EngineLoad[];
 }
 
 /** Makes the board; a router that is silent for `silentMs` does not count until it speaks again. */
--- a/src/index/messages.ts
+++ b/src/index/messages.ts
@@ -92,9 +92,9 @@
 
 /** What the messages need of an indexer. */
 export interface IndexParts {
-  query(q: QueryAsk): Overlap[];
-  dump(): Dump;
-  dumpRows(): CompactDump;
-  ring(source: string): BatchRing;
-  reused(m: ReusedTell): void;
+  query: (q: QueryAsk) => Overlap[];
+  dump: () => Dump;
+  dumpRows: () => CompactDump;
+  ring: (source: string) => BatchRing;
+  reused: (m: ReusedTell) => void;
 }
--- a/src/index/parts.ts
+++ b/src/index/parts.ts
@@ -33,22 +33,22 @@
 
 /** Parts and their holdings, in order of use. */
 export interface PartStore {
-  tree(model: string, salt: string): PartTree | undefined;
-  part(model: string, salt: string, hash: string): PartNode | undefined;
+  tree: (model: string, salt: string) => PartTree | undefined;
+  part: (model: string, salt: string, hash: string) => PartNode | undefined;
   /** All parts, the least recently used first. */
-  all(): IterableIterator<PartNode>;
+  all: () => IterableIterator<PartNode>;
   /** The parts that a source holds. */
-  heldBy(source: string): ReadonlySet<PartNode>;
-  find(n: PartNode, source: string, weights: string): Holding | undefined;
+  heldBy: (source: string) => ReadonlySet<PartNode>;
+  find: (n: PartNode, source: string, weights: string) => Holding | undefined;
   /** Notes that a source holds a part. */
-  store(source: string, e: BlockEvent): PartNode;
+  store: (source: string, e: BlockEvent) => PartNode;
   /** Notes that a source holds a part no longer. */
-  release(source: string, weights: string, n: PartNode): void;
-  touch(n: PartNode): void;
+  release: (source: string, weights: string, n: PartNode) => void;
+  touch: (n: PartNode) => void;
   /** Moves a part below another parent. */
-  setParent(n: PartNode, parent: string): void;
-  size(): number;
-  evicted(): number;
+  setParent: (n: PartNode, parent: string) => void;
+  size: () => number;
+  evicted: () => number;
 }
 
 const NO_PARTS: ReadonlySet<PartNode> = new Set();
--- a/src/index/repair.ts
+++ b/src/index/repair.ts
@@ -32,12 +32,12 @@
 /** Brings back what events did not tell of a source. */
 export interface Repair {
   /** Numbers of a source were lost; undefined where nobody knows how many. */
-  lost(source: string, numbers: number | undefined): void;
+  lost: (source: string, numbers: number | undefined) => void;
   /** A source is known anew from its first number. */
-  clear(source: string): void;
-  owed(source: string): number;
+  clear: (source: string) => void;
+  owed: (source: string) => number;
   /** Lost numbers by source. */
-  owedAll(): [string, number][];
+  owedAll: () => [string, number][];
   edge: object;
   counts: { lists: number; fromPeers: number; changed: number };
 }
@@ -51,10 +51,10 @@
   peers: ConnectionPool;
   /** This replica's own address, by which replicas part sources among them. */
   at: string;
-  registration(source: string): Registration | undefined;
-  heard(source: string): Heard | undefined;
+  registration: (source: string) => Registration | undefined;
+  heard: (source: string) => Heard | undefined;
   /** Takes what is kept as of a number in one turn, and what was heard after it. */
-  adopt(source: string, epoch: string, seq: number, take: () => void): void;
+  adopt: (source: string, epoch: string, seq: number, take: () => void) => void;
 }
 
 /** Gives a source's whole to a replica that lost some of it. */
--- a/src/index/sources.ts
+++ b/src/index/sources.ts
@@ -35,15 +35,15 @@
   gatherMs: number;
   /** Batches that are kept of each source for peers that missed some. */
   ringMost: number;
-  registrations(follower: Follower): Registration[];
-  pull(
+  registrations: (follower: Follower) => Registration[];
+  pull: (
     reg: Registration,
     epoch: string,
     after: number,
     gone: AbortSignal,
-  ): Promise<Result<EventsReply>>;
+  ) => Promise<Result<EventsReply>>;
   /** Asks for all that a source keeps; it holds the source's work up. */
-  list?(reg: Registration): Promise<Result<SourceList>>;
+  list?: (reg: Registration) => Promise<Result<SourceList>>;
 }
 
 function enginesOf(follower: Follower): Registration[] {
@@ -133,8 +133,7 @@
     );
     if (f) return Left(f);
     const k = dialect.engines.feed.read(r.status, r.body);
-    if (k.isLeft())
-      return failure('pull events', reg.at, k.extract() as string, 'failed', 'bad-return');
+    if (k.isLeft()) return failure('pull events', reg.at, k.extract(), 'failed', 'bad-return');
     const feed = k.unsafeCoerce();
     return Right({
       epoch: feed.epoch,
@@ -155,8 +154,7 @@
     );
     if (f) return Left(f);
     const k = dialect.engines.list.read(r.status, r.body);
-    if (k.isLeft())
-      return failure('list kept parts', reg.at, k.extract() as string, 'failed', 'bad-return');
+    if (k.isLeft()) return failure('list kept parts', reg.at, k.extract(), 'failed', 'bad-return');
     const l = k.unsafeCoerce();
     return Right({ epoch: l.epoch, seq: l.next, held: l.held.map(eventOf) });
   }
--- a/src/index/tree.ts
+++ b/src/index/tree.ts
@@ -29,37 +29,37 @@
 
 /** The trees of all (model, salt) pairs; weights are kept apart inside. */
 export interface Trees {
-  apply(source: string, e: BlockEvent): void;
-  dropSource(source: string): number;
-  doubt(source: string): number;
-  doubted(source: string): number;
-  reused(
+  apply: (source: string, e: BlockEvent) => void;
+  dropSource: (source: string) => number;
+  doubt: (source: string) => number;
+  doubted: (source: string) => number;
+  reused: (
     source: string,
     model: string,
     salt: string,
     weights: string,
     parts: readonly PromptBlock[],
     count: number,
-  ): { confirmed: number; dropped: number };
-  query(model: string, salt: string, weights: string, parts: readonly PromptBlock[]): Overlap[];
-  dump(source?: string): { source: string; event: BlockEvent }[];
+  ) => { confirmed: number; dropped: number };
+  query: (model: string, salt: string, weights: string, parts: readonly PromptBlock[]) => Overlap[];
+  dump: (source?: string) => { source: string; event: BlockEvent }[];
   /** Tokens that each source keeps of one part. */
-  holders(
+  holders: (
     model: string,
     salt: string,
     hash: string,
-  ): { source: string; kept: number }[] | undefined;
+  ) => { source: string; kept: number }[] | undefined;
   /** Takes where parts stand in a prompt from a prompt that names them in order, and marks them as used. */
-  learn(model: string, salt: string, parts: readonly WireBlock[]): void;
+  learn: (model: string, salt: string, parts: readonly WireBlock[]) => void;
   /** The trees, or what one source keeps of them, as rows. */
-  rows(source?: string): Rows;
+  rows: (source?: string) => Rows;
   /** Takes rows of the sources that pass. */
-  takeRows(r: Rows, wanted: (source: string) => boolean): void;
+  takeRows: (r: Rows, wanted: (source: string) => boolean) => void;
   /** Makes what is kept at a source equal to a list; gives how many holdings that changed. */
-  replace(source: string, held: readonly BlockEvent[]): number;
-  size(): number;
-  holding(source: string): number;
-  evicted(): number;
+  replace: (source: string, held: readonly BlockEvent[]) => number;
+  size: () => number;
+  holding: (source: string) => number;
+  evicted: () => number;
 }
 
 /** Makes the trees; past `most` parts the least recently used leaves go first. */
--- a/src/programs/common.ts
+++ b/src/programs/common.ts
@@ -47,7 +47,7 @@
     ? readWorded(platform, file)
     : (await import('./flags')).readFlags(program, doc, VERSION, need);
   if (read.isLeft()) {
-    for (const f of read.extract() as string[]) process.stderr.write(`${program}: ${f}\n`);
+    for (const f of read.extract()) process.stderr.write(`${program}: ${f}\n`);
     process.exit(2);
   }
   const s = read.extract() as Settings;
@@ -60,7 +60,7 @@
   const clock = makeSystemClock(s.suspends);
   function again(): void {
     const now = readWorded(platform, file);
-    if (now.isRight()) s.seeds.splice(0, s.seeds.length, ...(now.extract() as Settings).seeds);
+    if (now.isRight()) s.seeds.splice(0, s.seeds.length, ...now.extract().seeds);
   }
   process.on('SIGHUP', again);
   for (;;) {
@@ -86,7 +86,7 @@
   };
   const o = await start(ports, s, dialect);
   if (o.isLeft()) {
-    const f = o.extract() as OperationError;
+    const f = o.extract();
     log.error({ step: f.step, peer: f.peer }, f.reason);
     process.stderr.write(`${program}: ${describeError(f)}\n`);
     process.exit(1);
--- a/src/programs/history-command.ts
+++ b/src/programs/history-command.ts
@@ -12,8 +12,8 @@
 
 /** How the program prints and fails. */
 export interface Printer {
-  say(value: unknown, text: string): void;
-  fail(code: number, text: string): never;
+  say: (value: unknown, text: string) => void;
+  fail: (code: number, text: string) => never;
 }
 
 /** Adds the commands that judge recorded histories. */
@@ -25,7 +25,7 @@
     }
     if (fault) return printer.fail(BAD_USE, describeError(fault));
     const parsed = parseHistory(text);
-    if (parsed.isLeft()) return sayFaults(parsed.extract() as LineFault[]);
+    if (parsed.isLeft()) return sayFaults(parsed.extract());
     const calls = parsed.extract() as HistoryCall[];
     const verdict = checkHistory(calls);
     printer.say(verdict, sayVerdict(verdict, calls));
--- a/src/programs/plumhollow.ts
+++ b/src/programs/plumhollow.ts
@@ -55,7 +55,7 @@
       timeoutMs: WITHIN,
     });
     if (o.isRight()) return o;
-    last = o as Result<Got>;
+    last = o;
     if ((o.extract() as OperationError).certainty !== 'refused' && method !== 'GET') break;
   }
   return last!;
@@ -76,9 +76,7 @@
   const [g, raw] = errorOrValue(parseJson(text, 'read file', file));
   if (g) return { faults: [{ path: '', why: g.reason }] };
   const o = validateIntents(raw);
-  return o.isLeft()
-    ? { faults: o.extract() as IntentViolation[] }
-    : { doc: o.extract() as Intents, faults: [] };
+  return o.isLeft() ? { faults: o.extract() } : { doc: o.extract() as Intents, faults: [] };
 }
 
 function sayFaults(faults: IntentViolation[]): void {
--- a/src/programs/running.ts
+++ b/src/programs/running.ts
@@ -1,5 +1,5 @@
 /** Something running that can drain and stop. */
 export interface Running {
-  drain(): Promise<void>;
-  stop(): Promise<void>;
+  drain: () => Promise<void>;
+  stop: () => Promise<void>;
 }
--- a/src/shared/concurrency/single-flight.ts
+++ b/src/shared/concurrency/single-flight.ts
@@ -3,8 +3,8 @@
 /** Joins calls for the same work. */
 export interface SingleFlight<T> {
   /** Starts the work of an identity, or joins that which is under way; work without an identity is always started. */
-  run(identity: string | undefined, start: () => Promise<T>): Promise<T>;
-  isInProgress(identity: string): boolean;
+  run: (identity: string | undefined, start: () => Promise<T>) => Promise<T>;
+  isInProgress: (identity: string) => boolean;
 }
 
 /** Makes an empty set of flights. */
--- a/src/shared/concurrency/waker.ts
+++ b/src/shared/concurrency/waker.ts
@@ -3,8 +3,8 @@
 /** Waits that end at their time, or sooner where something has come up meanwhile. */
 export interface Waker {
   /** Comes back after `ms`, or `least` after it was woken. */
-  wait(ms: number, least: number): Promise<void>;
-  wake(): void;
+  wait: (ms: number, least: number) => Promise<void>;
+  wake: () => void;
 }
 
 /** Makes a waker for one loop. */
@@ -38,9 +38,9 @@
 /** The wakers of all loops of a process. */
 export interface WakerGroup {
   /** Makes a waker for one more loop. */
-  add(): Waker;
+  add: () => Waker;
   /** Wakes all loops. */
-  wake(): void;
+  wake: () => void;
 }
 
 /** Makes a process's wakers. */
--- a/src/shared/contracts/engine.ts
+++ b/src/shared/contracts/engine.ts
@@ -86,8 +86,8 @@
 
 /** The pieces of one generate call. */
 export interface GenerationStream {
-  next(): Promise<Result<EngineLine>>;
-  cancel(): void;
+  next: () => Promise<Result<EngineLine>>;
+  cancel: () => void;
 }
 
 const MOST_PART = 256;
--- a/src/shared/history/calls.ts
+++ b/src/shared/history/calls.ts
@@ -162,7 +162,7 @@
   for (const [index, lineText] of text.split('\n').entries()) {
     if (lineText.trim() === '') continue;
     const parsed = parseLine(lineText, index + 1);
-    if (parsed.isLeft()) faults.push(...(parsed.extract() as LineFault[]));
+    if (parsed.isLeft()) faults.push(...parsed.extract());
     else keep(parsed.extract() as HistoryCall);
   }
   return faults.length > 0 ? Left(faults) : Right(calls);
--- a/src/shared/observability/event-loop-stalls.ts
+++ b/src/shared/observability/event-loop-stalls.ts
@@ -8,9 +8,9 @@
 /** Watches an event loop. Times are of the clock port, in ms. */
 export interface StallMonitor {
   /** Is to be called every `everyMs`, by a timer. */
-  look(): void;
+  look: () => void;
   /** The earliest time at which something that is handled now may have come: the start of a stall that has only just ended, or now. */
-  earliest(): number;
+  earliest: () => number;
 }
 
 /** Makes a watch over the event loop of a process that looks every `everyMs`. */
--- a/src/shared/observability/metrics.ts
+++ b/src/shared/observability/metrics.ts
@@ -4,8 +4,8 @@
 
 /** Figures of one process in the text form that collectors read. */
 export interface Metrics {
-  times(name: string, help: string, bound: number): (ms: number) => void;
-  text(rows: string[]): Promise<string>;
+  times: (name: string, help: string, bound: number) => (ms: number) => void;
+  text: (rows: string[]) => Promise<string>;
 }
 
 /** A histogram to be, and the times that wait for it. */
--- a/src/shared/platform-adapter/platform-adapter.ts
+++ b/src/shared/platform-adapter/platform-adapter.ts
@@ -62,9 +62,9 @@
 
 /** Cuts a stream's bytes into whole events; what is not whole yet is held back. */
 export interface EventParser {
-  take(bytes: Uint8Array): StreamEvent[];
+  take: (bytes: Uint8Array) => StreamEvent[];
   /** Bytes of an event that is not whole. */
-  rest(): number;
+  rest: () => number;
 }
 
 /** How an engine says that it stands. */
@@ -131,55 +131,55 @@
 export interface PlatformAdapter {
   name: string;
   /** Reads a settings file's text into settings; unknown fields are passed over. */
-  settings(text: string): Either<string[], Settings>;
+  settings: (text: string) => Either<string[], Settings>;
   /** Reads an operator's document into our words; faults by path. */
-  deployment(doc: unknown): Either<string[], Deployment>;
+  deployment: (doc: unknown) => Either<string[], Deployment>;
   /** Reads an operator's named change. */
-  namedChange(doc: unknown): Either<string[], NamedChange>;
+  namedChange: (doc: unknown) => Either<string[], NamedChange>;
   callers: {
     /** Reads what a caller asks for; a string says what is wrong with it. */
-    read(
+    read: (
       method: string,
       target: string,
       headers: Record<string, string | undefined>,
-    ): Either<string, CallerRequest>;
+    ) => Either<string, CallerRequest>;
     readinessPath: string;
   };
   engines: {
     /** Words an attempt from the caller's own method, target, headers and body. */
-    attempt(
+    attempt: (
       q: { method: string; target: string; headers: RawHeaders; body: Uint8Array },
       terms: AttemptOptions,
-    ): AdapterRequest;
-    head(status: number, headers: Record<string, string | undefined>): EngineResponseHead;
+    ) => AdapterRequest;
+    head: (status: number, headers: Record<string, string | undefined>) => EngineResponseHead;
     /** Headers of an engine's answer that go back to the caller. */
-    passBack(headers: RawHeaders): RawHeaders;
-    events(): EventParser;
+    passBack: (headers: RawHeaders) => RawHeaders;
+    events: () => EventParser;
     report: {
-      ask(): AdapterRequest;
-      read(status: number, body: unknown): Either<string, EngineReport>;
+      ask: () => AdapterRequest;
+      read: (status: number, body: unknown) => Either<string, EngineReport>;
     };
     feed: {
-      ask(since: number, waitMs: number): AdapterRequest;
-      read(status: number, body: unknown): Either<string, CacheEventBatch>;
+      ask: (since: number, waitMs: number) => AdapterRequest;
+      read: (status: number, body: unknown) => Either<string, CacheEventBatch>;
     };
     list: {
-      ask(): AdapterRequest;
-      read(status: number, body: unknown): Either<string, CacheSnapshot>;
+      ask: () => AdapterRequest;
+      read: (status: number, body: unknown) => Either<string, CacheSnapshot>;
     };
     order: {
-      ask(o: WeightsOrder): AdapterRequest;
-      read(status: number, body: unknown): OrderReply;
+      ask: (o: WeightsOrder) => AdapterRequest;
+      read: (status: number, body: unknown) => OrderReply;
     };
   };
   instances: {
-    ask(zone: string | undefined, page: string | undefined): AdapterRequest;
-    read(status: number, body: unknown): Either<string, EnginePage>;
+    ask: (zone: string | undefined, page: string | undefined) => AdapterRequest;
+    read: (status: number, body: unknown) => Either<string, EnginePage>;
   };
   operators: {
     paths: { replace: string; update: string; describe: string; weights: string };
-    baseVersion(headers: Record<string, string | undefined>): number | undefined;
+    baseVersion: (headers: Record<string, string | undefined>) => number | undefined;
     /** Reads named weights; a higher rank is newer. */
-    weights(doc: unknown): Either<string, { model: string; weights: string; rank: number }>;
+    weights: (doc: unknown) => Either<string, { model: string; weights: string; rank: number }>;
   };
 }
--- a/src/shared/ports/logger.ts
+++ b/src/shared/ports/logger.ts
@@ -4,9 +4,9 @@
 
 /** The log: a ring in memory, written out at `error`. */
 export interface Logger {
-  info(fields: object, text: string): void;
+  info: (fields: object, text: string) => void;
   /** A rare line that is written out at once. */
-  notice(fields: object, text: string): void;
-  warn(fields: object, text: string): void;
-  error(fields: object, text: string): void;
+  notice: (fields: object, text: string) => void;
+  warn: (fields: object, text: string) => void;
+  error: (fields: object, text: string) => void;
 }
--- a/src/shared/ports/network.ts
+++ b/src/shared/ports/network.ts
@@ -19,8 +19,8 @@
   peer: string;
   messages: Feed<Message>;
   closed: Promise<void>;
-  send(m: Message): boolean;
-  close(): void;
+  send: (m: Message) => boolean;
+  close: () => void;
 }
 
 /** An HTTP request that reached us; the return is given through it. */
@@ -31,11 +31,11 @@
   headers: Record<string, string | undefined>;
   peer: string;
   aborted: AbortSignal;
-  body(most: number): Promise<Result<string>>;
-  writeHead(status: number, headers: Record<string, string>): void;
-  write(text: string): Promise<boolean>;
-  end(text?: string): void;
-  destroy(): void;
+  body: (most: number) => Promise<Result<string>>;
+  writeHead: (status: number, headers: Record<string, string>) => void;
+  write: (text: string) => Promise<boolean>;
+  end: (text?: string) => void;
+  destroy: () => void;
 }
 
 /** An HTTP request of ours. */
@@ -53,20 +53,23 @@
 export interface HttpResponse {
   status: number;
   headers: Record<string, string | undefined>;
-  nextChunk(): Promise<Result<string | undefined>>;
-  cancel(): void;
+  nextChunk: () => Promise<Result<string | undefined>>;
+  cancel: () => void;
 }
 
 /** Something that listens. */
 export interface Listener {
   address: string;
-  close(): Promise<void>;
+  close: () => Promise<void>;
 }
 
 /** The network. Addresses are `ip:port`. */
 export interface Network {
-  serveHttp(at: string, take: (call: IncomingRequest) => Promise<void>): Promise<Result<Listener>>;
-  request(q: HttpRequest): Promise<Result<HttpResponse>>;
-  listen(at: string, take: (s: Connection) => void): Promise<Result<Listener>>;
-  connect(at: string, within: number): Promise<Result<Connection>>;
+  serveHttp: (
+    at: string,
+    take: (call: IncomingRequest) => Promise<void>,
+  ) => Promise<Result<Listener>>;
+  request: (q: HttpRequest) => Promise<Result<HttpResponse>>;
+  listen: (at: string, take: (s: Connection) => void) => Promise<Result<Listener>>;
+  connect: (at: string, within: number) => Promise<Result<Connection>>;
 }
--- a/src/shared/ports/random.ts
+++ b/src/shared/ports/random.ts
@@ -4,6 +4,6 @@
 
 /** Randomness. */
 export interface RandomSource {
-  next(): number;
-  uuid(): string;
+  next: () => number;
+  uuid: () => string;
 }
--- a/src/shared/replication/catch-up.ts
+++ b/src/shared/replication/catch-up.ts
@@ -13,11 +13,11 @@
 
 /** What fetching missed changes needs of its node. */
 export interface CatchUpDependencies {
-  appliedVersion(key: string): VersionedValue | undefined;
+  appliedVersion: (key: string) => VersionedValue | undefined;
   /** Applies what came, and gives the keys that could not be read or kept. */
-  apply(messages: InlineChange[]): Promise<string[]>;
+  apply: (messages: InlineChange[]) => Promise<string[]>;
   /** The controllers that can be asked now. */
-  openChannels(): PeerChannel[];
+  openChannels: () => PeerChannel[];
   /** How long an answer may take. */
   timeoutMs: number;
 }
@@ -25,9 +25,9 @@
 /** Fetches missed changes: each key from one controller at a time, however many tell that it is missing. */
 export interface CatchUp {
   /** Comes back when what is missing was fetched, here or by another call; false where this controller did not give it. */
-  fetch(exchange: PeerChannel, lacking: AppliedEntry[]): Promise<boolean>;
+  fetch: (exchange: PeerChannel, lacking: AppliedEntry[]) => Promise<boolean>;
   /** Fetches a change that a controller offers, unless its key is being fetched; true once it is applied. */
-  acceptOffer(exchange: PeerChannel, offer: ChangeOffer): Promise<boolean>;
+  acceptOffer: (exchange: PeerChannel, offer: ChangeOffer) => Promise<boolean>;
 }
 
 /** Makes the fetching of missed changes. */
--- a/src/shared/replication/chunk-fetcher.ts
+++ b/src/shared/replication/chunk-fetcher.ts
@@ -32,7 +32,7 @@
 /** What fetching pieces needs of its node. */
 export interface ChunkFetcherDependencies {
   /** The controllers that can be asked now. */
-  openChannels(): PeerChannel[];
+  openChannels: () => PeerChannel[];
   /** How long one piece may take. */
   timeoutMs: number;
 }
@@ -40,7 +40,7 @@
 /** Fetches offered changes, one for each key at a time. */
 export interface ChunkFetcher {
   /** The offered message once all its bytes are here; nothing where no controller gives them any more. */
-  fetch(offer: ChangeOffer, from: PeerChannel): Promise<InlineChange | undefined>;
+  fetch: (offer: ChangeOffer, from: PeerChannel) => Promise<InlineChange | undefined>;
 }
 
 /** An offered change of which some pieces are here. */
@@ -51,9 +51,9 @@
 
 /** Controllers that give the pieces of one offer, asked in turn. */
 interface Sources {
-  next(): PeerChannel | undefined;
+  next: () => PeerChannel | undefined;
   /** Asks a controller no more for this offer. */
-  drop(exchange: PeerChannel): void;
+  drop: (exchange: PeerChannel) => void;
 }
 
 function makeSources(from: PeerChannel, others: readonly PeerChannel[]): Sources {
--- a/src/shared/replication/draining-engines.ts
+++ b/src/shared/replication/draining-engines.ts
@@ -9,10 +9,10 @@
 
 /** Engines that are heard to leave. */
 export interface DrainingEngines {
-  markDraining(ids: readonly string[]): void;
+  markDraining: (ids: readonly string[]) => void;
   /** Takes note of a committed list. */
-  noteCommittedList(engines: readonly Engine[]): void;
-  isDraining(id: string): boolean;
+  noteCommittedList: (engines: readonly Engine[]) => void;
+  isDraining: (id: string) => boolean;
 }
 
 /** Makes the advice; it lasts for `lastsMs` at the most. */
--- a/src/shared/replication/follower-handlers.ts
+++ b/src/shared/replication/follower-handlers.ts
@@ -18,17 +18,17 @@
 /** What the handlers of a follower work with. */
 export interface FollowerHandlersDependencies {
   /** Applies committed changes; earlier ones are ignored. */
-  apply(changes: VersionedValue[]): boolean;
+  apply: (changes: VersionedValue[]) => boolean;
   /** The version of a key that is applied here. */
-  appliedVersion(key: string): VersionedValue | undefined;
+  appliedVersion: (key: string) => VersionedValue | undefined;
   /** Where the core is, as far as is known here. */
-  coreLocation(): unknown;
+  coreLocation: () => unknown;
   /** Fetches and applies what a controller offers. */
-  fetchOffer(offer: ChangeOffer, from: PeerChannel): void;
+  fetchOffer: (offer: ChangeOffer, from: PeerChannel) => void;
   /** Hears where the core is. */
-  onCoreFound(voters: VoterSet | undefined): void;
+  onCoreFound: (voters: VoterSet | undefined) => void;
   /** Hears which engines leave. */
-  onEnginesDraining(ids: string[]): void;
+  onEnginesDraining: (ids: string[]) => void;
 }
 
 /** Applies messages that bring changes, and lists the keys that could not be read. */
--- a/src/shared/replication/follower.ts
+++ b/src/shared/replication/follower.ts
@@ -29,26 +29,26 @@
 
 /** A node's view of the control state, kept up by news and leases. */
 export interface Follower {
-  hasLease(): boolean;
-  value<T>(key: string): { place: Version; value: T } | undefined;
-  keys(prefix: string): string[];
-  members(role: string): Member[];
-  voters(): VoterSet | undefined;
-  coreAddresses(): string[];
-  appliedValues(): VersionedValue[];
-  applyAll(list: VersionedValue[]): boolean;
+  hasLease: () => boolean;
+  value: <T>(key: string) => { place: Version; value: T } | undefined;
+  keys: (prefix: string) => string[];
+  members: (role: string) => Member[];
+  voters: () => VoterSet | undefined;
+  coreAddresses: () => string[];
+  appliedValues: () => VersionedValue[];
+  applyAll: (list: VersionedValue[]) => boolean;
   changes: Feed<VersionedValue>;
-  isDraining(id: string): boolean;
+  isDraining: (id: string) => boolean;
   drainingNotices: Feed<string[]>;
   memberChanges: Feed<Member[]>;
-  notifyCore(type: string, body: unknown): void;
-  askVoters<T>(
+  notifyCore: (type: string, body: unknown) => void;
+  askVoters: <T>(
     type: string,
     body: unknown,
     yes: (r: T, v: Voter) => boolean,
-  ): Promise<{ ok: boolean; got: T[] }>;
-  releaseLeases(): Promise<void>;
-  stop(): void;
+  ) => Promise<{ ok: boolean; got: T[] }>;
+  releaseLeases: () => Promise<void>;
+  stop: () => void;
 }
 
 /** Follows the core: finds it from the seeds, renews a lease at each controller, applies news. */
--- a/src/shared/replication/key-journal.ts
+++ b/src/shared/replication/key-journal.ts
@@ -1,10 +1,10 @@
 /** Which keys changed, in order, by a count that only grows. */
 export interface KeyJournal {
-  add(key: string): void;
+  add: (key: string) => void;
   /** How many changes there were. */
-  count(): number;
+  count: () => number;
   /** The keys that changed after a count, each once; undefined where that is too long ago. */
-  after(count: number): string[] | undefined;
+  after: (count: number) => string[] | undefined;
 }
 
 /** Changes that a journal keeps at the least, once there were as many. */
--- a/src/shared/replication/lease-renewal.ts
+++ b/src/shared/replication/lease-renewal.ts
@@ -36,19 +36,19 @@
   applied: KeyJournal;
   catchUp: CatchUp;
   /** Applies changes that came whole. */
-  applyAll(changes: VersionedValue[]): boolean;
+  applyAll: (changes: VersionedValue[]) => boolean;
   /** Notes a lease that was asked for at a time. */
-  onGranted(answer: LeaseReply, from: PeerChannel, askedAt: number): void;
-  onVoterSet(voters: VoterSet): void;
-  isStopped(): boolean;
+  onGranted: (answer: LeaseReply, from: PeerChannel, askedAt: number) => void;
+  onVoterSet: (voters: VoterSet) => void;
+  isStopped: () => boolean;
 }
 
 /** The renewals of one node. */
 export interface LeaseRenewals {
   /** Renews the lease at a controller for as long as its connection lasts. */
-  renew(exchange: PeerChannel): Promise<void>;
+  renew: (exchange: PeerChannel) => Promise<void>;
   /** Has every controller hear soon how far this node is. */
-  wake(): void;
+  wake: () => void;
 }
 
 /** An ask for a lease, as it goes out. */
--- a/src/shared/replication/member-view.ts
+++ b/src/shared/replication/member-view.ts
@@ -15,11 +15,11 @@
 /** The leases that this node holds, and the members that they tell of. */
 export interface MemberView {
   /** Notes a lease that a controller's disk granted. */
-  grant(disk: string, until: number, told: MemberUpdate): void;
+  grant: (disk: string, until: number, told: MemberUpdate) => void;
   /** When the lease of a disk ends. */
-  expiryOf(disk: string): number;
-  members(role: string): Member[];
-  clear(): void;
+  expiryOf: (disk: string) => number;
+  members: (role: string) => Member[];
+  clear: () => void;
 }
 
 function lifeOf(m: Member): string {
--- a/src/shared/settings/settings.ts
+++ b/src/shared/settings/settings.ts
@@ -2,7 +2,6 @@
 import { Either, Left, Right } from 'purify-ts';
 import { readFileSync } from 'node:fs';
 import { address, addresses, ipOrNone, notNegative, positive, regions, share } from './validators';
-import { OperationError } from '../errors/errors';
 import { tryCatch } from '../util/try-catch';
 
 /** What a process is told at its start. */
@@ -268,7 +267,7 @@
 
 /** The settings where nothing is told. */
 export function defaultSettings(): Settings {
-  return convict(SHAPE as never).getProperties() as unknown as Settings;
+  return convict(SHAPE as never).getProperties() as Settings;
 }
 
 /** Reads settings from a file and flags; flags win; every fault is listed. */
@@ -282,7 +281,7 @@
   function read(): unknown {
     return JSON.parse(readFileSync(file!, 'utf8'));
   }
-  if (o.isLeft()) return Left([`${file}: ${(o.extract() as OperationError).reason}`]);
+  if (o.isLeft()) return Left([`${file}: ${o.extract().reason}`]);
   const v = o.extract();
   if (typeof v !== 'object' || v === null || Array.isArray(v))
     return Left([`${file}: must hold an object`]);
@@ -303,8 +302,8 @@
   function check(): unknown {
     return c.validate({ allowed: 'strict' });
   }
-  if (checked.isLeft()) faults.push(...(checked.extract() as OperationError).reason.split('\n'));
-  const s = c.getProperties() as unknown as Settings;
+  if (checked.isLeft()) faults.push(...checked.extract().reason.split('\n'));
+  const s = c.getProperties() as Settings;
   for (const n of need) {
     const v = s[n as keyof Settings];
     if (v === '' || (Array.isArray(v) && v.length === 0)) faults.push(`${n}: is needed`);
--- a/src/shared/settings/validators.ts
+++ b/src/shared/settings/validators.ts
@@ -32,7 +32,7 @@
 export function regions(v: unknown): void {
   if (typeof v !== 'object' || v === null || Array.isArray(v))
     complain('must hold a region for each zone');
-  for (const r of Object.values(v as object))
+  for (const r of Object.values(v))
     if (typeof r !== 'string') complain('must hold a region for each zone');
 }
 
--- a/src/shared/system/raw-http-client.ts
+++ b/src/shared/system/raw-http-client.ts
@@ -100,7 +100,7 @@
   let uses = 0;
   let surplus = false;
   let told: () => void = ignore;
-  agent.createConnection = createConnection as never;
+  agent.createConnection = createConnection;
   (agent as { keepSocketAlive?: unknown }).keepSocketAlive = keepSocketAlive;
   socket.setNoDelay(true);
   socket.setKeepAlive(true, PROBE_AFTER_MS);
--- a/src/shared/system/raw-http-connections.ts
+++ b/src/shared/system/raw-http-connections.ts
@@ -19,17 +19,17 @@
 /** Watches over the connections of a server's callers: only those at rest are ever closed for idleness or for bytes that are no request. */
 export interface CallerConnectionTracker {
   /** Notes a request; comes once its answer has been written out or its connection is closed. Nothing where its connection takes no more. */
-  began(req: http.IncomingMessage, res: http.ServerResponse): Promise<void> | undefined;
+  began: (req: http.IncomingMessage, res: http.ServerResponse) => Promise<void> | undefined;
   /** Requests on all connections whose answers have not ended. */
-  underWay(): number;
+  underWay: () => number;
   /** Comes once no request is under way, or after `withinMs`. */
-  settled(withinMs: number): Promise<void>;
+  settled: (withinMs: number) => Promise<void>;
   /** Whether a later request has come on the same connection. */
-  isFollowed(req: http.IncomingMessage): boolean;
+  isFollowed: (req: http.IncomingMessage) => boolean;
   /** Notes the idle time that a caller was told. */
-  promised(socket: net.Socket, ms: number): void;
+  promised: (socket: net.Socket, ms: number) => void;
   /** Notes that an answer was worded as the last of its connection. */
-  closesAfter(socket: net.Socket): void;
+  closesAfter: (socket: net.Socket) => void;
 }
 
 /** Answers to what could not be read as a request, by the error's code. */
--- a/src/shared/system/raw-http-server.ts
+++ b/src/shared/system/raw-http-server.ts
@@ -149,7 +149,7 @@
   }
   function close(): Promise<void> {
     function wait(done: () => void): void {
-      server.close(done as () => void);
+      server.close(done);
       server.closeAllConnections();
     }
     return new Promise(wait);
--- a/src/shared/system/tcp-network.ts
+++ b/src/shared/system/tcp-network.ts
@@ -86,7 +86,7 @@
   const server = http.createServer({ keepAliveTimeout: 30000 }, arrived);
   function close(): Promise<void> {
     function wait(done: () => void): void {
-      server.close(done as () => void);
+      server.close(done);
       server.closeIdleConnections();
     }
     return new Promise(wait);
@@ -143,7 +143,7 @@
   function close(): Promise<void> {
     for (const s of held) s.destroy();
     function wait(done: () => void): void {
-      server.close(done as () => void);
+      server.close(done);
     }
     return new Promise(wait);
   }
--- a/src/shared/transport/connections.ts
+++ b/src/shared/transport/connections.ts
@@ -30,10 +30,10 @@
   hello?: Hello;
   closed: Promise<void>;
   /** When something last came from the peer, by the clock port. */
-  lastReceivedAt(): number;
-  request(type: string, body: unknown, within: number): Promise<Result<unknown>>;
-  notify(type: string, body: unknown): boolean;
-  close(): void;
+  lastReceivedAt: () => number;
+  request: (type: string, body: unknown, within: number) => Promise<Result<unknown>>;
+  notify: (type: string, body: unknown) => boolean;
+  close: () => void;
 }
 
 /** Puts asks and returns on a connection; what arrives goes to the marked handlers. */
@@ -135,8 +135,8 @@
 /** A connection that is kept up to one peer. */
 export interface MaintainedConnection {
   address: string;
-  channel(): PeerChannel | undefined;
-  stop(): void;
+  channel: () => PeerChannel | undefined;
+  stop: () => void;
 }
 
 /** How a held connection is kept up. */
@@ -241,12 +241,12 @@
 
 /** Connections that are kept up to all peers of a set that changes. */
 export interface ConnectionPool {
-  setPeers(ats: Iterable<string>): void;
-  channelTo(at: string): PeerChannel | undefined;
-  peerAddresses(): string[];
+  setPeers: (ats: Iterable<string>) => void;
+  channelTo: (at: string) => PeerChannel | undefined;
+  peerAddresses: () => string[];
   /** The connections that are up. */
-  openChannels(): PeerChannel[];
-  stop(): void;
+  openChannels: () => PeerChannel[];
+  stop: () => void;
 }
 
 /** Keeps connections up to the wanted peers, and to no others. */
--- a/src/shared/transport/quorum-poll.ts
+++ b/src/shared/transport/quorum-poll.ts
@@ -21,7 +21,7 @@
     async function one(v: Voter): Promise<void> {
       const [f, r] = errorOrValue(await ask(v));
       if (r !== undefined) got.push(r);
-      if (!f && yes(r as T, v)) good.add(v.disk);
+      if (!f && yes(r, v)) good.add(v.disk);
       else not.add(v.disk);
       if (isQuorum(voters, good)) return done(Right(got));
       const rest = new Set<string>();
--- a/src/shared/util/http-json.ts
+++ b/src/shared/util/http-json.ts
@@ -2,7 +2,7 @@
  * Requests by the network port whose responses are read whole or line by line.
  */
 
-import { Either, Left, Right } from 'purify-ts';
+import { Left, Right } from 'purify-ts';
 import { OperationError, makeError, Result } from '../errors/errors';
 import { HttpRequest, Network } from '../ports/network';
 import { parseJson } from './try-catch';
@@ -17,12 +17,12 @@
     ...q,
     headers: { 'content-type': 'application/json', ...q.headers },
   });
-  if (r.isLeft()) return r as Either<OperationError, never>;
+  if (r.isLeft()) return r;
   const reply = r.extract() as Exclude<ReturnType<typeof r.extract>, OperationError>;
   let text = '';
   for (;;) {
     const p = await reply.nextChunk();
-    if (p.isLeft()) return p as Either<OperationError, never>;
+    if (p.isLeft()) return p;
     const piece = p.extract() as string | undefined;
     if (piece === undefined) break;
     text += piece;
--- a/src/shared/util/push-stream.ts
+++ b/src/shared/util/push-stream.ts
@@ -6,15 +6,15 @@
 
 /** The receiving end of a feed. */
 export interface Sink<T> {
-  event(time: number, x: T): void;
-  end(time: number, x?: T): void;
+  event: (time: number, x: T) => void;
+  end: (time: number, x?: T) => void;
 }
 
 /** A `most` feed that is pushed by hand; what comes before the first reader waits for it. */
 export interface PushStream<T> {
   stream: Feed<T>;
-  push(x: T): void;
-  end(): void;
+  push: (x: T) => void;
+  end: () => void;
 }
 
 /** Makes a feed that is pushed by hand. */
@@ -32,7 +32,7 @@
     for (const s of sinks) s.end(0, undefined);
     sinks.clear();
   }
-  function run(sink: Sink<T>): { dispose(): void } {
+  function run(sink: Sink<T>): { dispose: () => void } {
     sinks.add(sink);
     const held = waiting ?? [];
     waiting = undefined;
@@ -43,5 +43,5 @@
     }
     return { dispose };
   }
-  return { stream: new Feed<T>({ run } as never), push: add, end };
+  return { stream: new Feed<T>({ run }), push: add, end };
 }
--- a/test/compatibility/stored.test.ts
+++ b/test/compatibility/stored.test.ts
@@ -9,7 +9,6 @@
 import { Controller } from '../../src/control/controller';
 import { Result } from '../../src/shared/errors/errors';
 import { CONTROL_KEYS } from '../../src/shared/state/control-keys';
-import { VoterSet } from '../../src/shared/state/voter-set';
 import { damagedForms } from '../../tools/compatibility/disk-damage';
 import { cellsOf, DiskFiles, stateOf } from '../../tools/compatibility/disk-state';
 import { DamagedState, ExpectedDisk, expectedOf } from '../../tools/compatibility/expected-disks';
@@ -105,7 +104,7 @@
 
 async function jointSetStays(): Promise<void> {
   const controller = await startAlone(loadDisk('joint-core-1'));
-  const voters = controller.voters() as VoterSet;
+  const voters = controller.voters()!;
   expect(voters.now.length).toBe(3);
   expect(voters.next?.length).toBe(3);
   expect(controller.committedValue(CONTROL_KEYS.voters)?.value).toEqual(voters);
--- a/test/control/deploymentrig.ts
+++ b/test/control/deploymentrig.ts
@@ -27,27 +27,27 @@
   net: SimNet;
   core: Proc[];
   controllers: Map<string, Controller>;
-  start(p: Proc): void;
+  start: (p: Proc) => void;
   /** Runs virtual time on. */
-  pass(ms: number): Promise<void>;
+  pass: (ms: number) => Promise<void>;
   /** Runs virtual time on until a promise is settled. */
-  settled<T>(p: Promise<T>, most?: number): Promise<T | undefined>;
+  settled: <T>(p: Promise<T>, most?: number) => Promise<T | undefined>;
   /** Calls one controller; nothing comes where it is silent for a second. */
-  call(
+  call: (
     p: Proc,
     method: string,
     path: string,
     base?: number,
     body?: unknown,
-  ): Promise<Heard | undefined>;
+  ) => Promise<Heard | undefined>;
   /** Calls on and on as operators do, from a first controller over to the others, until an answer is clear. */
-  insist(
+  insist: (
     first: number,
     path: string,
     base: number,
     body: unknown,
     most: number,
-  ): Promise<Heard | undefined>;
+  ) => Promise<Heard | undefined>;
 }
 
 /** The paths that operators call. */
--- a/test/control/founding.test.ts
+++ b/test/control/founding.test.ts
@@ -1,7 +1,10 @@
 import { allVoters } from '../../src/shared/state/voter-set';
 import { askCore, makeSimFleet, SimFleet, simIntents } from '../../tools/sim/simfleet';
 
-type Reply = { status: number; body: Record<string, unknown> };
+interface Reply {
+  status: number;
+  body: Record<string, unknown>;
+}
 
 /** Runs virtual time on until a condition holds; gives the time, or undefined past the bound. */
 async function until(f: SimFleet, most: number, test: () => boolean): Promise<number | undefined> {
@@ -40,7 +43,7 @@
   return test;
 }
 
-function inMajority(c: { hasQuorum(): boolean }): boolean {
+function inMajority(c: { hasQuorum: () => boolean }): boolean {
   return c.hasQuorum();
 }
 
--- a/test/control/hand-over.test.ts
+++ b/test/control/hand-over.test.ts
@@ -15,7 +15,7 @@
 /** How an owner behaves, and what it was asked. */
 interface FakeOwner {
   /** Makes the change at last. */
-  make(): void;
+  make: () => void;
   /** How long it is waited for, before another takes its place: until it is probed, and for the answer to that. */
   silentMs: number;
   /** How long the change itself may take. */
--- a/test/control/lease-costs.test.ts
+++ b/test/control/lease-costs.test.ts
@@ -35,9 +35,9 @@
 function rig(keys: number): {
   leases: LeaseRegistry;
   slots: ControlStore;
-  learn(n: VersionedValue): void;
-  move(ms: number): void;
-  ask(m: Partial<LeaseRequest> & { member: Member }, ex: PeerChannel): Promise<Answer>;
+  learn: (n: VersionedValue) => void;
+  move: (ms: number) => void;
+  ask: (m: Partial<LeaseRequest> & { member: Member }, ex: PeerChannel) => Promise<Answer>;
 } {
   const learned = makeKeyJournal();
   const slots = {
@@ -71,7 +71,7 @@
     m: Partial<LeaseRequest> & { member: Member },
     ex: PeerChannel,
   ): Promise<Answer> {
-    const [, a] = errorOrValue(await leases.lease(m as LeaseRequest, ex));
+    const [, a] = errorOrValue(await leases.lease(m, ex));
     return a as Answer;
   }
   return { leases, slots, learn, move, ask };
--- a/test/control/leases.test.ts
+++ b/test/control/leases.test.ts
@@ -10,11 +10,11 @@
 
 interface Desk {
   leases: LeaseRegistry;
-  lease(life: string, has: number): Promise<boolean>;
-  leave(life: string): Promise<void>;
-  learn(number: number): Promise<void>;
-  effect(number: number): Promise<boolean>;
-  pass(ms: number): Promise<void>;
+  lease: (life: string, has: number) => Promise<boolean>;
+  leave: (life: string) => Promise<void>;
+  learn: (number: number) => Promise<void>;
+  effect: (number: number) => Promise<boolean>;
+  pass: (ms: number) => Promise<void>;
 }
 
 /** One controller's leases under virtual time, old enough to speak of what is in effect. */
--- a/test/control/leave.test.ts
+++ b/test/control/leave.test.ts
@@ -164,7 +164,7 @@
   const path = '/v1/intents';
   let status: number | undefined;
   function told(o: Result<{ status: number }>): void {
-    status = o.isRight() ? (o.extract() as { status: number }).status : 0;
+    status = o.isRight() ? o.extract().status : 0;
   }
   const text = body && JSON.stringify(body);
   void requestJson(f.ops.network, { address: at, method, path, body: text, timeoutMs: 6000 }).then(
--- a/test/control/leaving-engines.test.ts
+++ b/test/control/leaving-engines.test.ts
@@ -28,7 +28,7 @@
   return [...rig.followers.values()].map(hasHeard);
 }
 
-function hasHeard(follower: { isDraining(id: string): boolean }): boolean {
+function hasHeard(follower: { isDraining: (id: string) => boolean }): boolean {
   return follower.isDraining(ENGINE.id);
 }
 
--- a/test/control/news-sender.test.ts
+++ b/test/control/news-sender.test.ts
@@ -13,9 +13,9 @@
   applied: Map<string, Version>;
   /** What was sent, oldest first. */
   sent: { type: string; body: unknown }[];
-  learn(number: number): void;
+  learn: (number: number) => void;
   /** Answers the oldest message that waits for its answer. */
-  answer(outcome: Result<unknown>): Promise<void>;
+  answer: (outcome: Result<unknown>) => Promise<void>;
 }
 
 const KEY = 'deployment';
--- a/test/control/reads.test.ts
+++ b/test/control/reads.test.ts
@@ -32,14 +32,14 @@
   w: World;
   machines: Map<string, Machine>;
   founding: VoterSet;
-  passes(from: string, to: string, type: string): boolean;
+  passes: (from: string, to: string, type: string) => boolean;
   /** Holds a message up for as long as the promise lasts. */
-  delays(from: string, to: string, type: string): Promise<void> | undefined;
+  delays: (from: string, to: string, type: string) => Promise<void> | undefined;
   /** Runs virtual time on until a promise is settled. */
-  settled<T>(p: Promise<T>): Promise<T | undefined>;
-  add(at: string): Promise<Machine>;
-  replaceDisk(at: string): Promise<Machine>;
-  voterOf(at: string): Voter;
+  settled: <T>(p: Promise<T>) => Promise<T | undefined>;
+  add: (at: string) => Promise<Machine>;
+  replaceDisk: (at: string) => Promise<Machine>;
+  voterOf: (at: string) => Voter;
 }
 
 function makeRig(seed: number): Rig {
--- a/test/control/register.test.ts
+++ b/test/control/register.test.ts
@@ -11,8 +11,8 @@
 
 interface Three {
   w: World;
-  owner(by: string): KeyOwner;
-  drive<T>(p: Promise<T>): Promise<T>;
+  owner: (by: string) => KeyOwner;
+  drive: <T>(p: Promise<T>) => Promise<T>;
 }
 
 /** Three voters' disks, and owners that reach them all. */
--- a/test/control/rolloutdesk.ts
+++ b/test/control/rolloutdesk.ts
@@ -53,15 +53,15 @@
   orders: Noted[];
   reports: { n: number };
   controllers: Map<string, Controller>;
-  proc(name: string): Proc;
-  start(name: string): void;
-  kill(name: string, downMs: number): void;
-  freeze(name: string, ms: number): void;
-  cut(a: string, b: string, ms: number): void;
-  name(weights: number): Promise<void>;
-  holder(): string | undefined;
-  at(ms: number): Promise<void>;
-  until(test: () => boolean, most: number): Promise<number>;
+  proc: (name: string) => Proc;
+  start: (name: string) => void;
+  kill: (name: string, downMs: number) => void;
+  freeze: (name: string, ms: number) => void;
+  cut: (a: string, b: string, ms: number) => void;
+  name: (weights: number) => Promise<void>;
+  holder: () => string | undefined;
+  at: (ms: number) => Promise<void>;
+  until: (test: () => boolean, most: number) => Promise<number>;
 }
 
 /** Builds the desk; engines load slower while more than `limit` of them do. */
@@ -270,7 +270,7 @@
     function awake(x: Controller): boolean {
       return !proc(x.name).frozen && proc(x.name).alive;
     }
-    function told(o: { isRight(): boolean }): void {
+    function told(o: { isRight: () => boolean }): void {
       done ||= o.isRight();
     }
     function isDone(): boolean {
--- a/test/control/roster.test.ts
+++ b/test/control/roster.test.ts
@@ -85,7 +85,7 @@
     }
     expect((await until(f, 3000, up, 5))!).toBeLessThan(400);
   }
-  function knows(c: { committedValue(key: string): unknown }): boolean {
+  function knows(c: { committedValue: (key: string) => unknown }): boolean {
     return c.committedValue('voters') !== undefined;
   }
 }
@@ -257,10 +257,10 @@
     await applied(f, o);
     expect({ step, newest: o.newest() }).toEqual({ step, newest: o.acked() });
   }
-  function isJoint(c: { voters(): { next?: unknown } | undefined }): boolean {
+  function isJoint(c: { voters: () => { next?: unknown } | undefined }): boolean {
     return c.voters()?.next !== undefined;
   }
-  function ownsVoters(c: { keyOwner: { owns(key: string): boolean }; name: string }): boolean {
+  function ownsVoters(c: { keyOwner: { owns: (key: string) => boolean }; name: string }): boolean {
     return c.keyOwner.owns('voters');
   }
 }
@@ -308,7 +308,7 @@
       at: (await until(f, f.w.now() + 4000, all(f, CORE), 10)) !== undefined,
     }).toEqual({ step, at: true });
   }
-  function isJoint(c: { voters(): { next?: unknown } | undefined }): boolean {
+  function isJoint(c: { voters: () => { next?: unknown } | undefined }): boolean {
     return c.voters()?.next !== undefined;
   }
 }
--- a/test/control/voter-status.test.ts
+++ b/test/control/voter-status.test.ts
@@ -60,7 +60,7 @@
   function begun(): boolean {
     return running(f).some(isJoint);
   }
-  function isJoint(c: { voters(): { next?: unknown } | undefined }): boolean {
+  function isJoint(c: { voters: () => { next?: unknown } | undefined }): boolean {
     return c.voters()?.next !== undefined;
   }
   expect(await until(f, f.w.now() + 4000, begun, 1)).toBeDefined();
--- a/test/control/weights-naming.test.ts
+++ b/test/control/weights-naming.test.ts
@@ -1,5 +1,4 @@
 import { computeNextValue } from '../../src/control/configuration/operations';
-import { OperationError } from '../../src/shared/errors/errors';
 import { NamedWeights } from '../../src/shared/state/weights';
 import { VersionedValue } from '../../src/shared/state/versions';
 import { seededDice } from '../../tools/sim/dice';
@@ -19,7 +18,7 @@
 function codeOf(value: NamedWeights, rank: number): string | undefined {
   const op = { kind: 'weights', model: MODEL, weights: String(rank), rank } as const;
   const outcome = computeNextValue(op, standing(value));
-  return outcome.isLeft() ? (outcome.extract() as OperationError).code : undefined;
+  return outcome.isLeft() ? outcome.extract().code : undefined;
 }
 
 function rankRises(): void {
--- a/test/control/weights.test.ts
+++ b/test/control/weights.test.ts
@@ -14,7 +14,7 @@
 
 interface Desk {
   book: WeightsBook;
-  pass(ms: number): void;
+  pass: (ms: number) => void;
 }
 
 function desk(): Desk {
--- a/test/data/bare-caller.ts
+++ b/test/data/bare-caller.ts
@@ -4,12 +4,12 @@
 
 /** A caller's bare connection: what was received so far, and when that changes. */
 export interface BareCaller {
-  write(text: string): void;
-  received(): string;
+  write: (text: string) => void;
+  received: () => string;
   /** Comes once the text received has this in it; `false` where the connection ended first. */
-  has(text: string): Promise<boolean>;
+  has: (text: string) => Promise<boolean>;
   closed: Promise<void>;
-  destroy(): void;
+  destroy: () => void;
 }
 
 /** Connects to a router as a caller does. */
--- a/test/data/gateway-connections.test.ts
+++ b/test/data/gateway-connections.test.ts
@@ -8,8 +8,8 @@
 import { Engine } from '../../src/shared/state/engines';
 
 interface Hand extends HttpConnection {
-  idle(): void;
-  end(surplus: boolean): void;
+  idle: () => void;
+  end: (surplus: boolean) => void;
 }
 
 const engine: Engine = {
@@ -26,8 +26,8 @@
   clock: Clock;
   http: RawHttpNetwork;
   made: Hand[];
-  move(ms: number): void;
-  dark(on: boolean): void;
+  move: (ms: number) => void;
+  dark: (on: boolean) => void;
 } {
   let time = 0;
   let isDark = false;
@@ -185,7 +185,10 @@
   expect(spendAll(b)).toBe(0);
 }
 
-function spendAll(b: { spend(pool: string): boolean; left(pool: string): boolean }): number {
+function spendAll(b: {
+  spend: (pool: string) => boolean;
+  left: (pool: string) => boolean;
+}): number {
   let n = 0;
   while (b.left('p') && b.spend('p')) n++;
   return n;
--- a/test/data/gateway-drain-changes.test.ts
+++ b/test/data/gateway-drain-changes.test.ts
@@ -8,7 +8,7 @@
 
 interface LeavingRig extends HeldRig {
   /** Ends the answers that are held, and comes once the router has closed. */
-  finish(): Promise<void>;
+  finish: () => Promise<void>;
 }
 
 /** A router that is told to end while it waits for a held answer. */
--- a/test/data/gateway-drain-end.test.ts
+++ b/test/data/gateway-drain-end.test.ts
@@ -31,10 +31,10 @@
   /** A caller with a connection that an answer came on before. */
   kept: BareCaller;
   /** Tells the router to end, and comes once it has closed. */
-  leave(): Promise<void>;
+  leave: () => Promise<void>;
   /** When its drain had ended, in ms of the clock. */
-  drainedAt(): number | undefined;
-  hasClosed(): boolean;
+  drainedAt: () => number | undefined;
+  hasClosed: () => boolean;
 }
 
 async function startDrainRig(): Promise<DrainRig> {
--- a/test/data/gateway-drain.test.ts
+++ b/test/data/gateway-drain.test.ts
@@ -48,7 +48,7 @@
   rig: Rig;
   clock: ManualClock;
   /** Asks, and comes once the engine holds the answer or it has ended otherwise. */
-  asks(more?: Parameters<typeof ask>[1]): Promise<{ asked: Promise<Got>; finish?: () => void }>;
+  asks: (more?: Parameters<typeof ask>[1]) => Promise<{ asked: Promise<Got>; finish?: () => void }>;
 }
 
 async function startHoldingRig(isSilent = false): Promise<HoldingRig> {
--- a/test/data/gateway-late-bytes.test.ts
+++ b/test/data/gateway-late-bytes.test.ts
@@ -19,8 +19,8 @@
   arrived: Arrived[];
   sockets: net.Socket[];
   /** Comes once so many requests were read whole. */
-  has(count: number): Promise<void>;
-  close(): void;
+  has: (count: number) => Promise<void>;
+  close: () => void;
 }
 
 /** Starts an engine that calls `taken` with each request; a request counts once its head has come. */
@@ -85,8 +85,8 @@
 async function rigOf(taken: (a: Arrived) => void): Promise<{
   rig: Rig;
   engines: BareEngine[];
-  count(): number;
-  close(): Promise<void>;
+  count: () => number;
+  close: () => Promise<void>;
 }> {
   const engines = [await bareEngine('e1', taken), await bareEngine('e2', taken)];
   const rig = await startRig({
--- a/test/data/gateway-transcripts.test.ts
+++ b/test/data/gateway-transcripts.test.ts
@@ -5,7 +5,7 @@
 /** A bare peer: it shows what was said to it and says what a test has written down. */
 interface Bare {
   at: string;
-  close(): void;
+  close: () => void;
 }
 
 /** What engines are to answer, in the order in which they are asked, and what was said so far; engines are named in that order. */
--- a/test/data/gatewayrig.ts
+++ b/test/data/gatewayrig.ts
@@ -31,7 +31,7 @@
   calls: nodeHttp.IncomingMessage[];
   bodies: string[];
   connections: number;
-  close(): void;
+  close: () => void;
 }
 
 /** Starts an engine that answers by `answer`. */
@@ -164,10 +164,10 @@
   gateway: Gateway;
   at: string;
   readiness: string;
-  tell(key: string, value: unknown): void;
-  tellEngines(list: Partial<Engine>[]): void;
-  live(on: boolean): void;
-  close(): Promise<void>;
+  tell: (key: string, value: unknown) => void;
+  tellEngines: (list: Partial<Engine>[]) => void;
+  live: (on: boolean) => void;
+  close: () => Promise<void>;
 }
 
 /** What a rig starts with. */
@@ -191,7 +191,7 @@
   await new Promise<void>(listen);
   const { port } = s.address() as net.AddressInfo;
   function close(done: () => void): void {
-    s.close(done as () => void);
+    s.close(done);
   }
   await new Promise<void>(close);
   return `127.0.0.1:${port}`;
--- a/test/data/held-streams.ts
+++ b/test/data/held-streams.ts
@@ -8,10 +8,10 @@
   /** Ends each stream that is held, the oldest first. */
   ends: (() => void)[];
   /** Ends all that are held. */
-  finish(): void;
-  held(): number;
+  finish: () => void;
+  held: () => number;
   /** Comes once the next stream is held. */
-  next(): Promise<void>;
+  next: () => Promise<void>;
 }
 
 /** Makes streams that are held; silent ones have not begun before they are told to end. */
--- a/test/data/placement.test.ts
+++ b/test/data/placement.test.ts
@@ -4,13 +4,7 @@
 import { Flight, makeLoads } from '../../src/data/gateway/loads';
 import { makePaces } from '../../src/data/gateway/pace';
 import { makePlacement } from '../../src/data/gateway/placement';
-import {
-  EngineSpot,
-  NoPlace,
-  PlaceAsk,
-  Placed,
-  Placement,
-} from '../../src/data/gateway/placement-types';
+import { EngineSpot, PlaceAsk, Placed, Placement } from '../../src/data/gateway/placement-types';
 import { makeStandings } from '../../src/data/gateway/standing';
 import { seededDice } from '../../tools/sim/dice';
 
@@ -348,13 +342,13 @@
     ],
     true,
   );
-  const no = p.place(ask, new Map()).swap().unsafeCoerce() as NoPlace;
+  const no = p.place(ask, new Map()).swap().unsafeCoerce();
   expect(no.why).toBe('full');
   expect(no.retryAfterMs).toBeGreaterThan(400);
   const none = p
     .place({ ...ask, avoid: new Set(['e0', 'e1']) }, new Map())
     .swap()
-    .unsafeCoerce() as NoPlace;
+    .unsafeCoerce();
   expect(none).toMatchObject({ why: 'no-engine', retryAfterMs: 100 });
 }
 
--- a/test/index/index-loads.test.ts
+++ b/test/index/index-loads.test.ts
@@ -191,7 +191,7 @@
   time = 0;
   const trees = makeTrees(1000);
   const out: Unheard[] = [];
-  const coming = makeComing(now, 1500, 100, out.push.bind(out) as never);
+  const coming = makeComing(now, 1500, 100, out.push.bind(out));
   const [r1, r2] = [{}, {}];
   keep(trees, 'e1', 'a', 800);
   function keeps([h]: WireBlock): boolean {
--- a/test/platform/platform-bench.ts
+++ b/test/platform/platform-bench.ts
@@ -20,7 +20,7 @@
   book: Book;
   caller: Ports;
   spec: EngineSpec;
-  start(more?: Partial<EngineSpec>): Promise<EngineLife>;
+  start: (more?: Partial<EngineSpec>) => Promise<EngineLife>;
 }
 
 /** The engine's address. */
--- a/test/shared/catch-up.test.ts
+++ b/test/shared/catch-up.test.ts
@@ -24,8 +24,8 @@
 /** What an operator brings about: mostly named changes, and now and then a whole document. */
 interface Operator {
   revision: number;
-  change(first: number): Promise<void>;
-  name(model: number, weights: number): Promise<void>;
+  change: (first: number) => Promise<void>;
+  name: (model: number, weights: number) => Promise<void>;
 }
 
 function operatorOf(f: CoreRig): Operator {
--- a/test/shared/manual-clock.ts
+++ b/test/shared/manual-clock.ts
@@ -10,9 +10,9 @@
 /** A clock of a test's own; times are in ms from its start. */
 export interface ManualClock extends Clock {
   /** Moves the clock on, ringing each timer at its own time; what waits on sockets is let run between them. */
-  advance(ms: number): Promise<void>;
+  advance: (ms: number) => Promise<void>;
   /** Lets time pass while nothing runs, as where a process is held up; timers that fell due ring at its end, all in one turn. */
-  holdUp(ms: number): void;
+  holdUp: (ms: number) => void;
 }
 
 /** Lets all that is ready on sockets run. */
--- a/test/shared/realwire.test.ts
+++ b/test/shared/realwire.test.ts
@@ -1,6 +1,6 @@
 import http from 'node:http';
 import net from 'node:net';
-import { EngineLine, generate, GenerationStream } from '../../src/shared/contracts/engine';
+import { generate } from '../../src/shared/contracts/engine';
 import { sendJson, readJsonBody } from '../../src/shared/transport/http-handlers';
 import { errorOrValue } from '../../src/shared/errors/errors';
 import { IncomingRequest } from '../../src/shared/ports/network';
@@ -156,9 +156,9 @@
   for (let i = 0; i < 3; i++) {
     const gone = new AbortController().signal;
     const [, g] = errorOrValue(await generate(ports, at, GENERATE_ASK, 60000, gone));
-    await (g as GenerationStream).next();
-    const [, last] = errorOrValue(await (g as GenerationStream).next());
-    expect((last as EngineLine).done).toBe(true);
+    await g!.next();
+    const [, last] = errorOrValue(await g!.next());
+    expect(last!.done).toBe(true);
     ends.shift()!();
     await finished.shift();
     for (let turn = 0; turn < TURNS; turn++) await new Promise(setImmediate);
--- a/test/shared/shutdown.test.ts
+++ b/test/shared/shutdown.test.ts
@@ -3,7 +3,11 @@
 import { defaultSettings } from '../../src/shared/settings/settings';
 
 /** A running program whose drain ends when a test says so, and what became of it. */
-function program(): { shutdown: ReturnType<typeof makeShutdown>; finish(): void; did: string[] } {
+function program(): {
+  shutdown: ReturnType<typeof makeShutdown>;
+  finish: () => void;
+  did: string[];
+} {
   const did: string[] = [];
   let finish = nothing;
   function nothing(): void {}
--- a/tools/capacity/capacity.ts
+++ b/tools/capacity/capacity.ts
@@ -2,7 +2,7 @@
 import { resolve } from 'node:path';
 import { Command } from 'commander';
 import { AXES } from './axes';
-import { planTable, plotAll, readRuns, Run, slopesTable } from './report';
+import { planTable, plotAll, readRuns, slopesTable } from './report';
 
 /** Where runs are kept, a line each. */
 export const RUNS = resolve(__dirname, '../../../docs/capacity/runs.jsonl');
@@ -18,10 +18,7 @@
       for (const size of o.sizes ? o.sizes.split(',').map(Number) : a.sizes) {
         const values = await a.run(size, resolve('fleet-data', `capacity-${o.net}`), Number(o.net));
         for (const [k, v] of Object.entries(values)) values[k] = Number(v.toPrecision(6));
-        appendFileSync(
-          RUNS,
-          JSON.stringify({ mark: o.mark, axis: a.name, size, values } as Run) + '\n',
-        );
+        appendFileSync(RUNS, JSON.stringify({ mark: o.mark, axis: a.name, size, values }) + '\n');
         process.stdout.write(`${a.name} ${size}: ${JSON.stringify(values)}\n`);
       }
     }
--- a/tools/capacity/hollow.ts
+++ b/tools/capacity/hollow.ts
@@ -54,7 +54,7 @@
   /** How many nodes, routers or sources share it. */
   holds: number;
   child: ChildProcess;
-  ask(gc: boolean): Promise<Figures>;
+  ask: (gc: boolean) => Promise<Figures>;
 }
 
 /** A fleet that runs. */
@@ -66,10 +66,10 @@
   indexers: { wire: string; http: string }[];
   routerHttp: string[];
   engines: Engine[];
-  sample(ms: number): Promise<Record<string, Rates[]>>;
-  read(role: string, gc?: boolean): Promise<Figures[]>;
-  until(within: number, test: () => Promise<boolean>): Promise<boolean>;
-  stop(): Promise<void>;
+  sample: (ms: number) => Promise<Record<string, Rates[]>>;
+  read: (role: string, gc?: boolean) => Promise<Figures[]>;
+  until: (within: number, test: () => Promise<boolean>) => Promise<boolean>;
+  stop: () => Promise<void>;
 }
 
 /** Processes that nodes are shared out to, at the most. */
@@ -293,7 +293,7 @@
     rmSync(folder, { recursive: true, force: true });
   }
 
-  function closeOf(l: { close(): Promise<void> }): Promise<void> {
+  function closeOf(l: { close: () => Promise<void> }): Promise<void> {
     return l.close();
   }
 
--- a/tools/capacity/measure.ts
+++ b/tools/capacity/measure.ts
@@ -13,7 +13,7 @@
   sizes: number[];
   /** What stays the same, in words. */
   fixed: string;
-  run(size: number, folder: string, net: number): Promise<Measured>;
+  run: (size: number, folder: string, net: number) => Promise<Measured>;
 }
 
 /** Ms of a quiet window. */
--- a/tools/capacity/meter.ts
+++ b/tools/capacity/meter.ts
@@ -23,8 +23,8 @@
 
 /** Counts what a process sends, takes and writes; bytes are those of its sockets. */
 export interface Meter {
-  ports(p: Ports): Ports;
-  read(more?: Record<string, number>): Figures;
+  ports: (p: Ports) => Ports;
+  read: (more?: Record<string, number>) => Figures;
 }
 
 /** Starts counting; sockets that were open before are not seen. */
--- a/tools/capacity/operators.ts
+++ b/tools/capacity/operators.ts
@@ -1,6 +1,6 @@
 import { errorOrValue } from '../../src/shared/errors/errors';
 import { requestJson } from '../../src/shared/util/http-json';
-import { Intents, Rule, Tenant } from '../../src/shared/state/intents';
+import { Intents, Rule } from '../../src/shared/state/intents';
 import { Hollow, MODEL } from './hollow';
 
 /** What one change cost its operator: ms to the return, and whether it was in effect by then. */
@@ -20,7 +20,7 @@
     cacheStores: [],
   };
   for (let i = 1; i <= tenants; i++) {
-    doc.tenants.push({ id: `tenant-${i}`, sharing: 'walled' } as Tenant);
+    doc.tenants.push({ id: `tenant-${i}`, sharing: 'walled' });
     const base = {
       tenant: `tenant-${i}`,
       model: MODEL,
--- a/tools/capacity/platform.ts
+++ b/tools/capacity/platform.ts
@@ -183,7 +183,7 @@
         : beyond % 2 === 1
           ? ['-', (beyond + 1) >> 1]
           : ['+', filled + (beyond >> 1)];
-    const i = n as number;
+    const i = n;
     return [
       seq,
       sign,
--- a/tools/capacity/role.ts
+++ b/tools/capacity/role.ts
@@ -233,7 +233,7 @@
   const more = await start();
   function asked(a: RoleAsk): void {
     if (a.gc) (globalThis as { gc?: () => void }).gc?.();
-    process.send!({ n: a.n, figures: meter.read(more()) } as RoleAnswer);
+    process.send!({ n: a.n, figures: meter.read(more()) });
   }
   process.on('message', asked);
   process.send!({ n: 0 });
--- a/tools/compatibility/probe.ts
+++ b/tools/compatibility/probe.ts
@@ -18,7 +18,7 @@
 export interface Probe {
   ports: Ports;
   hello: Hello;
-  ask(at: string, type: string, body: unknown): Promise<Result<unknown>>;
+  ask: (at: string, type: string, body: unknown) => Promise<Result<unknown>>;
 }
 
 /** Runs virtual time on until a promise is settled. */
--- a/tools/compatibility/recording.ts
+++ b/tools/compatibility/recording.ts
@@ -33,11 +33,11 @@
 /** Messages that pass between simulated processes, as they are recorded. */
 export interface Recorder {
   /** Names the scenario of what is sent from now on. */
-  begin(scenario: string): void;
+  begin: (scenario: string) => void;
   /** Links that record each message and hold it no longer than the links behind them. */
-  links(behind?: ThinLinks): ThinLinks;
+  links: (behind?: ThinLinks) => ThinLinks;
   /** What was recorded, by type. */
-  types(): RecordedType[];
+  types: () => RecordedType[];
 }
 
 /** An exchange whose answer may still come. */
--- a/tools/compatibility/scenarios.ts
+++ b/tools/compatibility/scenarios.ts
@@ -25,7 +25,7 @@
   name: string;
   /** What sends the messages. */
   description: string;
-  run(recorder: Recorder): Promise<void>;
+  run: (recorder: Recorder) => Promise<void>;
 }
 
 const SEED = 1;
@@ -56,7 +56,7 @@
   }
   const loads = { own: ownLoads, others: nothing, noBoard: nothing } as unknown as Loads;
   const membership = makePushStream<Member[]>().stream;
-  const follower = { members, membership } as unknown as Follower;
+  const follower = { members, memberChanges: membership } as unknown as Follower;
   const bounds = timeLimitsOf(defaultSettings());
   return reachIndexers(probe.ports, bounds, follower, probe.hello, loads, routers);
 }
@@ -113,7 +113,7 @@
 }
 
 /** What an indexer has heard of each source, by its own dump. */
-function knownOf(dump: { extract(): unknown }): [string, { epoch: string; seq: number }][] {
+function knownOf(dump: { extract: () => unknown }): [string, { epoch: string; seq: number }][] {
   return (dump.extract() as { heard: [string, { epoch: string; seq: number }][] }).heard;
 }
 
--- a/tools/compatibility/stored-disks.ts
+++ b/tools/compatibility/stored-disks.ts
@@ -4,7 +4,6 @@
 
 import { crc32 } from 'node:zlib';
 import { pack } from 'msgpackr';
-import { Controller } from '../../src/control/controller';
 import { CONTROL_KEYS } from '../../src/shared/state/control-keys';
 import { Voter, VoterSet } from '../../src/shared/state/voter-set';
 import { asked, back, counts, isFounded, lose, procOf, until, votersOf } from '../sim/simcore';
@@ -100,7 +99,7 @@
 
 /** Leaves a joint set of voters in its midst, with a third disk that is never reached. */
 async function beginJointSet(fleet: SimFleet): Promise<void> {
-  const controller = fleet.controllers.get('core-1') as Controller;
+  const controller = fleet.controllers.get('core-1')!;
   const stood = controller.committedValue<VoterSet>(CONTROL_KEYS.voters)!;
   const next: Voter[] = [
     ...stood.value.now.slice(0, 2),
--- a/tools/fleet/machines.ts
+++ b/tools/fleet/machines.ts
@@ -22,17 +22,17 @@
 /** All processes of ours on the machines of a site. */
 export interface Machines {
   procs: Map<string, Proc>;
-  startAll(): Promise<void>;
+  startAll: () => Promise<void>;
   /** Kills a process, and starts it again after the pause. */
-  kill(name: string, pauseMs: number): Promise<void>;
+  kill: (name: string, pauseMs: number) => Promise<void>;
   /** Stops a process by SIGTERM, with SIGKILL after the grace, and starts it again; one that is held up handles its signal `heldUpMs` late. */
-  roll(name: string, heldUpMs?: number): Promise<void>;
-  freeze(name: string, ms: number): Promise<void>;
+  roll: (name: string, heldUpMs?: number) => Promise<void>;
+  freeze: (name: string, ms: number) => Promise<void>;
   /** Kills a process whose disk is lost with it. */
-  wipe(name: string, pauseMs: number): Promise<void>;
-  lifeOf(ip: string): number;
+  wipe: (name: string, pauseMs: number) => Promise<void>;
+  lifeOf: (ip: string) => number;
   /** Ends every process; none starts after it. */
-  stopAll(): Promise<void>;
+  stopAll: () => Promise<void>;
 }
 
 const ROOT = resolve(__dirname, '../..');
--- a/tools/fleet/processes.ts
+++ b/tools/fleet/processes.ts
@@ -31,8 +31,8 @@
   ports: Ports;
   folder: string;
   procs: Map<string, Proc>;
-  start(name: string, role: string, args: string[], data: string): Promise<void>;
-  cli(args: string[]): Promise<{ code: number; out: string }>;
+  start: (name: string, role: string, args: string[], data: string) => Promise<void>;
+  cli: (args: string[]) => Promise<{ code: number; out: string }>;
 }
 
 const ROOT = resolve(__dirname, '../..');
@@ -68,7 +68,7 @@
       log.push(String(b));
       writeFileSync(join(folder, `${name}.log`), log.join(''));
     }
-    child.stderr!.on('data', complained);
+    child.stderr.on('data', complained);
     await waitUp(child, name);
   }
 
--- a/tools/history/generate.ts
+++ b/tools/history/generate.ts
@@ -32,7 +32,11 @@
 const LONGEST_DELAY_MS = 60;
 
 /** Runs what is due in the order of its times. */
-function makeAgenda(): { now(): number; after(ms: number, run: () => void): void; run(): void } {
+function makeAgenda(): {
+  now: () => number;
+  after: (ms: number, run: () => void) => void;
+  run: () => void;
+} {
   const events: Event[] = [];
   let time = 0;
   function now(): number {
--- a/tools/history/record.ts
+++ b/tools/history/record.ts
@@ -8,9 +8,9 @@
 
 /** Keeps calls in the order in which they ended. */
 export interface HistoryRecorder {
-  record(call: RecordedCall): void;
-  calls(): HistoryCall[];
-  text(): string;
+  record: (call: RecordedCall) => void;
+  calls: () => HistoryCall[];
+  text: () => string;
 }
 
 /** Times to the microsecond; rounding keeps their order. */
--- a/tools/model/disk.ts
+++ b/tools/model/disk.ts
@@ -16,17 +16,17 @@
 /** One machine's folder; it outlives the processes that write to it. */
 export interface Folder {
   /** The port of one process. `schedule` runs a sync later, or at once. */
-  port(schedule: (label: string, sync: () => void) => void): Disk;
+  port: (schedule: (label: string, sync: () => void) => void) => Disk;
   /** Names of files with unsynced bytes. */
-  unsynced(): string[];
-  losePower(remainders: Map<string, Remainder>): void;
-  wipe(): void;
-  wasWiped(): boolean;
+  unsynced: () => string[];
+  losePower: (remainders: Map<string, Remainder>) => void;
+  wipe: () => void;
+  wasWiped: () => boolean;
   /** A port on a copy of what is durable; it takes writes at once. */
-  durableCopy(): Disk;
-  digest(): string;
+  durableCopy: () => Disk;
+  digest: () => string;
   /** Rises with each change of what is durable. */
-  version(): number;
+  version: () => number;
 }
 
 const NO_BYTES = new Uint8Array(0);
--- a/tools/model/faults.ts
+++ b/tools/model/faults.ts
@@ -10,16 +10,16 @@
   network: Network;
   budgets: Budgets;
   /** Whether one more lost disk is tolerated now. */
-  mayWipe(): boolean;
+  mayWipe: () => boolean;
 }
 
 /** What may go wrong now, and what may get well. */
 export interface Faults {
-  faults(): ModelEvent[];
-  recoveries(): ModelEvent[];
+  faults: () => ModelEvent[];
+  recoveries: () => ModelEvent[];
   /** Timers that may ring before other things are done. */
-  lateTimers(timers: ModelEvent[]): ModelEvent[];
-  describe(): string;
+  lateTimers: (timers: ModelEvent[]) => ModelEvent[];
+  describe: () => string;
 }
 
 const REMAINDERS: Remainder[] = ['lost', 'empty', 'torn', 'kept'];
--- a/tools/model/invariants.ts
+++ b/tools/model/invariants.ts
@@ -62,24 +62,24 @@
   violations: Violation[];
   /** How often each invariant was checked. */
   checks: Map<InvariantName, number>;
-  promised(disk: string, key: string, epoch: number, by: string): void;
-  accepted(disk: string, change: VersionedValue): void;
+  promised: (disk: string, key: string, epoch: number, by: string) => void;
+  accepted: (disk: string, change: VersionedValue) => void;
   /** Takes note of a value at its place, wherever it was seen. */
-  seen(n: VersionedValue): void;
-  learned(change: VersionedValue): void;
-  begin(what: string, key: string): Begun;
-  read(begun: Begun, found: VersionedValue | undefined): void;
+  seen: (n: VersionedValue) => void;
+  learned: (change: VersionedValue) => void;
+  begin: (what: string, key: string) => Begun;
+  read: (begun: Begun, found: VersionedValue | undefined) => void;
   /** An owner leads by `current`; where `made` is the very value that was acknowledged, found standing, it leads by that one. */
-  led(begun: Begun, current: VersionedValue | undefined, made?: VersionedValue): void;
-  acknowledged(order: Order): void;
+  led: (begun: Begun, current: VersionedValue | undefined, made?: VersionedValue) => void;
+  acknowledged: (order: Order) => void;
   /** An order was refused: as such, or by answers of class refused alone. */
-  refused(order: Order, why: string, as: RefusalInvariant): void;
+  refused: (order: Order, why: string, as: RefusalInvariant) => void;
   /** What became of an order that was acknowledged before it was sent again: why it was refused, if it was. */
-  answeredAgain(order: Order, refusedWhy?: string): void;
+  answeredAgain: (order: Order, refusedWhy?: string) => void;
   /** Checks what all living disks keep. */
-  durable(disks: DurableDisk[], voters: VoterSet): void;
-  isAcknowledged(order: Order): boolean;
-  digest(): string;
+  durable: (disks: DurableDisk[], voters: VoterSet) => void;
+  isAcknowledged: (order: Order) => boolean;
+  digest: () => string;
 }
 
 /** The version of a value: a deployment's revision, or the rank of named weights. */
--- a/tools/model/mutations.ts
+++ b/tools/model/mutations.ts
@@ -17,23 +17,23 @@
   /** The invariant that is to catch it, alone. */
   breaks?: InvariantName;
   summary: string;
-  ownerName?(node: string): string;
-  disk?(disk: Disk): Disk;
-  slots?(slots: ControlStore): ControlStore;
-  ownerReach?(reach: VoterTransport, slots: ControlStore): VoterTransport;
-  changesOwner?(owner: KeyOwner): KeyOwner;
+  ownerName?: (node: string) => string;
+  disk?: (disk: Disk) => Disk;
+  slots?: (slots: ControlStore) => ControlStore;
+  ownerReach?: (reach: VoterTransport, slots: ControlStore) => VoterTransport;
+  changesOwner?: (owner: KeyOwner) => KeyOwner;
   /** The owner by which a change of the voters commits the keys anew. */
-  carryingOwner?(owner: KeyOwner): KeyOwner;
-  reads?(parts: ReadDependencies): ReadDependencies;
+  carryingOwner?: (owner: KeyOwner) => KeyOwner;
+  reads?: (parts: ReadDependencies) => ReadDependencies;
   /** Whether no order is answered by a read: what its owner does wrong is then not hidden by one that went before. */
   withoutVerdictsByRead?: boolean;
-  handle?(
+  handle?: (
     slots: ControlStore,
     type: string,
     body: unknown,
     unchanged: () => Promise<Result<unknown>>,
-  ): Promise<Result<unknown>>;
-  answer?(o: Result<ChangeResult>): Result<ChangeResult>;
+  ) => Promise<Result<unknown>>;
+  answer?: (o: Result<ChangeResult>) => Result<ChangeResult>;
 }
 
 interface PrepareBody {
--- a/tools/model/network.ts
+++ b/tools/model/network.ts
@@ -10,7 +10,7 @@
   serving: boolean;
   /** Requests that it has sent in this life. */
   sent: number;
-  handle(type: string, body: unknown): Promise<Result<unknown>>;
+  handle: (type: string, body: unknown) => Promise<Result<unknown>>;
 }
 
 interface Call {
@@ -22,22 +22,22 @@
   /** Takes the message that is on its way off the network. */
   drop?: () => void;
   duplicate?: () => void;
-  settle(o: Result<unknown>): void;
+  settle: (o: Result<unknown>) => void;
 }
 
 /** The network of one world. */
 export interface Network {
-  ask(from: Endpoint, to: Endpoint, type: string, body: unknown): Promise<Result<unknown>>;
+  ask: (from: Endpoint, to: Endpoint, type: string, body: unknown) => Promise<Result<unknown>>;
   /** Ends the connections of a process that has died, at the other ends. */
-  broken(to: Endpoint): void;
+  broken: (to: Endpoint) => void;
   /** Whether a process can reach another. */
-  isUp(from: Endpoint, to: Endpoint): boolean;
-  cut(a: Endpoint, b: Endpoint): void;
-  heal(): void;
-  cuts(): string[];
+  isUp: (from: Endpoint, to: Endpoint) => boolean;
+  cut: (a: Endpoint, b: Endpoint) => void;
+  heal: () => void;
+  cuts: () => string[];
   /** Losses and duplicates that may happen now. */
-  losses(): ModelEvent[];
-  duplicates(): ModelEvent[];
+  losses: () => ModelEvent[];
+  duplicates: () => ModelEvent[];
 }
 
 function linkName(a: Endpoint, b: Endpoint): string {
@@ -45,7 +45,7 @@
 }
 
 function copyOf<T>(value: T): T {
-  return value === undefined ? value : (structuredClone(value) as T);
+  return value === undefined ? value : structuredClone(value);
 }
 
 function copyOutcome(o: Result<unknown>): Result<unknown> {
--- a/tools/model/node.ts
+++ b/tools/model/node.ts
@@ -47,16 +47,16 @@
   /** Bytes of a log after which the other slot is started. */
   mostLog: number;
   syncedReads?: boolean;
-  nodes(): ModelNode[];
+  nodes: () => ModelNode[];
 }
 
 /** One life of a node's process. */
 interface Process {
   slots: ControlStore;
-  change(op: Operation): Promise<Result<ChangeResult>>;
-  newest(key: string): Promise<Result<VersionedValue | undefined>>;
-  local(type: string, body: unknown): Promise<Result<unknown>>;
-  replace(): Promise<Result<VoterSet>>;
+  change: (op: Operation) => Promise<Result<ChangeResult>>;
+  newest: (key: string) => Promise<Result<VersionedValue | undefined>>;
+  local: (type: string, body: unknown) => Promise<Result<unknown>>;
+  replace: () => Promise<Result<VoterSet>>;
 }
 
 /** A core machine. */
@@ -65,11 +65,11 @@
   /** Whether its process was started and hasn't died; it serves once its disk is opened. */
   running: boolean;
   /** The disk that its process has opened. */
-  disk(): string | undefined;
-  slots(): ControlStore | undefined;
-  start(): void;
+  disk: () => string | undefined;
+  slots: () => ControlStore | undefined;
+  start: () => void;
   /** Ends the process; `hurt` does to the folder what the fault does. */
-  die(hurt: () => void): void;
+  die: (hurt: () => void) => void;
 }
 
 /** Values of the documents that orders carry; they are taken as they come. */
--- a/tools/model/operators.ts
+++ b/tools/model/operators.ts
@@ -44,7 +44,7 @@
 /** An operator. */
 export interface Operator extends Endpoint {
   /** Where the script stands. */
-  describe(): string;
+  describe: () => string;
 }
 
 function isClear(f: OperationError): boolean {
--- a/tools/model/replace.ts
+++ b/tools/model/replace.ts
@@ -39,11 +39,11 @@
   slots: ControlStore;
   owner: KeyOwner;
   ports: Ports;
-  voters(): VoterSet | undefined;
-  change(op: Operation): Promise<Result<ChangeResult>>;
-  askVoter(v: Voter, type: string, body: unknown): Promise<Result<unknown>>;
+  voters: () => VoterSet | undefined;
+  change: (op: Operation) => Promise<Result<ChangeResult>>;
+  askVoter: (v: Voter, type: string, body: unknown) => Promise<Result<unknown>>;
   /** The disk of the process that serves at an address. */
-  diskAt(at: string): string | undefined;
+  diskAt: (at: string) => string | undefined;
 }
 
 /** Puts the disk that serves now in the place of each that is gone, or ends the change that is under way. */
--- a/tools/model/scheduler.ts
+++ b/tools/model/scheduler.ts
@@ -10,7 +10,7 @@
   /** Events of one kind share a part of the random choices. */
   kind: string;
   label: string;
-  run(): void;
+  run: () => void;
 }
 
 /** The process on which an event takes place. */
@@ -31,11 +31,11 @@
 /** The pending events of one run. */
 export interface Scheduler {
   /** Adds an event on a host; what comes back removes it. */
-  add(host: Host, event: ModelEvent, content?: unknown): () => void;
+  add: (host: Host, event: ModelEvent, content?: unknown) => () => void;
   /** What the hosts may do next, in the order of arrival. */
-  enabled(): ModelEvent[];
+  enabled: () => ModelEvent[];
   /** The labels and contents of all pending events, for the digest of a state. */
-  describe(): string[];
+  describe: () => string[];
 }
 
 /** Digests text. */
--- a/tools/model/world.ts
+++ b/tools/model/world.ts
@@ -24,11 +24,11 @@
 /** A world that is being run. */
 export interface ModelWorld {
   checker: Checker;
-  enabled(): ModelEvent[];
-  run(event: ModelEvent): Promise<void>;
+  enabled: () => ModelEvent[];
+  run: (event: ModelEvent) => Promise<void>;
   /** Ends all faults and reads every key at every node. */
-  close(): Promise<void>;
-  digest(): string;
+  close: () => Promise<void>;
+  digest: () => string;
 }
 
 interface Durable {
--- a/tools/sim/agenda.ts
+++ b/tools/sim/agenda.ts
@@ -6,10 +6,10 @@
 
 /** What happens, in the order of time; what falls together in the order in which it was added. */
 export interface Agenda {
-  at(time: number, run: () => void): void;
-  next(): Due | undefined;
+  at: (time: number, run: () => void) => void;
+  next: () => Due | undefined;
   /** How many were ever added. */
-  added(): number;
+  added: () => number;
 }
 
 interface Entry extends Due {
--- a/tools/sim/event-heap.ts
+++ b/tools/sim/event-heap.ts
@@ -7,9 +7,9 @@
 
 /** Events in the order in which they happen. */
 export interface EventHeap {
-  push(event: SimEvent): void;
+  push: (event: SimEvent) => void;
   /** Takes the first event, unless it is later than a time. */
-  popUntil(time: number): SimEvent | undefined;
+  popUntil: (time: number) => SimEvent | undefined;
 }
 
 function isEarlier(a: SimEvent, b: SimEvent): boolean {
--- a/tools/sim/feeds.ts
+++ b/tools/sim/feeds.ts
@@ -16,9 +16,9 @@
 
 /** What an engine keeps: the longest unused part gives way from its end, by blocks. */
 interface Cache {
-  read(parts: readonly WireBlock[]): number;
-  overlap(parts: readonly WireBlock[]): number;
-  clear(): void;
+  read: (parts: readonly WireBlock[]) => number;
+  overlap: (parts: readonly WireBlock[]) => number;
+  clear: () => void;
 }
 
 function makeCache(source: KvSource, room: number): Cache {
@@ -84,7 +84,7 @@
 function leaveOut(t: Scene): void {
   for (const ix of t.indexers) {
     if (without === 'lists') ix.sources.list = undefined;
-    if (without === 'notes') ix.coming.placed = nothing as never;
+    if (without === 'notes') ix.coming.placed = nothing;
   }
 }
 
--- a/tools/sim/feedscene.ts
+++ b/tools/sim/feedscene.ts
@@ -29,13 +29,13 @@
   sources: Map<string, KvSource>;
   indexers: Indexer[];
   procs: Proc[];
-  pass(ms: number): Promise<void>;
+  pass: (ms: number) => Promise<void>;
   /** Comes back when so much time has been passed by another. */
-  sleep(ms: number): Promise<void>;
-  list(ids: string[]): void;
-  start(i: number): Promise<Indexer>;
+  sleep: (ms: number) => Promise<void>;
+  list: (ids: string[]) => void;
+  start: (i: number) => Promise<Indexer>;
   /** What a replica tells of the prompt, by source. */
-  told(i?: number, parts?: WireBlock[]): Record<string, [number, number]>;
+  told: (i?: number, parts?: WireBlock[]) => Record<string, [number, number]>;
 }
 
 function engineAt(n: number): string {
--- a/tools/sim/news/rig.ts
+++ b/tools/sim/news/rig.ts
@@ -34,27 +34,27 @@
   controllers: Map<string, Controller>;
   followers: Map<string, Follower>;
   followerProcs: Proc[];
-  startFollower(proc: Proc): void;
+  startFollower: (proc: Proc) => void;
   /** Runs virtual time on. */
-  pass(ms: number): Promise<void>;
+  pass: (ms: number) => Promise<void>;
   /** Runs virtual time on until something holds; how long that took, or undefined where it took longer than `most`. */
-  until(test: () => boolean, most: number): Promise<number | undefined>;
+  until: (test: () => boolean, most: number) => Promise<number | undefined>;
   /** Makes a change of the deployment at a controller; the time until it was acknowledged, or undefined. */
-  change(operation: object, most: number): Promise<number | undefined>;
+  change: (operation: object, most: number) => Promise<number | undefined>;
   /** The revision that a follower has applied. */
-  revisionAt(name: string): number;
+  revisionAt: (name: string) => number;
   /** A test for `until`: every follower has a revision, and holds leases of a majority. */
-  everyoneHas(revision: number): () => boolean;
+  everyoneHas: (revision: number) => () => boolean;
   /** Comes back after some virtual time, which must be run on meanwhile. */
-  sleep(ms: number): Promise<void>;
+  sleep: (ms: number) => Promise<void>;
   /** The controller that owns a key now. */
-  ownerOf(key: string): Controller | undefined;
+  ownerOf: (key: string) => Controller | undefined;
   /** Kills the process that owns a key. */
-  killOwner(key: string): void;
+  killOwner: (key: string) => void;
   /** Mean bytes that a follower has received so far. */
-  bytesPerFollower(): number;
+  bytesPerFollower: () => number;
   /** Connections of followers that have ended so far. */
-  lostConnections(): number;
+  lostConnections: () => number;
 }
 
 /** The grown deployment has five controllers. */
@@ -248,7 +248,7 @@
     let taken = false;
     const controller = [...controllers.values()][0];
     void controller.change({ kind: 'deployment', ...operation } as never).then(told);
-    function told(outcome: { isRight(): boolean }): void {
+    function told(outcome: { isRight: () => boolean }): void {
       taken = outcome.isRight();
     }
     function isTaken(): boolean {
--- a/tools/sim/overlap.ts
+++ b/tools/sim/overlap.ts
@@ -82,7 +82,7 @@
 }
 
 function intentsOf(c: {
-  committedValue<T>(k: string): { value: T } | undefined;
+  committedValue: <T>(k: string) => { value: T } | undefined;
 }): IntentsValue | undefined {
   return c.committedValue<IntentsValue>(CONTROL_KEYS.intents)?.value;
 }
--- a/tools/sim/partcache.ts
+++ b/tools/sim/partcache.ts
@@ -6,11 +6,11 @@
 
 /** Parts by hash, the least recently put first. */
 export interface PartCache {
-  has(hash: string): boolean;
+  has: (hash: string) => boolean;
   /** Takes a part and evicts until no more than `room` tokens are kept. */
-  put(p: PromptBlock, room: number): void;
+  put: (p: PromptBlock, room: number) => void;
   /** Tokens that are kept of a prompt, from its start to the first part that is missing. */
-  tokensOf(parts: readonly PromptBlock[]): number;
+  tokensOf: (parts: readonly PromptBlock[]) => number;
 }
 
 /** Makes an empty cache. */
--- a/tools/sim/processors.ts
+++ b/tools/sim/processors.ts
@@ -7,11 +7,11 @@
 /** The processors of a world. */
 export interface Processors {
   /** How much longer a process is busy; it is taken to run now where it is not. */
-  busyMs(proc: Proc, now: number): number;
+  busyMs: (proc: Proc, now: number) => number;
   /** Notes that an event begins. */
-  began(): void;
+  began: () => void;
   /** Charges what the event took to the process that ran in it. */
-  ended(now: number): void;
+  ended: (now: number) => void;
 }
 
 /** Makes processors; `shareOf` gives the share of one that each process has. */
--- a/tools/sim/simcore.ts
+++ b/tools/sim/simcore.ts
@@ -162,7 +162,7 @@
     const sent = f.w.now();
     for (let i = 0; i < 40; i++) {
       const at = await askCore(f, 'GET', '/v1/intents', undefined, first, PATIENCE);
-      const revision = at.status === 200 ? Number((at as OpsReply).body.revision) : acked;
+      const revision = at.status === 200 ? Number(at.body.revision) : acked;
       const base = Math.max(revision, acked);
       const r = await askCore(
         f,
@@ -174,7 +174,7 @@
       );
       f.w.trace(`operator on ${base}: ${JSON.stringify(r).slice(0, 200)}`);
       if (r.status === 200 || r.status === 202) {
-        acked = Number((r as OpsReply).body.revision);
+        acked = Number(r.body.revision);
         longest = Math.max(longest, f.w.now() - sent);
         return true;
       }
--- a/tools/sim/simfleet.ts
+++ b/tools/sim/simfleet.ts
@@ -47,8 +47,8 @@
   spare: Deployment['core'][number];
   /** What processes are told from now on at their start, beside what they are told always. */
   told: Partial<Settings>;
-  startAll(): void;
-  settings(name: string, wire: string, http: string, zone: string): Settings;
+  startAll: () => void;
+  settings: (name: string, wire: string, http: string, zone: string) => Settings;
 }
 
 /** Makes the intents of a simulated run: the deployment's, and the prober's. */
--- a/tools/sim/simops.ts
+++ b/tools/sim/simops.ts
@@ -41,7 +41,11 @@
   };
 }
 
-type Reply = { status: number; body: Record<string, unknown>; sure: boolean };
+interface Reply {
+  status: number;
+  body: Record<string, unknown>;
+  sure: boolean;
+}
 
 async function tell(
   f: SimFleet,
--- a/tools/sim/simpipe.ts
+++ b/tools/sim/simpipe.ts
@@ -8,9 +8,9 @@
 
 /** One direction between two processes. */
 export interface Pipe {
-  send(run: () => void): void;
-  broken(): boolean;
-  breakOff(): void;
+  send: (run: () => void) => void;
+  broken: () => boolean;
+  breakOff: () => void;
 }
 
 /** Two processes that are connected, and how one of them is told of the end. */
@@ -29,12 +29,12 @@
 /** Makes pipes and knows who is connected. */
 export interface Pipes {
   /** Whether an established connection carries nothing in this direction. */
-  isBlocked(from: Proc, to: Proc): boolean;
+  isBlocked: (from: Proc, to: Proc) => boolean;
   pipes: Set<PipeEnds>;
-  makePipe(from: Proc, to: Proc, onBreak: () => void): Pipe;
-  makePair(a: Proc, b: Proc): [Connection, Connection];
+  makePipe: (from: Proc, to: Proc, onBreak: () => void) => Pipe;
+  makePair: (a: Proc, b: Proc) => [Connection, Connection];
   /** Tells whoever was connected to a process that it died. */
-  resetOf(p: Proc): void;
+  resetOf: (p: Proc) => void;
 }
 
 const GIVE_UP = 8000;
--- a/tools/sim/simwire.ts
+++ b/tools/sim/simwire.ts
@@ -31,9 +31,9 @@
   traffic?: Traffic;
   /** The bandwidth of machines' links, where it is limited. */
   links?: ThinLinks;
-  ports(p: Proc): Ports;
+  ports: (p: Proc) => Ports;
   /** Breaks all connections between two processes; new ones come up as the links allow. */
-  reset(a: Proc, b: Proc): void;
+  reset: (a: Proc, b: Proc) => void;
 }
 
 /** Makes the network: orderly connections that lose nothing until they break, as TCP's do. */
--- a/tools/sim/simworld.ts
+++ b/tools/sim/simworld.ts
@@ -37,30 +37,30 @@
 /** The simulated world: virtual time, machines, links between them. */
 export interface World {
   dice: RandomSource;
-  now(): number;
-  after(ms: number, run: () => void): () => void;
-  proc(name: string, ip: string): Proc;
-  procAt(ip: string): Proc | undefined;
-  procs(): Proc[];
-  onProc(p: Proc, run: () => void): void;
-  clock(p: Proc): Clock;
-  disk(p: Proc): Disk;
-  log(p: Proc): Logger;
-  kill(p: Proc, power: boolean): void;
-  revive(p: Proc): void;
-  freeze(p: Proc, suspended?: boolean): void;
-  wake(p: Proc): void;
-  stall(p: Proc, on: boolean): void;
-  cut(from: string, to: string, on: boolean): void;
-  isCut(from: string, to: string): boolean;
-  slow(from: string, to: string, times: number): void;
-  latency(from: string, to: string): number;
-  healLinks(): void;
-  onDeath(run: (p: Proc, power: boolean) => void): void;
-  trace(text: string): void;
-  traceHash(): string;
+  now: () => number;
+  after: (ms: number, run: () => void) => () => void;
+  proc: (name: string, ip: string) => Proc;
+  procAt: (ip: string) => Proc | undefined;
+  procs: () => Proc[];
+  onProc: (p: Proc, run: () => void) => void;
+  clock: (p: Proc) => Clock;
+  disk: (p: Proc) => Disk;
+  log: (p: Proc) => Logger;
+  kill: (p: Proc, power: boolean) => void;
+  revive: (p: Proc) => void;
+  freeze: (p: Proc, suspended?: boolean) => void;
+  wake: (p: Proc) => void;
+  stall: (p: Proc, on: boolean) => void;
+  cut: (from: string, to: string, on: boolean) => void;
+  isCut: (from: string, to: string) => boolean;
+  slow: (from: string, to: string, times: number) => void;
+  latency: (from: string, to: string) => number;
+  healLinks: () => void;
+  onDeath: (run: (p: Proc, power: boolean) => void) => void;
+  trace: (text: string) => void;
+  traceHash: () => string;
   lines: string[];
-  run(untilMs: number): Promise<void>;
+  run: (untilMs: number) => Promise<void>;
   /** What processes do takes them time, where that is simulated. */
   processors?: Processors;
 }
--- a/tools/sim/thin-links.ts
+++ b/tools/sim/thin-links.ts
@@ -4,9 +4,9 @@
 /** Machines' links of limited bandwidth. */
 export interface ThinLinks {
   /** How long a message takes from machine to machine beside the latency, behind what was sent before it. */
-  delay(from: string, to: string, message: Message): number;
+  delay: (from: string, to: string, message: Message) => number;
   /** Bytes that a machine has received. */
-  received(ip: string): number;
+  received: (ip: string) => number;
 }
 
 /** Bytes of headers around each message. */
--- a/tools/sim/traffic.ts
+++ b/tools/sim/traffic.ts
@@ -3,8 +3,8 @@
 
 /** Messages and bytes between our processes, by sender's role and type. */
 export interface Traffic {
-  weigh(from: string, m: Message): void;
-  rows(per: number): string[];
+  weigh: (from: string, m: Message) => void;
+  rows: (per: number) => string[];
 }
 
 /** Counts what our processes say to each other, as `msgpackr` packs it. */
--- a/tools/sim/without.ts
+++ b/tools/sim/without.ts
@@ -52,7 +52,7 @@
   function lasting(...x: Parameters<typeof follow.followCore>): follow.Follower {
     return { ...real(...x), hasLease: always };
   }
-  (follow as unknown as Patch).followCore = lasting as never;
+  (follow as unknown as Patch).followCore = lasting;
 }
 
 function noSalts(): void {
@@ -65,7 +65,7 @@
     }
     return real(...x).map(flatten);
   }
-  (operations as unknown as Patch).computeNextValue = same as never;
+  (operations as unknown as Patch).computeNextValue = same;
 }
 
 function noWeightsEnd(): void {
@@ -74,7 +74,7 @@
     return { ...real(s), oldWeightsRetireMs: Infinity };
   }
   async function nothing(): Promise<void> {}
-  (bounds as unknown as Patch).timeLimitsOf = endless as never;
+  (bounds as unknown as Patch).timeLimitsOf = endless;
   (duties as unknown as Patch).retireOldWeights = nothing;
 }
 
@@ -89,7 +89,7 @@
   async function list(...x: Parameters<typeof platform.listEngines>): Promise<Result<Engine[]>> {
     return (await real(...x)).map(all);
   }
-  (platform as unknown as Patch).listEngines = list as never;
+  (platform as unknown as Patch).listEngines = list;
 }
 
 function noLeavingCut(): void {
@@ -97,7 +97,7 @@
   function uncut(s: Settings): bounds.TimeLimits {
     return { ...real(s), drainingEngineCutMs: Infinity };
   }
-  (bounds as unknown as Patch).timeLimitsOf = uncut as never;
+  (bounds as unknown as Patch).timeLimitsOf = uncut;
 }
 
 function noSync(): void {
@@ -114,7 +114,7 @@
     }
     return (await real(...x)).map(skip);
   }
-  (slots as unknown as Patch).openControlStore = lazy as never;
+  (slots as unknown as Patch).openControlStore = lazy;
 }
 
 /** Bends the lines that a router reads of each generate call. */
@@ -134,7 +134,7 @@
     }
     return (await real(...x)).map(wrap);
   }
-  (engine as unknown as Patch).generate = bent as never;
+  (engine as unknown as Patch).generate = bent;
 }
 
 function noLastLine(): void {
@@ -160,7 +160,7 @@
     }
     return (await real(...x)).mapLeft(surely);
   }
-  (engine as unknown as Patch).generate = sure as never;
+  (engine as unknown as Patch).generate = sure;
 }
 
 function noBudget(): void {
@@ -174,14 +174,14 @@
     }
     return (await real(...x)).map(free);
   }
-  (router as unknown as Patch).startRouter = spending as never;
+  (router as unknown as Patch).startRouter = spending;
 }
 
 function noSuspension(): void {
   function plain(monotonic: () => number): () => number {
     return monotonic;
   }
-  (clock as unknown as Patch).countingSuspension = plain as never;
+  (clock as unknown as Patch).countingSuspension = plain;
 }
 
 function noOrderCheck(): void {
@@ -201,7 +201,9 @@
 /** A data plane that bends the pieces of one call in twenty. */
 function bends(bend: (text: string, other: string) => string): () => void {
   function patch(): void {
-    const proto = CallerApi.prototype as unknown as { generate(c: IncomingRequest): Promise<void> };
+    const proto = CallerApi.prototype as unknown as {
+      generate: (c: IncomingRequest) => Promise<void>;
+    };
     const real = proto.generate;
     let calls = 0;
     let other = '';
@@ -254,13 +256,13 @@
     }
     real({ ...c, isPreferredOwner: chosen, change }, ports);
   }
-  (duties as unknown as Patch).startBackgroundTasks = loose as never;
+  (duties as unknown as Patch).startBackgroundTasks = loose;
 }
 
 /** A router that lets an attempt run on after it told the caller that it refused. */
 function refusesLate(): void {
   const proto = CallerApi.prototype as unknown as {
-    forward(...x: unknown[]): Promise<{ done: boolean; fault?: object }>;
+    forward: (...x: unknown[]) => Promise<{ done: boolean; fault?: object }>;
   };
   const real = proto.forward;
   let calls = 0;
@@ -304,7 +306,7 @@
         }
         return { ...real(most), doubt };
       }
-      (tree as unknown as Patch).makeTrees = sure as never;
+      (tree as unknown as Patch).makeTrees = sure;
     }
   }
   return patch;
@@ -325,7 +327,7 @@
   function far(...x: Parameters<typeof engines.watchEngines>): engines.Engines {
     return { ...real(...x), linkCost: never };
   }
-  (engines as unknown as Patch).watchEngines = far as never;
+  (engines as unknown as Patch).watchEngines = far;
 }
 
 /** Mechanisms that the simulator can leave out, to see that its checks catch what they prevent. */
--- a/tools/sim/worst/core.ts
+++ b/tools/sim/worst/core.ts
@@ -33,7 +33,7 @@
   /** Keeps the lines of the trace. */
   keepLines?: boolean;
   /** Changes a controller that has started, for tests of what is caught. */
-  spoil?(controller: Controller): void;
+  spoil?: (controller: Controller) => void;
 }
 
 /** The core of a worst day. */
@@ -45,19 +45,19 @@
   operatorIp: string;
   operator: Proc;
   /** Machines that are not gone for good. */
-  members(): Member[];
+  members: () => Member[];
   tolerated: number;
-  start(member: Member): void;
+  start: (member: Member) => void;
   /** Loses a process, with its machine's power or its disk. */
-  lose(member: Member, how: { power: boolean; wipe: boolean }): void;
+  lose: (member: Member, how: { power: boolean; wipe: boolean }) => void;
   /** Starts a process that was lost. */
-  back(member: Member): void;
+  back: (member: Member) => void;
   /** Puts an empty machine at a new address in a member's place. */
-  replace(member: Member): Member;
-  votes(member: Member): boolean;
-  owns(member: Member): boolean;
-  cut(from: string, to: string, on: boolean): void;
-  disturb(from: number, to?: number): void;
+  replace: (member: Member) => Member;
+  votes: (member: Member) => boolean;
+  owns: (member: Member) => boolean;
+  cut: (from: string, to: string, on: boolean) => void;
+  disturb: (from: number, to?: number) => void;
   disturbances: Disturbance[];
 }
 
--- a/tools/sim/worst/faults.ts
+++ b/tools/sim/worst/faults.ts
@@ -45,10 +45,10 @@
 
 /** Brings the faults of a schedule about. */
 export interface Injector {
-  acknowledged(): void;
-  sent(): void;
+  acknowledged: () => void;
+  sent: () => void;
   /** Ends what still lasts. */
-  endAll(): void;
+  endAll: () => void;
   /** Faults that were brought about, by kind. */
   counts: Record<string, number>;
 }
--- a/tools/sim/worst/storm.ts
+++ b/tools/sim/worst/storm.ts
@@ -19,20 +19,20 @@
 
 /** Whom a storm tells of its calls. */
 export interface StormListener {
-  sent(): void;
-  acknowledged(): void;
+  sent: () => void;
+  acknowledged: () => void;
 }
 
 /** Operators at work. */
 export interface Storm {
   fates: Fate[];
   /** Sends an order until it is answered. */
-  insist(client: string, order: Order, most: number): Promise<Fate>;
+  insist: (client: string, order: Order, most: number) => Promise<Fate>;
   /** Reads from one member; the revision, or undefined without an answer. */
-  read(client: string, member: Member): Promise<number | undefined>;
+  read: (client: string, member: Member) => Promise<number | undefined>;
   /** Sends changes until a time; settles when all calls are over. */
-  run(until: number): Promise<void>;
-  known(client: string): Known;
+  run: (until: number) => Promise<void>;
+  known: (client: string) => Known;
 }
 
 interface Heard {
--- a/tools/standins/core.ts
+++ b/tools/standins/core.ts
@@ -17,7 +17,7 @@
 export interface StandInCore {
   at: string;
   /** Sets a control key; those that ask get it with their next lease, those that are connected at once. */
-  set(key: string, value: unknown): void;
+  set: (key: string, value: unknown) => void;
 }
 
 class CoreEdge {
--- a/tools/standins/engine.ts
+++ b/tools/standins/engine.ts
@@ -24,10 +24,10 @@
 /** A running stand-in engine. */
 export interface StandInEngine {
   ways: EngineWays;
-  leave(): void;
-  kept(): number;
-  overlap(salt: string, weights: string, parts: readonly PromptBlock[]): number;
-  stop(): Promise<void>;
+  leave: () => void;
+  kept: () => number;
+  overlap: (salt: string, weights: string, parts: readonly PromptBlock[]) => number;
+  stop: () => Promise<void>;
 }
 
 /** Handlers of the engine contract. */
@@ -232,7 +232,7 @@
       timeoutMs: 2000,
     });
     if (o.isLeft()) return undefined;
-    const parts = ((o.extract() as { body: { parts?: Kept[] } }).body?.parts ?? []) as Kept[];
+    const parts = (o.extract() as { body: { parts?: Kept[] } }).body?.parts ?? [];
     let tokens = 0;
     for (const p of parts) {
       tokens += p.size;
--- a/tools/standins/enginecache.ts
+++ b/tools/standins/enginecache.ts
@@ -21,15 +21,15 @@
 
 /** The cache of one engine; the least recently used parts go first. */
 export interface EngineCache {
-  find(salt: string, weights: string, hash: string): Kept | undefined;
-  keep(k: Kept): void;
+  find: (salt: string, weights: string, hash: string) => Kept | undefined;
+  keep: (k: Kept) => void;
   /** Puts what changed into one batch of events. */
-  flush(): void;
-  tokens(): number;
+  flush: () => void;
+  tokens: () => number;
   /** Tokens of a prompt that are kept, from its start. */
-  overlap(salt: string, weights: string, parts: readonly PromptBlock[]): number;
+  overlap: (salt: string, weights: string, parts: readonly PromptBlock[]) => number;
   /** Answers a call for events, after a wait where there are none yet. */
-  events(query: URLSearchParams, gone: AbortSignal): Promise<EventsReply>;
+  events: (query: URLSearchParams, gone: AbortSignal) => Promise<EventsReply>;
 }
 
 const USUAL_WAIT_MS = 1000;
@@ -87,7 +87,7 @@
     held += k.size;
     tell('stored', k);
     while (held > ways.mostTokens) {
-      const [oldKey, old] = cache.entries().next().value as [string, Kept];
+      const [oldKey, old] = cache.entries().next().value!;
       cache.delete(oldKey);
       held -= old.size;
       tell('removed', old);
--- a/tools/standins/kvsource.ts
+++ b/tools/standins/kvsource.ts
@@ -17,16 +17,16 @@
 /** A stand-in for an engine or a store that tells of its parts in the platform's words. */
 export interface KvSource {
   ways: KvWays;
-  take(call: IncomingRequest): Promise<void>;
+  take: (call: IncomingRequest) => Promise<void>;
   /** Keeps so many tokens of a part from now on; 0 drops it. */
-  keep(salt: string, id: string, tokens: number): void;
+  keep: (salt: string, id: string, tokens: number) => void;
   /** The next so many events take numbers and are never told. */
-  loseNext(n: number): void;
+  loseNext: (n: number) => void;
   /** Forgets all events that are held, as after trouble. */
-  loseHeld(): void;
+  loseHeld: () => void;
   /** Starts anew: another epoch, nothing kept. */
-  restart(): void;
-  held(salt: string, id: string): number;
+  restart: () => void;
+  held: (salt: string, id: string) => number;
   counts: { calls: number; short: number; turnedAway: number; lists: number };
 }
 
--- a/tools/standins/platform/batch.ts
+++ b/tools/standins/platform/batch.ts
@@ -12,7 +12,7 @@
   keeper: Keeper;
   troubles: EngineTroubles;
   versions: Map<string, number>;
-  warm(): number;
+  warm: () => number;
 }
 
 function nothing(): void {}
--- a/tools/standins/platform/cache.ts
+++ b/tools/standins/platform/cache.ts
@@ -38,20 +38,24 @@
 /** Parts kept in tokens, the longest unused giving way first, with the events of their coming and going. */
 export interface Keeper {
   ways: FeedWays;
-  used(): number;
+  used: () => number;
   /** The parts that can be used in order, up to the first that is missing or not whole. */
-  match(model: string, salt: string, parts: readonly { id: string; tokens: number }[]): KeptPart[];
-  touch(parts: readonly KeptPart[]): void;
+  match: (
+    model: string,
+    salt: string,
+    parts: readonly { id: string; tokens: number }[],
+  ) => KeptPart[];
+  touch: (parts: readonly KeptPart[]) => void;
   /** Keeps a part; whether there was room. One that it has whole stays as it was first made. */
-  put(p: KeptPart): boolean;
+  put: (p: KeptPart) => boolean;
   /** Makes room for tokens that runs hold. */
-  hold(tokens: number): boolean;
-  release(tokens: number): void;
-  drop(model: string): void;
-  events(since: number): FeedAnswer;
+  hold: (tokens: number) => boolean;
+  release: (tokens: number) => void;
+  drop: (model: string) => void;
+  events: (since: number) => FeedAnswer;
   /** Runs once something has come, or never. */
-  wake(run: () => void): () => void;
-  list(): { epoch: number; nextPageToken: number; held: [string, string, number, string][] };
+  wake: (run: () => void) => () => void;
+  list: () => { epoch: number; nextPageToken: number; held: [string, string, number, string][] };
   held: { calls: number };
 }
 
--- a/tools/standins/platform/channel.ts
+++ b/tools/standins/platform/channel.ts
@@ -23,18 +23,18 @@
 export interface Channel {
   at: string;
   /** Whether a request may go on it now. */
-  usable(): boolean;
+  usable: () => boolean;
   /** Sends one request and reads its answer; `came` gets each piece of the body, `quietMs` bounds each silence. */
-  exchange(
+  exchange: (
     request: string,
     ways: {
       withinMs: number;
       quietMs: number;
-      came(piece: string): void;
-      gave(head: AnswerHead): void;
+      came: (piece: string) => void;
+      gave: (head: AnswerHead) => void;
     },
-  ): Promise<Exchanged>;
-  close(): void;
+  ) => Promise<Exchanged>;
+  close: () => void;
 }
 
 interface Reading {
--- a/tools/standins/platform/clients.ts
+++ b/tools/standins/platform/clients.ts
@@ -24,9 +24,9 @@
   /** How many clients call; each keeps its connections. */
   clients: number;
   /** The configuration that clients go by. */
-  config(): ConfigDoc;
+  config: () => ConfigDoc;
   /** The life of a router's process. */
-  lifeOf(router: string): number;
+  lifeOf: (router: string) => number;
   forMs: number;
   /** How long every eighth client rests after each read of its connections; 0: not at all. */
   restMs: number;
@@ -46,10 +46,10 @@
 /** All clients of a day. */
 export interface Clients {
   /** Calls at the rates for as long as said. */
-  run(): Promise<void>;
+  run: () => Promise<void>;
   /** Asks a node straight, to see which configuration is in force there. */
-  probe(node: EdgeNode, host: string, target: string, key?: string): Promise<Try>;
-  close(): void;
+  probe: (node: EdgeNode, host: string, target: string, key?: string) => Promise<Try>;
+  close: () => void;
 }
 
 const DIAL_MS = 1000;
--- a/tools/standins/platform/day.ts
+++ b/tools/standins/platform/day.ts
@@ -24,15 +24,15 @@
   /** The configuration that clients go by. */
   config: ConfigDoc;
   /** Starts the entry and the clients, once the fleet's machines are known. */
-  openEntry(): Entry;
-  clients(entry: Entry, forMs: number, lifeOf: (router: string) => number): Clients;
+  openEntry: () => Entry;
+  clients: (entry: Entry, forMs: number, lifeOf: (router: string) => number) => Clients;
   /** Starts a life of an engine at an address. */
-  startLife(spec: EngineSpec, versions?: Map<string, number>): Promise<EngineLife>;
+  startLife: (spec: EngineSpec, versions?: Map<string, number>) => Promise<EngineLife>;
   /** Has an engine leave in order, and end. */
-  leave(e: EngineLife): Promise<void>;
+  leave: (e: EngineLife) => Promise<void>;
   /** Ends a life at once; the list shows it for some seconds. */
-  crash(e: EngineLife, how: 'reset' | 'dark'): Promise<void>;
-  close(): Promise<void>;
+  crash: (e: EngineLife, how: 'reset' | 'dark') => Promise<void>;
+  close: () => Promise<void>;
 }
 
 const FEED = { lateMs: 20, lost: 0, keep: 4000, maxConcurrent: 12 };
--- a/tools/standins/platform/engine.ts
+++ b/tools/standins/platform/engine.ts
@@ -14,15 +14,15 @@
   versions: Map<string, number>;
   state: 'ready' | 'draining' | 'gone';
   /** Ms that it is still slow from its start. */
-  warmupLeft(): number;
+  warmupLeft: () => number;
   /** Says that it is leaving; it serves on. */
-  drain(): void;
+  drain: () => void;
   /** Ends it: its connections are reset, or nothing is said any more. */
-  end(how: 'reset' | 'dark'): Promise<void>;
+  end: (how: 'reset' | 'dark') => Promise<void>;
   /** Has its address refuse again after it was dark. */
-  clearDark(): Promise<void>;
+  clearDark: () => Promise<void>;
   /** Resets its connections. */
-  dropConnections(): void;
+  dropConnections: () => void;
 }
 
 /** The report, as it is told. */
--- a/tools/standins/platform/entry.ts
+++ b/tools/standins/platform/entry.ts
@@ -15,11 +15,11 @@
 /** The platform's entry: it asks who is ready, and hands new connections out. */
 export interface Entry {
   nodes: EdgeNode[];
-  ready(node: EdgeNode): boolean;
-  allReady(): boolean;
+  ready: (node: EdgeNode) => boolean;
+  allReady: () => boolean;
   /** The node that a client's new connection of this number goes to. */
-  nodeFor(client: string, zone: string, nth: number): EdgeNode;
-  stop(): void;
+  nodeFor: (client: string, zone: string, nth: number) => EdgeNode;
+  stop: () => void;
 }
 
 const ASK_MS = 1000;
--- a/tools/standins/platform/ground.ts
+++ b/tools/standins/platform/ground.ts
@@ -35,7 +35,7 @@
   keeper: Keeper;
   zone: string;
   /** Whether it answers. */
-  alive(): boolean;
+  alive: () => boolean;
 }
 
 /** What all stand-ins of one day share. */
@@ -52,7 +52,7 @@
   loading: { count: number };
   /** How much slower links between engines are than they should be. */
   links: { slow: number };
-  open(at: string, ways: DoorWays, take: (x: Exchange) => void): Promise<Door>;
+  open: (at: string, ways: DoorWays, take: (x: Exchange) => void) => Promise<Door>;
 }
 
 /** Makes the ground of a day on real sockets. */
--- a/tools/standins/platform/instances.ts
+++ b/tools/standins/platform/instances.ts
@@ -7,12 +7,12 @@
   at: string;
   lives: EngineLife[];
   /** Adds an engine that has started. */
-  add(e: EngineLife): void;
+  add: (e: EngineLife) => void;
   /** Takes one off that has ended. */
-  remove(e: EngineLife): void;
+  remove: (e: EngineLife) => void;
   /** Has it answer nothing but 503. */
   troubles: { down: boolean };
-  close(): Promise<void>;
+  close: () => Promise<void>;
 }
 
 /** How the list behaves. */
--- a/tools/standins/platform/jobs.ts
+++ b/tools/standins/platform/jobs.ts
@@ -84,7 +84,7 @@
   run?: Run;
   /** The version that its next event has to tell. */
   tell?: number;
-  stop(): void;
+  stop: () => void;
   over: boolean;
 }
 
@@ -92,16 +92,16 @@
 export interface Batch {
   queue: Job[];
   running: Set<Job>;
-  submit(x: Exchange): void;
+  submit: (x: Exchange) => void;
   /** Turns away, as not run, the jobs of a model that haven't started. */
-  clear(model: string): void;
+  clear: (model: string) => void;
   /** Resets the streams of a model that run. */
-  preempt(model: string): void;
-  busyWith(model: string): boolean;
+  preempt: (model: string) => void;
+  busyWith: (model: string) => boolean;
   /** Has something run once no job of the model runs any more. */
-  whenIdle(model: string, run: () => void): void;
-  turn(): void;
-  close(): void;
+  whenIdle: (model: string, run: () => void) => void;
+  turn: () => void;
+  close: () => void;
   blocked: Set<string>;
   leaving: boolean;
 }
--- a/tools/standins/platform/operator.ts
+++ b/tools/standins/platform/operator.ts
@@ -6,18 +6,18 @@
 /** The stand-in operator. */
 export interface Operator {
   /** Sends a whole configuration until there is a clear answer or the time is over. */
-  replace(doc: ConfigDoc, base: number, withinMs: number): Promise<ConfigSent>;
+  replace: (doc: ConfigDoc, base: number, withinMs: number) => Promise<ConfigSent>;
   /** Sends a change of named items; `doc` is what it comes to. */
-  update(
+  update: (
     change: NamedChangeDoc,
     doc: ConfigDoc,
     base: number,
     withinMs: number,
-  ): Promise<ConfigSent>;
+  ) => Promise<ConfigSent>;
   /** Names new weights until that is taken. */
-  nameVersion(model: string, revision: number, withinMs: number): Promise<boolean>;
+  nameVersion: (model: string, revision: number, withinMs: number) => Promise<boolean>;
   /** Reads the newest configuration back, again and again for the time. */
-  readBack(forMs: number): Promise<ConfigDoc | undefined>;
+  readBack: (forMs: number) => Promise<ConfigDoc | undefined>;
   /** The control addresses that it picks from. */
   nodes: string[];
 }
--- a/tools/standins/platform/serve.ts
+++ b/tools/standins/platform/serve.ts
@@ -16,26 +16,26 @@
   /** What stands for the connection. */
   connection: object;
   /** The whole body, or undefined where it broke off. */
-  body(): Promise<string | undefined>;
+  body: () => Promise<string | undefined>;
   gone: AbortSignal;
-  head(status: number, headers: Record<string, string>): void;
-  piece(text: string): void;
-  end(text?: string): void;
-  reset(): void;
+  head: (status: number, headers: Record<string, string>) => void;
+  piece: (text: string) => void;
+  end: (text?: string) => void;
+  reset: () => void;
   /** Bytes straight onto the connection, whatever answer is due there. */
-  raw(text: string): void;
+  raw: (text: string) => void;
 }
 
 /** Something that listens at one address of its own. */
 export interface Door {
   at: string;
-  connections(): number;
+  connections: () => number;
   /** Resets all connections and listens no more. */
-  reset(): Promise<void>;
+  reset: () => Promise<void>;
   /** Goes silent: connections stay and are taken, and nothing more is said on them. */
-  dark(): void;
+  dark: () => void;
   /** Resets what is connected, and goes on listening. */
-  drop(): void;
+  drop: () => void;
 }
 
 /** How a door behaves; it is read anew at each turn. */
@@ -53,7 +53,7 @@
 }
 
 /** A promise that a callback keeps. */
-export function kept<T>(): { promise: Promise<T>; keep(x: T): void } {
+export function kept<T>(): { promise: Promise<T>; keep: (x: T) => void } {
   let keep: (x: T) => void = nothing;
   function hold(done: (x: T) => void): void {
     keep = done;
@@ -202,7 +202,7 @@
   const query = call.query.toString();
   async function body(): Promise<string | undefined> {
     const o = await call.body(1 << 24);
-    return o.isRight() ? (o.extract() as string) : undefined;
+    return o.isRight() ? o.extract() : undefined;
   }
   function piece(text: string): void {
     void call.write(text);
--- a/tools/standins/platform/store.ts
+++ b/tools/standins/platform/store.ts
@@ -5,11 +5,11 @@
 /** A stand-in store of kept parts. */
 export interface StoreLife {
   at: string;
-  keeper(): Keeper;
+  keeper: () => Keeper;
   /** Goes down; its connections are reset. */
-  down(): Promise<void>;
+  down: () => Promise<void>;
   /** Comes back, with nothing kept. */
-  up(): Promise<void>;
+  up: () => Promise<void>;
 }
 
 const MOST_WAIT = 1000;
--- a/tools/standins/platform/touch.ts
+++ b/tools/standins/platform/touch.ts
@@ -20,11 +20,11 @@
   /** Valid configurations that were not refused, oldest first. */
   possible: ConfigSent[];
   /** Whether a trouble lay on one of these in the time. */
-  troubled(who: readonly string[], from: number, to: number): boolean;
+  troubled: (who: readonly string[], from: number, to: number) => boolean;
   /** Whether a machine is in touch. */
-  inTouch(ip: string, at: number): boolean;
+  inTouch: (ip: string, at: number) => boolean;
   /** The configurations that may rule a request sent then. */
-  ruling(sentAt: number): ConfigDoc[];
+  ruling: (sentAt: number) => ConfigDoc[];
 }
 
 /** What a request's handling shows about the configuration in force. */
--- a/tools/standins/platform/transfers.ts
+++ b/tools/standins/platform/transfers.ts
@@ -17,9 +17,9 @@
 /** The transfers of one engine. */
 export interface Transfers {
   /** What a source keeps of the prompt beyond one's own, and how long the move takes. */
-  fetch(j: Job, had: KeptPart[]): { parts: KeptPart[]; ms: number };
+  fetch: (j: Job, had: KeptPart[]) => { parts: KeptPart[]; ms: number };
   /** Keeps the parts of a prompt that was read, and sends them to the target that it names. */
-  keepParts(j: Job): void;
+  keepParts: (j: Job) => void;
 }
 
 /** Makes the transfers of one engine's life. */
@@ -32,7 +32,7 @@
     const none = { parts: [], ms: 0 };
     if (at === undefined) return none;
     const source = ground.sources.get(at);
-    if (!source || !source.alive()) return { parts: [], ms: 150 };
+    if (!source?.alive()) return { parts: [], ms: 150 };
     const theirs = source.keeper.match(j.model, j.salt, j.parts);
     const more: KeptPart[] = [];
     let tokens = 0;
@@ -72,7 +72,7 @@
     }
     const at = j.x.headers[H.target];
     const target = at === undefined ? undefined : ground.sources.get(at);
-    if (!target || !target.alive()) return;
+    if (!target?.alive()) return;
     function arrive(): void {
       if (target!.alive()) for (const p of fresh) target!.keeper.put(p);
     }
