--- a/tools/fleet/fleet.ts
+++ b/tools/fleet/fleet.ts
@@ -188,6 +188,10 @@
     .option('--soak <seeds>', "soaks on the users' platform: so many seeds, on both sites in turn")
     .option('--from <seed>', 'the first seed of soaks', '1')
     .option('--steps <n>', 'steps a second of soaks', '0.6')
+    .option(
+      '--other-build <folder>',
+      "soaks: the `dist` of another release, which half of each role's processes run",
+    )
     .option('--net <n>', 'second number of the loopback addresses', '10')
     .option('--place-by <way>', 'index or affinity', 'index')
     .option('--scale <x>', "callers' rate against the brief's", '1')
--- a/tools/fleet/machines.ts
+++ b/tools/fleet/machines.ts
@@ -1,15 +1,18 @@
 import { ChildProcess, spawn } from 'node:child_process';
 import { mkdirSync, rmSync, writeFileSync } from 'node:fs';
-import { join, resolve } from 'node:path';
+import { join } from 'node:path';
 import { Clock } from '../../src/shared/ports/clock';
 import { Book, troubled } from '../standins/platform/book';
 import { kept } from '../standins/platform/serve';
 import { SettingsOf, settingsText } from '../standins/platform/settingsfile';
 import { Site } from '../standins/platform/site';
+import { Builds, makeBuilds } from './builds';
 
 /** A process of ours, in its present life. */
 export interface Proc {
   of: SettingsOf;
+  /** The compiled program that it runs. */
+  program: string;
   /** What it is called in a book of troubles: an edge machine's IP number, or `core`. */
   who: string;
   child?: ChildProcess;
@@ -35,11 +38,16 @@
   stopAll: () => Promise<void>;
 }
 
-const ROOT = resolve(__dirname, '../..');
 const START_MS = 30000;
 
 /** Makes the machines of a site; nothing runs yet. */
-export function makeMachines(site: Site, clock: Clock, book: Book, folder: string): Machines {
+export function makeMachines(
+  site: Site,
+  clock: Clock,
+  book: Book,
+  folder: string,
+  builds: Builds = makeBuilds(),
+): Machines {
   const procs = new Map<string, Proc>();
   const ending = new Set<Promise<void>>();
   const turns = new Map<string, Promise<void>>();
@@ -48,8 +56,14 @@
   function controlOf(c: { control: string }): string {
     return c.control;
   }
+  function countOf(role: string): number {
+    let count = 0;
+    for (const p of procs.values()) if (p.of.role === role) count++;
+    return count;
+  }
   function add(of: SettingsOf, who: string): void {
-    procs.set(of.name + ' ' + of.role, { of, who, life: 0, ended: [], log: [] });
+    const program = builds.programOf(of.role, countOf(of.role));
+    procs.set(of.name + ' ' + of.role, { of, program, who, life: 0, ended: [], log: [] });
   }
   for (const c of site.cores) {
     add(
@@ -104,7 +118,7 @@
     if (p.of.data !== undefined) mkdirSync(p.of.data, { recursive: true });
     writeFileSync(file, settingsText(site, { ...p.of, bootstrap: p.life === 0 }));
     p.life++;
-    const child = spawn(process.execPath, [join(ROOT, 'src/programs', `${p.of.role}.js`)], {
+    const child = spawn(process.execPath, [p.program], {
       stdio: ['ignore', 'pipe', 'pipe'],
       cwd: folder,
       env: { PATH: process.env.PATH, HOME: process.env.HOME, PLUMHOLLOW_SETTINGS: file },
--- a/tools/fleet/platform.ts
+++ b/tools/fleet/platform.ts
@@ -8,6 +8,7 @@
 import { Guarantees } from '../standins/platform/ground';
 import { DayReport, reportDay } from '../standins/platform/ledger';
 import { makeSite, Site, SITES } from '../standins/platform/site';
+import { Builds } from './builds';
 import { makeMachines } from './machines';
 import { SoakStep } from './soak';
 import { Played, TROUBLES } from './troubles';
@@ -22,6 +23,8 @@
   /** Troubles that overlap, each begun at its time; after those in turn. */
   steps?: readonly SoakStep[];
   seed: number;
+  /** The builds that the processes run; the present one where it is left out. */
+  builds?: Builds;
   /** Bounds that the ledger judges by, where they are others than those that the processes are told. */
   judged?: Guarantees;
   /** Is given what ends the day's processes and stand-ins, before any runs on. */
@@ -79,7 +82,7 @@
   rmSync(ways.folder, { recursive: true, force: true });
   mkdirSync(ways.folder, { recursive: true });
   const day: Day = await startDay(ways.site, clock, seededDice(ways.seed));
-  const machines = makeMachines(ways.site, clock, day.book, ways.folder);
+  const machines = makeMachines(ways.site, clock, day.book, ways.folder, ways.builds);
   let ending: Promise<void> | undefined;
   async function endAll(): Promise<void> {
     await machines.stopAll();
--- a/tools/fleet/soak-run.ts
+++ b/tools/fleet/soak-run.ts
@@ -3,6 +3,7 @@
 import { resolve } from 'node:path';
 import { seededDice } from '../sim/dice';
 import { SITES } from '../standins/platform/site';
+import { makeBuilds } from './builds';
 import { makePatientSite, slowEngines, slowReaders, WIDE_BOUNDS } from './busy-machine';
 import { PlatformOptions, PlayedDay, playDay } from './platform';
 import { drawSoak, SoakStep } from './soak';
@@ -15,6 +16,8 @@
   from: string;
   /** Steps a second. */
   steps: string;
+  /** The folder of another release's build, which half of the processes of each role run. */
+  otherBuild?: string;
 }
 
 /** How long clients may be without an answer while the core comes back, beside what is counted. */
@@ -56,6 +59,7 @@
     troubles: [],
     steps,
     seed,
+    builds: makeBuilds(o.otherBuild),
     judged: WIDE_BOUNDS,
   });
   return { seed, steps, day };
