--- a/src/programs/controller.ts
+++ b/src/programs/controller.ts
@@ -9,22 +9,22 @@
 import { OperationError, errorOrValue, Result } from '../shared/errors/errors';
 import { Ports } from '../shared/ports/ports';
 import { Settings } from '../shared/settings/settings';
-import { runDaemon } from './common';
-import { Running } from './running';
+import { runDaemon } from './daemon';
+import { RunningService } from './running-service';
 
 async function start(
   ports: Ports,
   s: Settings,
   dialect: PlatformAdapter | undefined,
-): Promise<Result<Running>> {
+): Promise<Result<RunningService>> {
   const [f, c] = errorOrValue(await startController(ports, s, dialect));
-  if (f) return Left<OperationError, Running>(f);
+  if (f) return Left<OperationError, RunningService>(f);
   const calls = countCalls(ports.network);
   const counted: Ports = { ...ports, network: calls.network };
   const [g, listening] = errorOrValue(
     await (dialect ? serveDeployment(c, counted, dialect) : serveOperators(c, counted)),
   );
-  if (g) return Left<OperationError, Running>(g);
+  if (g) return Left<OperationError, RunningService>(g);
   startBackgroundTasks(c, ports, dialect);
   async function drain(): Promise<void> {
     await c!.drain();
--- a/src/programs/common.ts
+++ b/src/programs/daemon.ts
@@ -1,6 +1,6 @@
 import { readFileSync } from 'node:fs';
 import { Either, Left } from 'purify-ts';
-import { platform } from '../../platform/dialect';
+import { usersPlatform } from '../../platform/adapter';
 import { PlatformAdapter } from '../shared/platform-adapter/platform-adapter';
 import { OperationError, errorOrValue, describeError } from '../shared/errors/errors';
 import { tryCatch } from '../shared/util/try-catch';
@@ -13,21 +13,21 @@
 import { makeSystemNetwork } from '../shared/system/tcp-network';
 import { Settings } from '../shared/settings/settings';
 import { timeLimitsOf } from '../shared/settings/time-limits';
-import { Running } from './running';
+import { RunningService } from './running-service';
 import { makeShutdown } from './shutdown';
 
 /** The version that all programs tell. */
 export const VERSION = '0.1.0';
 
 /** Starts a program's library; without a dialect it speaks our own manner. */
-export type Start = (
+export type StartService = (
   ports: Ports,
   s: Settings,
   dialect: PlatformAdapter | undefined,
-) => Promise<Either<OperationError, Running>>;
+) => Promise<Either<OperationError, RunningService>>;
 
 /** Reads a settings file that is worded in a dialect. */
-function readWorded(dialect: PlatformAdapter, file: string): Either<string[], Settings> {
+function readPlatformSettings(dialect: PlatformAdapter, file: string): Either<string[], Settings> {
   const [f, text] = errorOrValue(tryCatch('read settings', file, read));
   function read(): string {
     return readFileSync(file, 'utf8');
@@ -40,26 +40,26 @@
   program: string,
   doc: string,
   need: string[],
-  start: Start,
+  start: StartService,
 ): Promise<void> {
   const file = process.env.PLUMHOLLOW_SETTINGS;
   const read = file
-    ? readWorded(platform, file)
+    ? readPlatformSettings(usersPlatform, file)
     : (await import('./flags')).readFlags(program, doc, VERSION, need);
   if (read.isLeft()) {
     for (const f of read.extract()) process.stderr.write(`${program}: ${f}\n`);
     process.exit(2);
   }
   const s = read.extract() as Settings;
-  if (file) void reread(s, file);
-  await run(program, s, start, s.dialect === 'platform' ? platform : undefined);
+  if (file) void keepSeedsCurrent(s, file);
+  await runService(program, s, start, s.dialect === 'platform' ? usersPlatform : undefined);
 }
 
 /** Takes over the seeds that the file names now; it may change with a signal or without one. */
-async function reread(s: Settings, file: string): Promise<never> {
+async function keepSeedsCurrent(s: Settings, file: string): Promise<never> {
   const clock = makeSystemClock(s.suspends);
   function again(): void {
-    const now = readWorded(platform, file);
+    const now = readPlatformSettings(usersPlatform, file);
     if (now.isRight()) s.seeds.splice(0, s.seeds.length, ...now.extract().seeds);
   }
   process.on('SIGHUP', again);
@@ -69,10 +69,10 @@
   }
 }
 
-async function run(
+async function runService(
   program: string,
   s: Settings,
-  start: Start,
+  start: StartService,
   dialect: PlatformAdapter | undefined,
 ): Promise<void> {
   const log = makeLogger(program, s.name);
@@ -91,7 +91,7 @@
     process.stderr.write(`${program}: ${describeError(f)}\n`);
     process.exit(1);
   }
-  const shutdown = makeShutdown(o.extract() as Running, process.exit);
+  const shutdown = makeShutdown(o.extract() as RunningService, process.exit);
   function broke(e: unknown): void {
     log.error({ step: 'run', peer: s.name }, String((e as Error)?.stack ?? e));
     process.exit(1);
--- a/src/programs/flags.ts
+++ b/src/programs/flags.ts
@@ -2,7 +2,7 @@
 import { Either } from 'purify-ts';
 import { readSettings, Settings, settingsFields } from '../shared/settings/settings';
 
-function flagOf(name: string): string {
+function flagName(name: string): string {
   return '--' + name.replace(/[A-Z]/g, lower);
 }
 
@@ -10,15 +10,15 @@
   return '-' + c.toLowerCase();
 }
 
-function list(v: string): string[] {
+function parseList(v: string): string[] {
   return v.split(',').filter(Boolean);
 }
 
-function isTrue(v: string): boolean {
+function parseBoolean(v: string): boolean {
   return v === 'true';
 }
 
-function badUse(e: { exitCode: number }): never {
+function exitOnUsageError(e: { exitCode: number }): never {
   process.exit(e.exitCode === 0 ? 0 : 2);
 }
 
@@ -35,12 +35,13 @@
     .option('--settings <file>', 'a JSON file of settings fields; flags win');
   for (const f of settingsFields()) {
     const text = f.sort === 'list' ? `${f.doc} (comma between)` : f.doc;
-    if (f.sort === 'list') cmd.option(`${flagOf(f.name)} <list>`, text, list);
-    else if (f.sort === 'number') cmd.option(`${flagOf(f.name)} <number>`, text, Number);
-    else if (f.sort === 'boolean') cmd.option(`${flagOf(f.name)} <true|false>`, text, isTrue);
-    else cmd.option(`${flagOf(f.name)} <value>`, text);
+    if (f.sort === 'list') cmd.option(`${flagName(f.name)} <list>`, text, parseList);
+    else if (f.sort === 'number') cmd.option(`${flagName(f.name)} <number>`, text, Number);
+    else if (f.sort === 'boolean')
+      cmd.option(`${flagName(f.name)} <true|false>`, text, parseBoolean);
+    else cmd.option(`${flagName(f.name)} <value>`, text);
   }
-  cmd.exitOverride(badUse);
+  cmd.exitOverride(exitOnUsageError);
   cmd.parse();
   const { settings: file, ...flags } = cmd.opts() as { settings?: string };
   return readSettings(file, flags, need);
--- a/src/programs/history-command.ts
+++ b/src/programs/history-command.ts
@@ -6,13 +6,13 @@
 import { checkHistory, sayVerdict } from '../shared/history/verdict';
 import { tryCatch } from '../shared/util/try-catch';
 
-const FINE = 0;
-const FINDINGS = 1;
-const BAD_USE = 2;
+const EXIT_OK = 0;
+const EXIT_FINDINGS = 1;
+const EXIT_USAGE = 2;
 
 /** How the program prints and fails. */
 export interface Printer {
-  say: (value: unknown, text: string) => void;
+  print: (value: unknown, text: string) => void;
   fail: (code: number, text: string) => never;
 }
 
@@ -23,21 +23,21 @@
     function read(): string {
       return readFileSync(file, 'utf8');
     }
-    if (fault) return printer.fail(BAD_USE, describeError(fault));
+    if (fault) return printer.fail(EXIT_USAGE, describeError(fault));
     const parsed = parseHistory(text);
     if (parsed.isLeft()) return sayFaults(parsed.extract());
     const calls = parsed.extract() as HistoryCall[];
     const verdict = checkHistory(calls);
-    printer.say(verdict, sayVerdict(verdict, calls));
-    process.exit(verdict.findings.length > 0 ? FINDINGS : FINE);
+    printer.print(verdict, sayVerdict(verdict, calls));
+    process.exit(verdict.findings.length > 0 ? EXIT_FINDINGS : EXIT_OK);
   }
 
   function sayFaults(faults: LineFault[]): never {
     function lineOf(fault: LineFault): string {
       return `line ${fault.line}: ${fault.why}`;
     }
-    printer.say({ faults }, faults.map(lineOf).join('\n'));
-    return process.exit(BAD_USE);
+    printer.print({ faults }, faults.map(lineOf).join('\n'));
+    return process.exit(EXIT_USAGE);
   }
 
   program
--- a/src/programs/plumhollow.ts
+++ b/src/programs/plumhollow.ts
@@ -10,20 +10,20 @@
 import { makeSystemNetwork } from '../shared/system/tcp-network';
 import { Intents } from '../shared/state/intents';
 import { VoterStatus, VotersStatus } from '../control/membership/voter-status';
-import { VERSION } from './common';
+import { VERSION } from './daemon';
 import { addHistoryCommands } from './history-command';
 
-const FINE = 0;
-const FINDINGS = 1;
-const BAD_USE = 2;
-const WITHIN = 8000;
+const EXIT_OK = 0;
+const EXIT_FINDINGS = 1;
+const EXIT_USAGE = 2;
+const REQUEST_TIMEOUT_MS = 8000;
 
-interface Got {
+interface HttpReply {
   status: number;
   body: unknown;
 }
 
-const wire: Network = makeSystemNetwork(2000);
+const network: Network = makeSystemNetwork(2000);
 const program = new Command('plumhollow')
   .description('Drives a plumhollow fleet.')
   .version(VERSION);
@@ -34,7 +34,7 @@
 );
 program.option('--json', 'print JSON');
 
-function say(value: unknown, text: string): void {
+function print(value: unknown, text: string): void {
   process.stdout.write((program.opts().json ? JSON.stringify(value, null, 2) : text) + '\n');
 }
 
@@ -44,15 +44,19 @@
 }
 
 /** Asks the controllers in turn until one returns; a change is asked of one only, for its fate may be unknown. */
-async function core(method: string, path: string, body?: unknown): Promise<Result<Got>> {
-  let last: Result<Got> | undefined;
+async function requestController(
+  method: string,
+  path: string,
+  body?: unknown,
+): Promise<Result<HttpReply>> {
+  let last: Result<HttpReply> | undefined;
   for (const at of String(program.opts().at).split(',')) {
-    const o = await requestJson(wire, {
+    const o = await requestJson(network, {
       address: at,
       method,
       path,
       body: body === undefined ? undefined : JSON.stringify(body),
-      timeoutMs: WITHIN,
+      timeoutMs: REQUEST_TIMEOUT_MS,
     });
     if (o.isRight()) return o;
     last = o;
@@ -61,9 +65,9 @@
   return last!;
 }
 
-async function need(method: string, path: string, body?: unknown): Promise<Got> {
-  const [f, r] = errorOrValue(await core(method, path, body));
-  if (f) return fail(FINDINGS, describeError(f));
+async function requestOrExit(method: string, path: string, body?: unknown): Promise<HttpReply> {
+  const [f, r] = errorOrValue(await requestController(method, path, body));
+  if (f) return fail(EXIT_FINDINGS, describeError(f));
   return r;
 }
 
@@ -72,21 +76,21 @@
   function read(): string {
     return readFileSync(file, 'utf8');
   }
-  if (f) return fail(BAD_USE, describeError(f));
+  if (f) return fail(EXIT_USAGE, describeError(f));
   const [g, raw] = errorOrValue(parseJson(text, 'read file', file));
   if (g) return { faults: [{ path: '', why: g.reason }] };
   const o = validateIntents(raw);
   return o.isLeft() ? { faults: o.extract() } : { doc: o.extract() as Intents, faults: [] };
 }
 
-function sayFaults(faults: IntentViolation[]): void {
+function printViolations(faults: IntentViolation[]): void {
   function line(x: IntentViolation): string {
     return `${x.path || '(file)'}: ${x.why}`;
   }
-  say({ faults }, faults.map(line).join('\n'));
+  print({ faults }, faults.map(line).join('\n'));
 }
 
-function sayChange(r: Got): void {
+function printChangeAndExit(r: HttpReply): void {
   const b = r.body as {
     change?: string;
     inEffect?: boolean;
@@ -98,39 +102,44 @@
   };
   if (r.status === 200 || r.status === 202) {
     const key = b.key ? `\nkey ${b.key}\nid ${b.id}` : '';
-    say(
+    print(
       b,
       `${b.inEffect ? 'in effect' : 'taken, not yet in effect everywhere'}: ${b.change}${key}`,
     );
-    return process.exit(FINE);
+    return process.exit(EXIT_OK);
   }
-  if (b.faults) sayFaults(b.faults);
+  if (b.faults) printViolations(b.faults);
   else
-    say(
+    print(
       b,
       `${b.error?.code}: ${b.error?.message}${r.status === 409 ? ` (revision ${b.revision} stands)` : ''}`,
     );
-  process.exit(FINDINGS);
+  process.exit(EXIT_FINDINGS);
 }
 
-async function current(): Promise<{ revision: number; intents: Intents }> {
-  return (await need('GET', '/v1/intents')).body as { revision: number; intents: Intents };
+async function readCurrentIntents(): Promise<{ revision: number; intents: Intents }> {
+  return (await requestOrExit('GET', '/v1/intents')).body as { revision: number; intents: Intents };
 }
 
 async function apply(file: string, o: { basedOn?: string; dryRun?: boolean }): Promise<void> {
   const { doc, faults } = readIntents(file);
   if (!doc) {
-    sayFaults(faults);
-    return process.exit(FINDINGS);
+    printViolations(faults);
+    return process.exit(EXIT_FINDINGS);
   }
-  const basedOn = o.basedOn === undefined ? (await current()).revision : Number(o.basedOn);
-  if (!Number.isInteger(basedOn)) return fail(BAD_USE, '--based-on takes a revision');
-  const r = await need('PUT', '/v1/intents', { basedOn, intents: doc, dryRun: o.dryRun === true });
+  const basedOn =
+    o.basedOn === undefined ? (await readCurrentIntents()).revision : Number(o.basedOn);
+  if (!Number.isInteger(basedOn)) return fail(EXIT_USAGE, '--based-on takes a revision');
+  const r = await requestOrExit('PUT', '/v1/intents', {
+    basedOn,
+    intents: doc,
+    dryRun: o.dryRun === true,
+  });
   if (o.dryRun && r.status === 200) {
-    say(r.body, `would be applied on revision ${basedOn}`);
-    return process.exit(FINE);
+    print(r.body, `would be applied on revision ${basedOn}`);
+    return process.exit(EXIT_OK);
   }
-  sayChange(r);
+  printChangeAndExit(r);
 }
 
 function diffLists(now: Intents, then: Intents): string[] {
@@ -150,44 +159,44 @@
 async function diff(file: string): Promise<void> {
   const { doc, faults } = readIntents(file);
   if (!doc) {
-    sayFaults(faults);
-    return process.exit(FINDINGS);
+    printViolations(faults);
+    return process.exit(EXIT_FINDINGS);
   }
-  const now = await current();
+  const now = await readCurrentIntents();
   const lines = diffLists(now.intents, doc);
-  say(
+  print(
     { revision: now.revision, changes: lines },
     lines.length > 0 ? lines.join('\n') : 'no difference',
   );
-  process.exit(lines.length > 0 ? FINDINGS : FINE);
+  process.exit(lines.length > 0 ? EXIT_FINDINGS : EXIT_OK);
 }
 
 async function check(file: string): Promise<void> {
   const { doc, faults } = readIntents(file);
   if (!doc) {
-    sayFaults(faults);
-    return process.exit(FINDINGS);
+    printViolations(faults);
+    return process.exit(EXIT_FINDINGS);
   }
-  const fleet = (await need('GET', '/v1/fleet')).body;
-  const keys = (await need('GET', '/v1/keys')).body;
-  const weights = (await need('GET', '/v1/weights')).body;
+  const fleet = (await requestOrExit('GET', '/v1/fleet')).body;
+  const keys = (await requestOrExit('GET', '/v1/keys')).body;
+  const weights = (await requestOrExit('GET', '/v1/weights')).body;
   const found = await compareIntentsWithFleet(
-    wire,
+    network,
     doc,
     fleet as never,
     keys as never,
     weights as never,
-    WITHIN / 4,
+    REQUEST_TIMEOUT_MS / 4,
   );
   function line(x: Finding): string {
     return `${x.path}: ${x.why}`;
   }
-  say({ findings: found }, found.length > 0 ? found.map(line).join('\n') : 'no findings');
-  process.exit(found.length > 0 ? FINDINGS : FINE);
+  print({ findings: found }, found.length > 0 ? found.map(line).join('\n') : 'no findings');
+  process.exit(found.length > 0 ? EXIT_FINDINGS : EXIT_OK);
 }
 
 /** The voters, whether they bear a loss and why not, and the joint set that is under way. */
-function standingLines(s: VotersStatus): string[] {
+function formatVoterStatus(s: VotersStatus): string[] {
   function voter(x: VoterStatus): string {
     const progress =
       x.behind === undefined ? 'no answer' : `epoch ${x.epoch}, ${x.behind} changes behind`;
@@ -206,7 +215,7 @@
 }
 
 async function status(): Promise<void> {
-  const b = (await need('GET', '/v1/fleet')).body as {
+  const b = (await requestOrExit('GET', '/v1/fleet')).body as {
     controller: string;
     majority: boolean;
     diskFit: boolean;
@@ -222,102 +231,107 @@
   function engine(e: { id: string; at: string; weights: string; leaving: boolean }): string {
     return `  ${e.id} ${e.at} ${e.weights}${e.leaving ? ' leaving' : ''}`;
   }
-  say(
+  print(
     b,
     [
       `seen by ${b.controller}: ${b.majority ? 'in a majority' : 'no majority'}, disk ${b.diskFit ? 'fit' : 'unfit'}, revision ${b.revision}`,
       `core ${b.live.join(' ')}`,
-      ...standingLines(b.standing),
+      ...formatVoterStatus(b.standing),
       'members',
       ...b.members.map(member),
       'engines',
       ...b.engines.map(engine),
     ].join('\n'),
   );
-  process.exit(b.majority ? FINE : FINDINGS);
+  process.exit(b.majority ? EXIT_OK : EXIT_FINDINGS);
 }
 
-async function show(path: string): Promise<void> {
-  const b = (await need('GET', path)).body;
-  say(b, JSON.stringify(b, null, 2));
-  process.exit(FINE);
+async function printPath(path: string): Promise<void> {
+  const b = (await requestOrExit('GET', path)).body;
+  print(b, JSON.stringify(b, null, 2));
+  process.exit(EXIT_OK);
 }
 
 async function keysAdd(tenant: string): Promise<void> {
-  sayChange(await need('POST', `/v1/keys/${encodeURIComponent(tenant)}`, {}));
+  printChangeAndExit(await requestOrExit('POST', `/v1/keys/${encodeURIComponent(tenant)}`, {}));
 }
 
 async function keysDrop(tenant: string, id: string): Promise<void> {
-  sayChange(
-    await need('DELETE', `/v1/keys/${encodeURIComponent(tenant)}/${encodeURIComponent(id)}`),
+  printChangeAndExit(
+    await requestOrExit(
+      'DELETE',
+      `/v1/keys/${encodeURIComponent(tenant)}/${encodeURIComponent(id)}`,
+    ),
   );
 }
 
 async function nameWeights(model: string, weights: string): Promise<void> {
-  sayChange(await need('PUT', `/v1/weights/${encodeURIComponent(model)}`, { weights }));
+  printChangeAndExit(
+    await requestOrExit('PUT', `/v1/weights/${encodeURIComponent(model)}`, { weights }),
+  );
 }
 
 async function addRule(tenant: string, label: string, service: string): Promise<void> {
-  const now = await current();
+  const now = await readCurrentIntents();
   const intents = { ...now.intents, rules: [...now.intents.rules, { tenant, label, service }] };
-  sayChange(await need('PUT', '/v1/intents', { basedOn: now.revision, intents }));
+  printChangeAndExit(await requestOrExit('PUT', '/v1/intents', { basedOn: now.revision, intents }));
 }
 
 async function dropRule(tenant: string, label: string): Promise<void> {
-  const now = await current();
+  const now = await readCurrentIntents();
   function other(r: { tenant: string; label: string }): boolean {
     return r.tenant !== tenant || r.label !== label;
   }
-  sayChange(
-    await need('PUT', '/v1/intents', {
+  printChangeAndExit(
+    await requestOrExit('PUT', '/v1/intents', {
       basedOn: now.revision,
       intents: { ...now.intents, rules: now.intents.rules.filter(other) },
     }),
   );
 }
 
-async function found(o: { without: string[] }): Promise<void> {
-  const r = await need('POST', '/v1/found', { without: o.without });
+async function bootstrapFleet(o: { without: string[] }): Promise<void> {
+  const r = await requestOrExit('POST', '/v1/found', { without: o.without });
   const b = r.body as { error?: { code: string; message: string } };
-  say(b, r.status === 200 ? 'the fleet is founded' : `${b.error?.code}: ${b.error?.message}`);
-  process.exit(r.status === 200 ? FINE : FINDINGS);
+  print(b, r.status === 200 ? 'the fleet is founded' : `${b.error?.code}: ${b.error?.message}`);
+  process.exit(r.status === 200 ? EXIT_OK : EXIT_FINDINGS);
 }
 
 async function replaceVoter(out: string, into: string): Promise<void> {
-  const r = await need('POST', '/v1/voters', { out, into });
+  const r = await requestOrExit('POST', '/v1/voters', { out, into });
   const b = r.body as { error?: { code: string; message: string } };
-  say(
+  print(
     b,
     r.status === 200
       ? `${into} votes in the place of ${out}`
       : `${b.error?.code}: ${b.error?.message}; repeat the command`,
   );
-  process.exit(r.status === 200 ? FINE : FINDINGS);
+  process.exit(r.status === 200 ? EXIT_OK : EXIT_FINDINGS);
 }
 
 function showIntents(): Promise<void> {
-  return show('/v1/intents');
+  return printPath('/v1/intents');
 }
 
 function showKeys(): Promise<void> {
-  return show('/v1/keys');
+  return printPath('/v1/keys');
 }
 
 function showWeights(): Promise<void> {
-  return show('/v1/weights');
+  return printPath('/v1/weights');
 }
 
 function showChange(change: string): Promise<void> {
-  return show(
+  return printPath(
     `/v1/changes/${encodeURIComponent(change).replaceAll('%7E', '~').replaceAll('%3A', ':')}`,
   );
 }
 
-function badUse(e: { exitCode: number }): never {
-  return process.exit(e.exitCode === 0 ? FINE : BAD_USE);
+function exitOnUsageError(e: { exitCode: number }): never {
+  return process.exit(e.exitCode === 0 ? EXIT_OK : EXIT_USAGE);
 }
 
-program.exitOverride(badUse);
+program.exitOverride(exitOnUsageError);
 program
   .command('apply <file>')
   .description('apply a whole intents file')
@@ -355,6 +369,6 @@
   .command('found')
   .description('found a blank fleet while a minority of the founders is not there')
   .requiredOption('--without <addresses...>', 'the founders that are not there (ip:port)')
-  .action(found);
-addHistoryCommands(program, { say, fail });
+  .action(bootstrapFleet);
+addHistoryCommands(program, { print, fail });
 void program.parseAsync();
--- a/src/programs/router.ts
+++ b/src/programs/router.ts
@@ -5,18 +5,18 @@
 import { OperationError, errorOrValue, Result } from '../shared/errors/errors';
 import { Ports } from '../shared/ports/ports';
 import { Settings } from '../shared/settings/settings';
-import { runDaemon } from './common';
-import { Running } from './running';
+import { runDaemon } from './daemon';
+import { RunningService } from './running-service';
 
 async function start(
   ports: Ports,
   s: Settings,
   dialect: PlatformAdapter | undefined,
-): Promise<Result<Running>> {
-  const [f, r] = errorOrValue<Running>(
+): Promise<Result<RunningService>> {
+  const [f, r] = errorOrValue<RunningService>(
     await (dialect ? startDialectRouter(ports, s, dialect) : startRouter(ports, s)),
   );
-  return f ? Left<OperationError, Running>(f) : Right({ drain: r.drain, stop: r.stop });
+  return f ? Left<OperationError, RunningService>(f) : Right({ drain: r.drain, stop: r.stop });
 }
 
 void runDaemon(
--- a/src/programs/running.ts
+++ b/src/programs/running-service.ts
@@ -1,5 +1,5 @@
 /** Something running that can drain and stop. */
-export interface Running {
+export interface RunningService {
   drain: () => Promise<void>;
   stop: () => Promise<void>;
 }
--- a/src/programs/shutdown.ts
+++ b/src/programs/shutdown.ts
@@ -1,13 +1,13 @@
 /** Ending a program in order: it drains at the first signal, stops, and exits. */
 
-import { Running } from './running';
+import { RunningService } from './running-service';
 
 /** The signals that end a program. */
 export type EndSignal = 'SIGTERM' | 'SIGINT';
 
 /** Makes the handler of the signals that end a program. A SIGTERM that comes again changes nothing, since several senders may want the same end; a SIGINT that comes again is a person's who won't wait. */
 export function makeShutdown(
-  running: Running,
+  running: RunningService,
   exit: (code: number) => void,
 ): (signal: EndSignal) => void {
   let isEnding = false;
--- a/test/control/deployment-memory.test.ts
+++ b/test/control/deployment-memory.test.ts
@@ -8,7 +8,7 @@
 import { DeploymentValue } from '../../src/shared/state/deployment';
 import { OperationError } from '../../src/shared/errors/errors';
 import { VersionedValue } from '../../src/shared/state/versions';
-import { platform } from '../../platform/dialect';
+import { usersPlatform } from '../../platform/adapter';
 import { documentOf } from './deploymentrig';
 
 /** How many orders releases before this one kept. */
@@ -26,14 +26,14 @@
 }
 
 function take(value: DeploymentValue | undefined, op: DeploymentOperation): DeploymentValue {
-  return computeDeployment(op, standing(value), platform).extract() as DeploymentValue;
+  return computeDeployment(op, standing(value), usersPlatform).extract() as DeploymentValue;
 }
 
 function refusal(
   value: DeploymentValue | undefined,
   op: DeploymentOperation,
 ): Partial<OperationError> {
-  const outcome = computeDeployment(op, standing(value), platform);
+  const outcome = computeDeployment(op, standing(value), usersPlatform);
   expect(outcome.isLeft()).toBe(true);
   const { code, certainty: sort } = outcome.extract() as OperationError;
   return { code, certainty: sort };
--- a/test/control/deployment-reading.test.ts
+++ b/test/control/deployment-reading.test.ts
@@ -1,4 +1,4 @@
-import { platform } from '../../platform/dialect';
+import { usersPlatform } from '../../platform/adapter';
 import { makeRouteTable, RouteTable } from '../../src/data/gateway/routes';
 import { Deployment } from '../../src/shared/state/deployment';
 
@@ -18,8 +18,11 @@
 
 const SERVICES = [{ name: 's' }, { name: 'kept', cacheStore: '10.0.0.1:1' }];
 
-function read(routes: unknown[], tenants: unknown[] = []): ReturnType<typeof platform.deployment> {
-  return platform.deployment({ revision: 1, routes, services: SERVICES, tenants });
+function read(
+  routes: unknown[],
+  tenants: unknown[] = [],
+): ReturnType<typeof usersPlatform.deployment> {
+  return usersPlatform.deployment({ revision: 1, routes, services: SERVICES, tenants });
 }
 
 function unchangedItems(): void {
--- a/test/control/deployment.test.ts
+++ b/test/control/deployment.test.ts
@@ -3,18 +3,18 @@
   computeDeployment,
 } from '../../src/control/configuration/deployment-change';
 import { DeploymentValue } from '../../src/shared/state/deployment';
-import { platform } from '../../platform/dialect';
+import { usersPlatform } from '../../platform/adapter';
 import { CoreRig, documentOf, Heard, makeCore, PATHS } from './deploymentrig';
 
 function codeOf(base: number, doc: unknown, stands?: DeploymentValue): string {
   const now = stands && { key: 'deployment', epoch: 1, by: 'a', number: 1, value: stands };
-  const o = computeDeployment({ kind: 'deployment', base, doc }, now, platform);
+  const o = computeDeployment({ kind: 'deployment', base, doc }, now, usersPlatform);
   return o.isLeft() ? String((o.extract() as { code?: string }).code) : 'taken';
 }
 
 function changeCode(base: number, change: unknown, stands?: DeploymentValue): string {
   const now = stands && { key: 'deployment', epoch: 1, by: 'a', number: 1, value: stands };
-  const o = computeDeployment({ kind: 'deployment', base, change }, now, platform);
+  const o = computeDeployment({ kind: 'deployment', base, change }, now, usersPlatform);
   return o.isLeft() ? String((o.extract() as { code?: string }).code) : 'taken';
 }
 
@@ -22,7 +22,7 @@
   return computeDeployment(
     { kind: 'deployment', base: 0, doc },
     undefined,
-    platform,
+    usersPlatform,
   ).extract() as DeploymentValue;
 }
 
@@ -91,7 +91,7 @@
   const o = computeDeployment(
     { kind: 'deployment', base: 5, change },
     { key: 'deployment', epoch: 1, by: 'a', number: 1, value: stands },
-    platform,
+    usersPlatform,
   );
   const next = o.extract() as DeploymentValue;
   expect(next.doc).toEqual(documentOf(9, ['/b/']));
--- a/test/control/deploymentrig.ts
+++ b/test/control/deploymentrig.ts
@@ -4,7 +4,7 @@
 import { errorOrValue } from '../../src/shared/errors/errors';
 import { requestJson } from '../../src/shared/util/http-json';
 import { defaultSettings, Settings } from '../../src/shared/settings/settings';
-import { platform } from '../../platform/dialect';
+import { usersPlatform } from '../../platform/adapter';
 import { makeNet, SimNet } from '../../tools/sim/simwire';
 import { makeWorld, Proc, World } from '../../tools/sim/simworld';
 
@@ -51,7 +51,7 @@
 }
 
 /** The paths that operators call. */
-export const PATHS = platform.operators.paths;
+export const PATHS = usersPlatform.operators.paths;
 
 /** Operators go on to another controller after this long. */
 export const SILENCE = 1000;
@@ -127,14 +127,14 @@
         await startController(
           ports,
           { ...settingsOf(p.name, p.ip, seeds, !started.has(p.name)), ...ways.told },
-          platform,
+          usersPlatform,
         ),
       );
       started.add(p.name);
       if (f) return w.trace(`${p.name} did not start: ${f.reason}`);
       controllers.set(p.name, c);
-      await serveDeployment(c, ports, platform);
-      if (ways.duties) startBackgroundTasks(c, ports, platform);
+      await serveDeployment(c, ports, usersPlatform);
+      if (ways.duties) startBackgroundTasks(c, ports, usersPlatform);
     }
   }
 
--- a/test/control/orders.test.ts
+++ b/test/control/orders.test.ts
@@ -1,7 +1,7 @@
-import { platform } from '../../platform/dialect';
+import { usersPlatform } from '../../platform/adapter';
 import { OrderReply } from '../../src/shared/platform-adapter/platform-adapter';
 
-const { order, report } = platform.engines;
+const { order, report } = usersPlatform.engines;
 
 function words(): void {
   const w = order.ask({
--- a/test/control/rolloutdesk.ts
+++ b/test/control/rolloutdesk.ts
@@ -1,4 +1,4 @@
-import { platform } from '../../platform/dialect';
+import { usersPlatform } from '../../platform/adapter';
 import { Controller, startController } from '../../src/control/controller';
 import { runWeightsRollout } from '../../src/control/singletons/weights-rollout';
 import { sendJson, readJsonBody } from '../../src/shared/transport/http-handlers';
@@ -128,7 +128,7 @@
       const [f, c] = errorOrValue(await startController(ports, settings(n)));
       if (f) return;
       controllers.set(n, c);
-      void runWeightsRollout(c, ports, platform.engines);
+      void runWeightsRollout(c, ports, usersPlatform.engines);
     }
   }
 
--- a/test/data/gatewayrig.ts
+++ b/test/data/gatewayrig.ts
@@ -1,7 +1,7 @@
 import nodeHttp from 'node:http';
 import net from 'node:net';
 import { Left, Right } from 'purify-ts';
-import { platform } from '../../platform/dialect';
+import { usersPlatform } from '../../platform/adapter';
 import { Gateway, startGateway } from '../../src/data/gateway/gateway';
 import { Deployment, HttpRoute } from '../../src/shared/state/deployment';
 import { Follower } from '../../src/shared/replication/follower';
@@ -197,7 +197,7 @@
   return `127.0.0.1:${port}`;
 }
 
-function readDeployment(doc: unknown): ReturnType<typeof platform.deployment> {
+function readDeployment(doc: unknown): ReturnType<typeof usersPlatform.deployment> {
   return doc === undefined ? Left(['nothing']) : Right(doc as Deployment);
 }
 
@@ -283,7 +283,7 @@
     rawHttp: { ...http, connect },
   } as unknown as Ports;
   const gateway = (
-    await startGateway(ports, settings, follower, { ...platform, deployment: readDeployment })
+    await startGateway(ports, settings, follower, { ...usersPlatform, deployment: readDeployment })
   ).unsafeCoerce();
   async function close(): Promise<void> {
     await gateway.stop();
--- a/test/platform/platform-feeds.test.ts
+++ b/test/platform/platform-feeds.test.ts
@@ -1,4 +1,4 @@
-import { feeds } from '../../platform/feeds';
+import { feeds } from '../../platform/cache-events';
 
 function asks(): void {
   expect(feeds.feed.ask(118, 800)).toEqual({
--- a/test/platform/settings-file.test.ts
+++ b/test/platform/settings-file.test.ts
@@ -3,7 +3,7 @@
 import net from 'node:net';
 import { tmpdir } from 'node:os';
 import { join } from 'node:path';
-import { platform } from '../../platform/dialect';
+import { usersPlatform } from '../../platform/adapter';
 import { Settings } from '../../src/shared/settings/settings';
 
 const children: ChildProcess[] = [];
@@ -47,7 +47,7 @@
 }
 
 function read(): void {
-  const s = platform
+  const s = usersPlatform
     .settings(fileOf('10.1.0.39', 7640).replace(',0]', ',7655]'))
     .extract() as Settings;
   expect(s).toMatchObject({
@@ -76,7 +76,7 @@
     bootstrap: true,
     quorumMember: true,
   });
-  const router = platform
+  const router = usersPlatform
     .settings(
       fileOf('10.1.0.39', 7640).replace('"indexer"', '"router"') +
         '[bindAddresses]\nfrontend = "10.1.0.36:8167"\nreadiness = "10.1.0.36:8162"\n',
@@ -87,8 +87,8 @@
     http: '10.1.0.36:8167',
     readiness: '10.1.0.36:8162',
   });
-  expect(platform.settings(fileOf('10.1.0.39', 7640, 'unknown = 3')).isRight()).toBe(true);
-  const faults = platform
+  expect(usersPlatform.settings(fileOf('10.1.0.39', 7640, 'unknown = 3')).isRight()).toBe(true);
+  const faults = usersPlatform
     .settings(
       fileOf('here', 7640)
         .replace('contactMs = 60000', 'contactMs = "soon"')
@@ -97,7 +97,7 @@
     .extract() as string[];
   expect(faults.join('\n')).toMatch(/guarantees.contactMs: .*\n?(.*\n)*platformApi.ratePerS: /);
   expect(faults.join('\n')).toMatch(/seeds: must be ip:port/);
-  expect(platform.settings('nodeName = ').isLeft()).toBe(true);
+  expect(usersPlatform.settings('nodeName = ').isLeft()).toBe(true);
 }
 
 /** Listens for one dial. */
--- a/tools/capacity/role.ts
+++ b/tools/capacity/role.ts
@@ -1,4 +1,4 @@
-import { platform } from '../../platform/dialect';
+import { usersPlatform } from '../../platform/adapter';
 import { startController, Controller } from '../../src/control/controller';
 import { serveOperators } from '../../src/control/api/operator-api';
 import { serveDeployment } from '../../src/control/api/deployment-api';
@@ -56,7 +56,7 @@
 }
 
 function dialectOf(name: string): PlatformAdapter | undefined {
-  return name === 'platform' ? platform : undefined;
+  return name === 'platform' ? usersPlatform : undefined;
 }
 
 type More = () => Record<string, number>;
@@ -72,7 +72,7 @@
   if (f) return broke(f.reason);
   const [g] = errorOrValue(
     await (s.dialect === 'platform'
-      ? serveDeployment(c, ports, platform)
+      ? serveDeployment(c, ports, usersPlatform)
       : serveOperators(c, ports)),
   );
   if (g) return broke(g.reason);
@@ -176,7 +176,7 @@
         await startDialectRouter(
           portsFor(s.name, s.data, timeLimitsOf(s).connectTimeoutMs),
           s,
-          platform,
+          usersPlatform,
         ),
       );
       if (g) return broke(g.reason);
--- a/tools/sim/feedscene.ts
+++ b/tools/sim/feedscene.ts
@@ -1,5 +1,5 @@
 import { Right } from 'purify-ts';
-import { platform } from '../../platform/dialect';
+import { usersPlatform } from '../../platform/adapter';
 import { Indexer, startIndexer } from '../../src/index/indexer';
 import { overlapOf } from '../../src/index/overlap';
 import { PlatformAdapter } from '../../src/shared/platform-adapter/platform-adapter';
@@ -42,7 +42,7 @@
   return `127.10.2.${n}:80`;
 }
 
-const dialect: PlatformAdapter = { ...platform, deployment };
+const dialect: PlatformAdapter = { ...usersPlatform, deployment };
 
 function deployment(doc: unknown): ReturnType<PlatformAdapter['deployment']> {
   return Right(doc as never);
--- a/tools/sim/news/rig.ts
+++ b/tools/sim/news/rig.ts
@@ -15,7 +15,7 @@
 import { defaultSettings, Settings } from '../../../src/shared/settings/settings';
 import { CONTROL_KEYS } from '../../../src/shared/state/control-keys';
 import { Member } from '../../../src/shared/state/members';
-import { platform } from '../../../platform/dialect';
+import { usersPlatform } from '../../../platform/adapter';
 import { makeProcessors } from '../processors';
 import { makeNet, SimNet } from '../simwire';
 import { makeWorld, Proc, World } from '../simworld';
@@ -187,7 +187,7 @@
 
   async function startCore(proc: Proc): Promise<void> {
     const [fault, controller] = errorOrValue(
-      await startController(net.ports(proc), settingsOf(proc), platform),
+      await startController(net.ports(proc), settingsOf(proc), usersPlatform),
     );
     if (fault) world.trace(`${proc.name} did not start: ${fault.reason}`);
     else controllers.set(proc.name, controller);
--- a/tools/sim/worst/core.ts
+++ b/tools/sim/worst/core.ts
@@ -6,7 +6,7 @@
 import { allVoters } from '../../../src/shared/state/voter-set';
 import { CONTROL_KEYS } from '../../../src/shared/state/control-keys';
 import { defaultSettings, Settings } from '../../../src/shared/settings/settings';
-import { platform } from '../../../platform/dialect';
+import { usersPlatform } from '../../../platform/adapter';
 import { makeNet, SimNet } from '../simwire';
 import { makeWorld, Proc, World } from '../simworld';
 
@@ -128,13 +128,15 @@
       const life = proc.life;
       const ports = net.ports(proc);
       const settings = settingsOf(proc);
-      const [fault, controller] = errorOrValue(await startController(ports, settings, platform));
+      const [fault, controller] = errorOrValue(
+        await startController(ports, settings, usersPlatform),
+      );
       if (proc.life !== life) return;
       if (fault) return world.trace(`${proc.name} did not start: ${fault.reason}`);
       ways.spoil?.(controller);
       member.controller = controller;
-      await serveDeployment(controller, ports, platform);
-      startBackgroundTasks(controller, ports, platform);
+      await serveDeployment(controller, ports, usersPlatform);
+      startBackgroundTasks(controller, ports, usersPlatform);
     }
   }
 
--- a/tools/sim/worst/orders.ts
+++ b/tools/sim/worst/orders.ts
@@ -1,7 +1,7 @@
 /** What operators of worst days ask for. */
 import { CallKind } from '../../../src/shared/history/calls';
 import { RandomSource } from '../../../src/shared/ports/random';
-import { platform } from '../../../platform/dialect';
+import { usersPlatform } from '../../../platform/adapter';
 import {
   applyRouteChange,
   documentOf,
@@ -37,7 +37,7 @@
 /** The models whose weights are named. */
 export const MODELS = ['model-a', 'model-b'] as const;
 
-const { paths } = platform.operators;
+const { paths } = usersPlatform.operators;
 const ROUTE_NAMES = ['r0', 'r1', 'r2', 'r3', 'r4', 'r5'];
 const NAMED_SHARE = 0.5;
 const INVALID_SHARE = 0.03;
--- a/tools/sim/worst/storm.ts
+++ b/tools/sim/worst/storm.ts
@@ -2,7 +2,7 @@
 import { CallAnswer, RefusalReason } from '../../../src/shared/history/calls';
 import { errorOrValue } from '../../../src/shared/errors/errors';
 import { requestJson } from '../../../src/shared/util/http-json';
-import { platform } from '../../../platform/dialect';
+import { usersPlatform } from '../../../platform/adapter';
 import { HistoryRecorder } from '../../history/record';
 import { httpOf, Member, WorstCore } from './core';
 import { hashOf, WorstDocument } from './documents';
@@ -64,7 +64,7 @@
 const STATUS_CONFLICT = 412;
 const STATUS_INVALID = 400;
 
-const { paths, baseHeader } = { ...platform.operators, baseHeader: 'plumhollow-base-version' };
+const { paths, baseHeader } = { ...usersPlatform.operators, baseHeader: 'plumhollow-base-version' };
 
 /** Makes the operators of a day. */
 export function makeStorm(
