--- a/src/programs/controller.ts
+++ b/src/programs/controller.ts
@@ -1,12 +1,16 @@
 #!/usr/bin/env node
+/**
+ * The controller daemon.
+ */
+
 import { Left, Right } from 'purify-ts';
-import { startController } from '../control/controller';
-import { serveOperators } from '../control/api/operator-api';
+import { drainCalls, countCalls } from '../control/api/call-draining';
 import { serveDeployment } from '../control/api/deployment-api';
+import { serveOperators } from '../control/api/operator-api';
+import { startController } from '../control/controller';
 import { startBackgroundTasks } from '../control/singletons/background-tasks';
-import { countCalls, drainCalls } from '../control/api/call-draining';
+import { errorOrValue, OperationError, Result } from '../shared/errors/errors';
 import { PlatformAdapter } from '../shared/platform-adapter/platform-adapter';
-import { OperationError, errorOrValue, Result } from '../shared/errors/errors';
 import { Ports } from '../shared/ports/ports';
 import { Settings } from '../shared/settings/settings';
 import { runDaemon } from './daemon';
@@ -14,33 +18,32 @@
 
 async function start(
   ports: Ports,
-  s: Settings,
-  dialect: PlatformAdapter | undefined,
+  settings: Settings,
+  adapter: PlatformAdapter | undefined,
 ): Promise<Result<RunningService>> {
-  const [f, c] = errorOrValue(await startController(ports, s, dialect));
-  if (f) return Left<OperationError, RunningService>(f);
+  const [notStarted, controller] = errorOrValue(await startController(ports, settings, adapter));
+  if (notStarted) return Left<OperationError, RunningService>(notStarted);
   const calls = countCalls(ports.network);
-  const counted: Ports = { ...ports, network: calls.network };
-  const [g, listening] = errorOrValue(
-    await (dialect ? serveDeployment(c, counted, dialect) : serveOperators(c, counted)),
+  const countedPorts: Ports = { ...ports, network: calls.network };
+  const [notListening, listener] = errorOrValue(
+    await (adapter
+      ? serveDeployment(controller, countedPorts, adapter)
+      : serveOperators(controller, countedPorts)),
   );
-  if (g) return Left<OperationError, RunningService>(g);
-  startBackgroundTasks(c, ports, dialect);
+  if (notListening) return Left<OperationError, RunningService>(notListening);
+  startBackgroundTasks(controller, ports, adapter);
+  return Right({ drain, stop: controller.stop });
+
   async function drain(): Promise<void> {
-    await c!.drain();
-    await drainCalls({
-      clock: ports.clock,
-      timeLimits: c!.timeLimits,
-      listener: listening!,
-      calls,
-    });
+    const { timeLimits } = controller!;
+    await controller!.drain();
+    await drainCalls({ clock: ports.clock, timeLimits, listener: listener!, calls });
   }
-  return Right({ drain, stop: c.stop });
 }
 
-void runDaemon(
-  'plumhollow-controller',
-  'Holds leases and control keys, pushes changes, keeps duties.',
-  ['name', 'wire', 'http', 'seeds'],
+void runDaemon({
+  program: 'plumhollow-controller',
+  description: 'Holds leases and control keys, pushes changes, keeps duties.',
+  requiredSettings: ['name', 'wire', 'http', 'seeds'],
   start,
-);
+});
--- a/src/programs/daemon.ts
+++ b/src/programs/daemon.ts
@@ -1,104 +1,129 @@
+/**
+ * What all daemons share: settings, ports, start, and an orderly end.
+ */
+
 import { readFileSync } from 'node:fs';
 import { Either, Left } from 'purify-ts';
 import { usersPlatform } from '../../platform/adapter';
+import { describeError, errorOrValue, OperationError, Result } from '../shared/errors/errors';
 import { PlatformAdapter } from '../shared/platform-adapter/platform-adapter';
-import { OperationError, errorOrValue, describeError } from '../shared/errors/errors';
-import { tryCatch } from '../shared/util/try-catch';
+import { Logger } from '../shared/ports/logger';
 import { Ports } from '../shared/ports/ports';
-import { makeSystemClock } from '../shared/system/system-clock';
-import { makeSystemRandom } from '../shared/system/system-random';
+import { Settings } from '../shared/settings/settings';
+import { timeLimitsOf } from '../shared/settings/time-limits';
 import { makeFileDisk } from '../shared/system/file-disk';
 import { makeLogger } from '../shared/system/logger';
 import { makeRawHttpNetwork } from '../shared/system/raw-http';
+import { makeSystemClock } from '../shared/system/system-clock';
 import { makeSystemNetwork } from '../shared/system/tcp-network';
-import { Settings } from '../shared/settings/settings';
-import { timeLimitsOf } from '../shared/settings/time-limits';
+import { makeSystemRandom } from '../shared/system/system-random';
+import { tryCatch } from '../shared/util/try-catch';
 import { RunningService } from './running-service';
 import { makeShutdown } from './shutdown';
 
 /** The version that all programs tell. */
 export const VERSION = '0.1.0';
 
-/** Starts a program's library; without a dialect it speaks our own manner. */
+const EXIT_FAILED = 1;
+const EXIT_USAGE = 2;
+
+/** Starts a program's service; without an adapter it speaks our own protocols. */
 export type StartService = (
   ports: Ports,
-  s: Settings,
-  dialect: PlatformAdapter | undefined,
-) => Promise<Either<OperationError, RunningService>>;
+  settings: Settings,
+  adapter: PlatformAdapter | undefined,
+) => Promise<Result<RunningService>>;
 
-/** Reads a settings file that is worded in a dialect. */
-function readPlatformSettings(dialect: PlatformAdapter, file: string): Either<string[], Settings> {
-  const [f, text] = errorOrValue(tryCatch('read settings', file, read));
-  function read(): string {
-    return readFileSync(file, 'utf8');
-  }
-  return f ? Left([describeError(f)]) : dialect.settings(text);
+/** A daemon: what it is called, and what it needs. */
+export interface DaemonOptions {
+  program: string;
+  /** One sentence for `--help`. */
+  description: string;
+  /** The settings that must be given. */
+  requiredSettings: string[];
+  start: StartService;
 }
 
-/** Runs a daemon: settings, ports, start, drain at SIGTERM or SIGINT. The platform names its settings file in a variable; otherwise flags and a file of our own are read. */
-export async function runDaemon(
-  program: string,
-  doc: string,
-  need: string[],
-  start: StartService,
-): Promise<void> {
-  const file = process.env.PLUMHOLLOW_SETTINGS;
-  const read = file
-    ? readPlatformSettings(usersPlatform, file)
-    : (await import('./flags')).readFlags(program, doc, VERSION, need);
+/** Runs a daemon until it is told to end. Its settings come from the file that the platform names in `PLUMHOLLOW_SETTINGS`, or from flags and a file of our own. */
+export async function runDaemon(options: DaemonOptions): Promise<void> {
+  const { program } = options;
+  const platformFile = process.env.PLUMHOLLOW_SETTINGS;
+  const read = await readDaemonSettings(options, platformFile);
   if (read.isLeft()) {
-    for (const f of read.extract()) process.stderr.write(`${program}: ${f}\n`);
-    process.exit(2);
+    for (const violation of read.extract()) process.stderr.write(`${program}: ${violation}\n`);
+    process.exit(EXIT_USAGE);
   }
-  const s = read.extract() as Settings;
-  if (file) void keepSeedsCurrent(s, file);
-  await runService(program, s, start, s.dialect === 'platform' ? usersPlatform : undefined);
+  const settings = read.extract() as Settings;
+  if (platformFile) void keepSeedsCurrent(settings, platformFile);
+  await runService(options, settings);
 }
 
-/** Takes over the seeds that the file names now; it may change with a signal or without one. */
-async function keepSeedsCurrent(s: Settings, file: string): Promise<never> {
-  const clock = makeSystemClock(s.suspends);
-  function again(): void {
-    const now = readPlatformSettings(usersPlatform, file);
-    if (now.isRight()) s.seeds.splice(0, s.seeds.length, ...now.extract().seeds);
+async function readDaemonSettings(
+  { program, description, requiredSettings }: DaemonOptions,
+  platformFile: string | undefined,
+): Promise<Either<string[], Settings>> {
+  if (platformFile) return readPlatformSettings(platformFile);
+  // The platform's processes have no flags, and do not load the library that reads them.
+  const { readFlags } = await import('./flags');
+  return readFlags(program, description, VERSION, requiredSettings);
+}
+
+function readPlatformSettings(file: string): Either<string[], Settings> {
+  function readText(): string {
+    return readFileSync(file, 'utf8');
   }
-  process.on('SIGHUP', again);
+  const [error, text] = errorOrValue(tryCatch('read settings', file, readText));
+  return error ? Left([describeError(error)]) : usersPlatform.settings(text);
+}
+
+/** Takes over the seeds that the platform's file names; it may change with a SIGHUP or without one. */
+async function keepSeedsCurrent(settings: Settings, file: string): Promise<never> {
+  const clock = makeSystemClock(settings.suspends);
+  function reread(): void {
+    const current = readPlatformSettings(file);
+    if (current.isLeft()) return;
+    const { seeds } = current.extract() as Settings;
+    settings.seeds.splice(0, settings.seeds.length, ...seeds);
+  }
+  process.on('SIGHUP', reread);
   for (;;) {
-    await clock.sleep(s.contactMs);
-    again();
+    await clock.sleep(settings.contactMs);
+    reread();
   }
 }
 
-async function runService(
-  program: string,
-  s: Settings,
-  start: StartService,
-  dialect: PlatformAdapter | undefined,
-): Promise<void> {
-  const log = makeLogger(program, s.name);
-  const ports: Ports = {
-    clock: makeSystemClock(s.suspends),
+function makeSystemPorts(settings: Settings, logger: Logger): Ports {
+  return {
+    clock: makeSystemClock(settings.suspends),
     random: makeSystemRandom(),
-    disk: makeFileDisk(s.data),
-    network: makeSystemNetwork(timeLimitsOf(s).connectTimeoutMs, s.bind),
-    logger: log,
-    rawHttp: makeRawHttpNetwork(s.bind),
+    disk: makeFileDisk(settings.data),
+    network: makeSystemNetwork(timeLimitsOf(settings).connectTimeoutMs, settings.bind),
+    logger,
+    rawHttp: makeRawHttpNetwork(settings.bind),
   };
-  const o = await start(ports, s, dialect);
-  if (o.isLeft()) {
-    const f = o.extract();
-    log.error({ step: f.step, peer: f.peer }, f.reason);
-    process.stderr.write(`${program}: ${describeError(f)}\n`);
-    process.exit(1);
+}
+
+async function runService(options: DaemonOptions, settings: Settings): Promise<void> {
+  const { program, start } = options;
+  const logger = makeLogger(program, settings.name);
+  const ports = makeSystemPorts(settings, logger);
+  const adapter = settings.dialect === 'platform' ? usersPlatform : undefined;
+  const started = await start(ports, settings, adapter);
+  if (started.isLeft()) {
+    const { step, peer, reason } = started.extract() as OperationError;
+    logger.error({ event: 'daemon.start-failed', step, peer }, reason);
+    process.stderr.write(`${program}: ${describeError(started.extract() as OperationError)}\n`);
+    process.exit(EXIT_FAILED);
   }
-  const shutdown = makeShutdown(o.extract() as RunningService, process.exit);
-  function broke(e: unknown): void {
-    log.error({ step: 'run', peer: s.name }, String((e as Error)?.stack ?? e));
-    process.exit(1);
+  const shutdown = makeShutdown(started.extract() as RunningService, process.exit);
+  function crash(error: unknown): void {
+    const text = String((error as Error | undefined)?.stack ?? error);
+    logger.error({ event: 'daemon.crashed', peer: settings.name }, text);
+    process.exit(EXIT_FAILED);
   }
   process.on('SIGTERM', shutdown);
   process.on('SIGINT', shutdown);
-  process.on('uncaughtException', broke);
-  process.on('unhandledRejection', broke);
-  process.stdout.write(`${program} ${s.name} is up\n`);
+  process.on('uncaughtException', crash);
+  process.on('unhandledRejection', crash);
+  process.stdout.write(`${program} ${settings.name} is up\n`);
 }
--- a/src/programs/flags.ts
+++ b/src/programs/flags.ts
@@ -1,48 +1,66 @@
+/**
+ * A daemon's settings from its command line, and from the file that `--settings` names.
+ */
+
 import { Command } from 'commander';
 import { Either } from 'purify-ts';
-import { readSettings, Settings, settingsFields } from '../shared/settings/settings';
+import { readSettings, Settings, SettingsField, settingsFields } from '../shared/settings/settings';
+
+const EXIT_OK = 0;
+const EXIT_USAGE = 2;
+
+/** The flag of a setting: `graceMs` is set by `--grace-ms`. */
+function flagName(setting: string): string {
+  return '--' + setting.replace(/[A-Z]/g, withHyphen);
+}
 
-function flagName(name: string): string {
-  return '--' + name.replace(/[A-Z]/g, lower);
+function withHyphen(letter: string): string {
+  return '-' + letter.toLowerCase();
 }
 
-function lower(c: string): string {
-  return '-' + c.toLowerCase();
+function parseList(text: string): string[] {
+  return text.split(',').filter(Boolean);
 }
 
-function parseList(v: string): string[] {
-  return v.split(',').filter(Boolean);
+function parseBoolean(text: string): boolean {
+  return text === 'true';
 }
 
-function parseBoolean(v: string): boolean {
-  return v === 'true';
+function exitOnUsageError(error: { exitCode: number }): never {
+  process.exit(error.exitCode === 0 ? EXIT_OK : EXIT_USAGE);
 }
 
-function exitOnUsageError(e: { exitCode: number }): never {
-  process.exit(e.exitCode === 0 ? 0 : 2);
+function addFlag(command: Command, { name, doc, sort }: SettingsField): void {
+  const flag = flagName(name);
+  switch (sort) {
+    case 'list':
+      command.option(`${flag} <list>`, `${doc} (comma between)`, parseList);
+      return;
+    case 'number':
+      command.option(`${flag} <number>`, doc, Number);
+      return;
+    case 'boolean':
+      command.option(`${flag} <true|false>`, doc, parseBoolean);
+      return;
+    case 'string':
+      command.option(`${flag} <value>`, doc);
+  }
 }
 
-/** Reads a daemon's settings from its flags and the file that they name. */
+/** Reads a daemon's settings from its flags and the file that they name; flags win. Every violation is listed. */
 export function readFlags(
   program: string,
-  doc: string,
+  description: string,
   version: string,
-  need: string[],
+  requiredSettings: string[],
 ): Either<string[], Settings> {
-  const cmd = new Command(program)
-    .description(doc)
+  const command = new Command(program)
+    .description(description)
     .version(version)
     .option('--settings <file>', 'a JSON file of settings fields; flags win');
-  for (const f of settingsFields()) {
-    const text = f.sort === 'list' ? `${f.doc} (comma between)` : f.doc;
-    if (f.sort === 'list') cmd.option(`${flagName(f.name)} <list>`, text, parseList);
-    else if (f.sort === 'number') cmd.option(`${flagName(f.name)} <number>`, text, Number);
-    else if (f.sort === 'boolean')
-      cmd.option(`${flagName(f.name)} <true|false>`, text, parseBoolean);
-    else cmd.option(`${flagName(f.name)} <value>`, text);
-  }
-  cmd.exitOverride(exitOnUsageError);
-  cmd.parse();
-  const { settings: file, ...flags } = cmd.opts() as { settings?: string };
-  return readSettings(file, flags, need);
+  for (const field of settingsFields()) addFlag(command, field);
+  command.exitOverride(exitOnUsageError);
+  command.parse();
+  const { settings: file, ...flags } = command.opts<{ settings?: string }>();
+  return readSettings(file, flags, requiredSettings);
 }
--- a/src/programs/router.ts
+++ b/src/programs/router.ts
@@ -1,27 +1,34 @@
 #!/usr/bin/env node
-import { Left, Right } from 'purify-ts';
+/**
+ * The router daemon.
+ */
+
 import { startDialectRouter, startRouter } from '../data/router';
+import { Result } from '../shared/errors/errors';
 import { PlatformAdapter } from '../shared/platform-adapter/platform-adapter';
-import { OperationError, errorOrValue, Result } from '../shared/errors/errors';
 import { Ports } from '../shared/ports/ports';
 import { Settings } from '../shared/settings/settings';
 import { runDaemon } from './daemon';
 import { RunningService } from './running-service';
 
+function toService({ drain, stop }: RunningService): RunningService {
+  return { drain, stop };
+}
+
 async function start(
   ports: Ports,
-  s: Settings,
-  dialect: PlatformAdapter | undefined,
+  settings: Settings,
+  adapter: PlatformAdapter | undefined,
 ): Promise<Result<RunningService>> {
-  const [f, r] = errorOrValue<RunningService>(
-    await (dialect ? startDialectRouter(ports, s, dialect) : startRouter(ports, s)),
-  );
-  return f ? Left<OperationError, RunningService>(f) : Right({ drain: r.drain, stop: r.stop });
+  const started: Result<RunningService> = await (adapter
+    ? startDialectRouter(ports, settings, adapter)
+    : startRouter(ports, settings));
+  return started.map(toService);
 }
 
-void runDaemon(
-  'plumhollow-router',
-  "Takes callers' requests, places them and gives the pieces back.",
-  ['name', 'wire', 'http', 'seeds'],
+void runDaemon({
+  program: 'plumhollow-router',
+  description: "Takes callers' requests, places them and gives the pieces back.",
+  requiredSettings: ['name', 'wire', 'http', 'seeds'],
   start,
-);
+});
--- a/src/programs/shutdown.ts
+++ b/src/programs/shutdown.ts
@@ -1,29 +1,34 @@
-/** Ending a program in order: it drains at the first signal, stops, and exits. */
+/**
+ * Ending a program in order: it drains at the first signal, stops, and exits.
+ */
 
 import { RunningService } from './running-service';
 
 /** The signals that end a program. */
 export type EndSignal = 'SIGTERM' | 'SIGINT';
 
-/** Makes the handler of the signals that end a program. A SIGTERM that comes again changes nothing, since several senders may want the same end; a SIGINT that comes again is a person's who won't wait. */
+/**
+ * Makes the handler of the signals that end a program. A SIGTERM that comes again changes nothing, since several senders
+ * may want the same end; a SIGINT that comes again is a person's who won't wait.
+ */
 export function makeShutdown(
-  running: RunningService,
+  service: RunningService,
   exit: (code: number) => void,
 ): (signal: EndSignal) => void {
   let isEnding = false;
 
   async function end(): Promise<void> {
-    await running.drain();
-    await running.stop();
+    await service.drain();
+    await service.stop();
     exit(0);
   }
 
-  function signalled(signal: EndSignal): void {
+  function onSignal(signal: EndSignal): void {
     if (isEnding && signal === 'SIGINT') return exit(1);
     if (isEnding) return;
     isEnding = true;
     void end();
   }
 
-  return signalled;
+  return onSignal;
 }
