--- a/test/control/cut-off.test.ts
+++ b/test/control/cut-off.test.ts
@@ -2,7 +2,7 @@
 import { Settings } from '../../src/shared/settings/settings';
 import { IncomingRequest } from '../../src/shared/ports/network';
 import { CONTROL_KEYS } from '../../src/shared/state/control-keys';
-import { Proc } from '../../tools/sim/simworld';
+import { Proc } from '../../tools/sim/process';
 import { CoreRig, documentOf, Heard, makeCore, PATHS } from './deploymentrig';
 
 const PLATFORM = '10.9.0.2';
--- a/test/control/deployment-histories.test.ts
+++ b/test/control/deployment-histories.test.ts
@@ -3,7 +3,7 @@
 import { Clock } from '../../src/shared/ports/clock';
 import { RandomSource } from '../../src/shared/ports/random';
 import { seededDice } from '../../tools/sim/dice';
-import { Proc } from '../../tools/sim/simworld';
+import { Proc } from '../../tools/sim/process';
 import { begin, CoreRig, documentOf, isolate, PATHS } from './deploymentrig';
 
 const SEEDS = 12;
--- a/test/control/deployment-isolated.test.ts
+++ b/test/control/deployment-isolated.test.ts
@@ -1,4 +1,4 @@
-import { Proc } from '../../tools/sim/simworld';
+import { Proc } from '../../tools/sim/process';
 import {
   begin,
   CoreRig,
--- a/test/control/deployment-races.test.ts
+++ b/test/control/deployment-races.test.ts
@@ -1,5 +1,5 @@
 import { seededDice } from '../../tools/sim/dice';
-import { Proc } from '../../tools/sim/simworld';
+import { Proc } from '../../tools/sim/process';
 import { CoreRig, documentOf, Heard, makeCore, PATHS } from './deploymentrig';
 
 interface Sent {
--- a/test/control/deploymentrig.ts
+++ b/test/control/deploymentrig.ts
@@ -6,7 +6,8 @@
 import { defaultSettings, Settings } from '../../src/shared/settings/settings';
 import { usersPlatform } from '../../platform/adapter';
 import { makeNet, SimNet } from '../../tools/sim/simwire';
-import { makeWorld, Proc, World } from '../../tools/sim/simworld';
+import { makeWorld, World } from '../../tools/sim/simworld';
+import { Proc } from '../../tools/sim/process';
 
 /** What an operator hears. */
 export interface Heard {
--- a/test/control/full-disk.test.ts
+++ b/test/control/full-disk.test.ts
@@ -8,7 +8,8 @@
 import { VersionedValue } from '../../src/shared/state/versions';
 import { VoterSet } from '../../src/shared/state/voter-set';
 import { makeNet, SimNet } from '../../tools/sim/simwire';
-import { makeWorld, Proc, World } from '../../tools/sim/simworld';
+import { makeWorld, World } from '../../tools/sim/simworld';
+import { Proc } from '../../tools/sim/process';
 
 /** The log is short here, so that slots take turns often. */
 const MOST_LOG = 1200;
--- a/test/control/reads.test.ts
+++ b/test/control/reads.test.ts
@@ -14,7 +14,8 @@
 import { VersionedValue } from '../../src/shared/state/versions';
 import { Voter, VoterSet } from '../../src/shared/state/voter-set';
 import { makeNet } from '../../tools/sim/simwire';
-import { makeWorld, Proc, World } from '../../tools/sim/simworld';
+import { makeWorld, World } from '../../tools/sim/simworld';
+import { Proc } from '../../tools/sim/process';
 
 const KEY = 'k';
 
--- a/test/control/return.test.ts
+++ b/test/control/return.test.ts
@@ -6,7 +6,7 @@
 import { followCore, Follower } from '../../src/shared/replication/follower';
 import { timeLimitsOf } from '../../src/shared/settings/time-limits';
 import { defaultSettings } from '../../src/shared/settings/settings';
-import { Proc } from '../../tools/sim/simworld';
+import { Proc } from '../../tools/sim/process';
 import { CoreRig, makeCore, documentOf, PATHS } from './deploymentrig';
 
 const BOUNDS = timeLimitsOf({ ...defaultSettings(), strict: false });
--- a/test/control/rolloutdesk.ts
+++ b/test/control/rolloutdesk.ts
@@ -8,7 +8,8 @@
 import { defaultSettings, Settings } from '../../src/shared/settings/settings';
 import { Engine } from '../../src/shared/state/engines';
 import { makeNet, SimNet } from '../../tools/sim/simwire';
-import { makeWorld, Proc, World } from '../../tools/sim/simworld';
+import { makeWorld, World } from '../../tools/sim/simworld';
+import { Proc } from '../../tools/sim/process';
 
 export const LEASE = 3000;
 export const THAW = 300;
--- a/test/index/index-feed.test.ts
+++ b/test/index/index-feed.test.ts
@@ -1,6 +1,6 @@
 import { WireBlock } from '../../src/shared/contracts/indexer';
 import { makeScene, PROMPT, SALT } from '../../tools/sim/feedscene';
-import { Proc } from '../../tools/sim/simworld';
+import { Proc } from '../../tools/sim/process';
 import { KvSource } from '../../tools/standins/kvsource';
 
 /** Ms in which what a source tells has come in. */
--- a/test/shared/catch-up.test.ts
+++ b/test/shared/catch-up.test.ts
@@ -2,7 +2,7 @@
 import { defaultSettings } from '../../src/shared/settings/settings';
 import { Message } from '../../src/shared/ports/network';
 import { CONTROL_KEYS } from '../../src/shared/state/control-keys';
-import { Proc } from '../../tools/sim/simworld';
+import { Proc } from '../../tools/sim/process';
 import { CoreRig, documentOf, makeCore, PATHS } from '../control/deploymentrig';
 
 const ROUTES = 1400;
--- a/test/tools/capacity.test.ts
+++ b/test/tools/capacity.test.ts
@@ -2,7 +2,8 @@
 import { tmpdir } from 'node:os';
 import { join } from 'node:path';
 import { bends, fitLine, Point, reckon, spreadOf } from '../../tools/capacity/fit';
-import { EMPTY, settled, startHollow } from '../../tools/capacity/hollow';
+import { EMPTY } from '../../tools/capacity/hollow-fleet';
+import { settled, startHollow } from '../../tools/capacity/hollow';
 import { askAt, queryOf } from '../../tools/capacity/load';
 import { applyIntents, changeRules, makeIntents } from '../../tools/capacity/operators';
 
--- a/tools/capacity/axes.ts
+++ b/tools/capacity/axes.ts
@@ -1,4 +1,4 @@
-import { Hollow, HollowSizes } from './hollow';
+import { Hollow, HollowSizes } from './hollow-fleet';
 import { askAt, queryOf, voteOf } from './load';
 import {
   addSeen,
--- a/tools/capacity/load.ts
+++ b/tools/capacity/load.ts
@@ -5,7 +5,7 @@
   MaintainedConnection,
   PROTOCOL_VERSION,
 } from '../../src/shared/transport/connections';
-import { Hollow, MODEL, SALT } from './hollow';
+import { Hollow, MODEL, SALT } from './hollow-fleet';
 import { CHAIN, hollowHash } from './sources';
 
 /** What a run of asks came to. */
--- a/tools/capacity/measure.ts
+++ b/tools/capacity/measure.ts
@@ -1,4 +1,5 @@
-import { EMPTY, Hollow, HollowSizes, settled, startHollow } from './hollow';
+import { EMPTY, Hollow, HollowSizes } from './hollow-fleet';
+import { settled, startHollow } from './hollow';
 import { Rates } from './meter';
 import { ChangeSeen } from './operators';
 
--- a/tools/capacity/operators.ts
+++ b/tools/capacity/operators.ts
@@ -1,7 +1,7 @@
 import { errorOrValue } from '../../src/shared/errors/errors';
 import { requestJson } from '../../src/shared/util/http-json';
 import { Intents, Rule } from '../../src/shared/state/intents';
-import { Hollow, MODEL } from './hollow';
+import { Hollow, MODEL } from './hollow-fleet';
 
 /** What one change cost its operator: ms to the return, and whether it was in effect by then. */
 export interface ChangeSeen {
--- a/tools/capacity/platform-axes.ts
+++ b/tools/capacity/platform-axes.ts
@@ -1,5 +1,5 @@
 import { errorOrValue } from '../../src/shared/errors/errors';
-import { Hollow, HollowSizes } from './hollow';
+import { Hollow, HollowSizes } from './hollow-fleet';
 import { askAt, boardOf, placedOf, overlapOf } from './load';
 import {
   addSeen,
--- a/tools/capacity/platform.ts
+++ b/tools/capacity/platform.ts
@@ -4,7 +4,7 @@
 import { IncomingRequest, Listener } from '../../src/shared/ports/network';
 import { Ports } from '../../src/shared/ports/ports';
 import { Engine } from '../../src/shared/state/engines';
-import { Hollow, MODEL } from './hollow';
+import { Hollow, MODEL } from './hollow-fleet';
 import { ChangeSeen } from './operators';
 import { CHAIN, hollowHash, SourceWays } from './sources';
 
--- a/tools/capacity/role.ts
+++ b/tools/capacity/role.ts
@@ -1,3 +1,7 @@
+/**
+ * The process of a hollow fleet: one role under a made load.
+ */
+
 import { usersPlatform } from '../../platform/adapter';
 import { startController, Controller } from '../../src/control/controller';
 import { serveOperators } from '../../src/control/api/operator-api';
@@ -19,29 +23,13 @@
 import { Settings } from '../../src/shared/settings/settings';
 import { timeLimitsOf } from '../../src/shared/settings/time-limits';
 import { VersionedValue } from '../../src/shared/state/versions';
-import { Figures, startMeter } from './meter';
+import { startMeter } from './meter';
 import { startPlatformSource } from './platform';
 import { SourceWays, startSource } from './sources';
-
-/** What a process of the hollow fleet is to be: a real controller or indexer, some nodes that only follow the core, some whole routers, or some hollow sources. */
-export type RoleWays =
-  | { role: 'controller' | 'indexer'; settings: Settings }
-  | { role: 'nodes' | 'routers'; settings: Settings[] }
-  | { role: 'sources'; dialect: string; sources: SourceWays[] };
-
-/** What the runner asks of a process; `gc` has it free what is unused first. */
-export interface RoleAsk {
-  n: number;
-  gc?: boolean;
-}
-
-/** Its return. */
-export interface RoleAnswer {
-  n: number;
-  figures: Figures;
-}
+import { RoleWays, RoleAsk } from './role-messages';
 
 const ways = JSON.parse(process.argv[2]) as RoleWays;
+
 const meter = startMeter();
 
 function portsFor(name: string, data: string, dial: number): Ports {
@@ -199,7 +187,7 @@
   return followersMore(all.map(followerOf), done);
 }
 
-async function sources(dialect: string, list: SourceWays[]): Promise<More> {
+export async function sources(dialect: string, list: SourceWays[]): Promise<More> {
   const ports = portsFor('sources', '.', 1000);
   for (const w of list) {
     const o = await (dialect === 'platform'
--- a/tools/sim/feedscene.ts
+++ b/tools/sim/feedscene.ts
@@ -10,7 +10,8 @@
 import { startCore, StandInCore } from '../standins/core';
 import { KvSource, KvWays, makeKvSource } from '../standins/kvsource';
 import { makeNet, SimNet } from './simwire';
-import { makeWorld, Proc, World } from './simworld';
+import { makeWorld, World } from './simworld';
+import { Proc } from './process';
 
 /** The salt that all prompts of a scene have. */
 export const SALT = 's|1';
--- a/tools/sim/news/rig.ts
+++ b/tools/sim/news/rig.ts
@@ -18,7 +18,8 @@
 import { usersPlatform } from '../../../platform/adapter';
 import { makeProcessors } from '../processors';
 import { makeNet, SimNet } from '../simwire';
-import { makeWorld, Proc, World } from '../simworld';
+import { makeWorld, World } from '../simworld';
+import { Proc } from '../process';
 import { makeThinLinks } from '../thin-links';
 
 /** The shares of a processor that machines have. */
--- a/tools/sim/processors.ts
+++ b/tools/sim/processors.ts
@@ -2,7 +2,7 @@
  * Processor time in a simulated world: what a process does is timed on this machine, and takes the process that long
  * by its share of a processor. What comes to it meanwhile waits. Runs with processor time do not repeat exactly.
  */
-import { Proc } from './simworld';
+import { Proc } from './process';
 
 /** The processors of a world. */
 export interface Processors {
--- a/tools/sim/simcore.ts
+++ b/tools/sim/simcore.ts
@@ -2,7 +2,7 @@
 import { allVoters, Voter } from '../../src/shared/state/voter-set';
 import { IntentsValue } from '../../src/shared/state/intents';
 import { askCore, SimFleet, simIntents } from './simfleet';
-import { Proc } from './simworld';
+import { Proc } from './process';
 
 /** Ms of silence after which operators go on to another node. */
 const PATIENCE = 1000;
--- a/tools/sim/simfaults.ts
+++ b/tools/sim/simfaults.ts
@@ -1,7 +1,7 @@
 import { RandomSource } from '../../src/shared/ports/random';
 import { EngineWays } from '../standins/engineways';
 import { SimFleet } from './simfleet';
-import { Proc } from './simworld';
+import { Proc } from './process';
 
 /** One fault of a schedule. */
 export interface Fault {
--- a/tools/sim/simfleet.ts
+++ b/tools/sim/simfleet.ts
@@ -16,7 +16,8 @@
 import { EngineWays, LedgerEntry } from '../standins/engineways';
 import { startPlatform } from '../standins/platform';
 import { makeNet, SimNet } from './simwire';
-import { makeWorld, Proc, World } from './simworld';
+import { makeWorld, World } from './simworld';
+import { Proc } from './process';
 
 /** An engine that the platform lists as leaving, and when the core knew. */
 export interface Mark {
--- a/tools/sim/simpipe.ts
+++ b/tools/sim/simpipe.ts
@@ -4,7 +4,8 @@
 
 import { makePushStream } from '../../src/shared/util/push-stream';
 import { Connection, Message } from '../../src/shared/ports/network';
-import { Proc, World } from './simworld';
+import { Proc } from './process';
+import { World } from './simworld';
 
 /** One direction between two processes. */
 export interface Pipe {
--- a/tools/sim/simwire.ts
+++ b/tools/sim/simwire.ts
@@ -11,7 +11,8 @@
   Network,
 } from '../../src/shared/ports/network';
 import { Ports } from '../../src/shared/ports/ports';
-import { Proc, World } from './simworld';
+import { Proc } from './process';
+import { World } from './simworld';
 import { makePipes, NetWays, Pipe, PipeEnds } from './simpipe';
 import { ThinLinks } from './thin-links';
 import { Traffic } from './traffic';
--- a/tools/sim/simworld.ts
+++ b/tools/sim/simworld.ts
@@ -1,3 +1,7 @@
+/**
+ * The simulated world: virtual time, machines, and links between them.
+ */
+
 import { Left, Right } from 'purify-ts';
 import { countingSuspension } from '../../src/shared/system/suspension-clock';
 import { makeError, Result } from '../../src/shared/errors/errors';
@@ -8,31 +12,7 @@
 import { seededDice } from './dice';
 import { makeEventHeap, SimEvent } from './event-heap';
 import { Processors } from './processors';
-
-/** One simulated process on a machine of its own. */
-export interface Proc {
-  name: string;
-  ip: string;
-  life: number;
-  alive: boolean;
-  powered: boolean;
-  frozen: boolean;
-  stood: number;
-  stoodFrom?: number;
-  wallOff: number;
-  held: (() => void)[];
-  disturbedAt?: number;
-  files: Map<string, Uint8Array>;
-  disk: {
-    slow: number;
-    full: boolean;
-    /** Writes that there is still room for. */
-    room: number;
-    stalled: boolean;
-    waiting: (() => void)[];
-    inFlight: Set<() => void>;
-  };
-}
+import { Proc } from './process';
 
 /** The simulated world: virtual time, machines, links between them. */
 export interface World {
--- a/tools/sim/worst/core.ts
+++ b/tools/sim/worst/core.ts
@@ -8,7 +8,8 @@
 import { defaultSettings, Settings } from '../../../src/shared/settings/settings';
 import { usersPlatform } from '../../../platform/adapter';
 import { makeNet, SimNet } from '../simwire';
-import { makeWorld, Proc, World } from '../simworld';
+import { makeWorld, World } from '../simworld';
+import { Proc } from '../process';
 
 /** One controller's machine. */
 export interface Member {
