--- a/src/shared/replication/catch-up.ts
+++ b/src/shared/replication/catch-up.ts
@@ -6,7 +6,7 @@
   InlineChange,
   isAtLeast,
 } from './change-message';
-import { PeerChannel } from '../transport/connections';
+import { PeerChannel } from '../transport/peer-channel';
 import { errorOrValue } from '../errors/errors';
 import { makeChunkFetcher } from './chunk-fetcher';
 import { VersionedValue } from '../state/versions';
--- a/src/shared/replication/chunk-fetcher.ts
+++ b/src/shared/replication/chunk-fetcher.ts
@@ -7,7 +7,7 @@
  * the pieces that it was asked for; what has been fetched is kept for as long as the same bytes are offered.
  */
 import { ChangeOffer, fetchedMessage, InlineChange } from './change-message';
-import { PeerChannel } from '../transport/connections';
+import { PeerChannel } from '../transport/peer-channel';
 import { versionOf } from './delta';
 import { bodyField } from '../transport/body-fields';
 import { errorOrValue } from '../errors/errors';
--- a/src/shared/replication/follower-handlers.ts
+++ b/src/shared/replication/follower-handlers.ts
@@ -10,7 +10,7 @@
   readChange,
   targetOf,
 } from './change-message';
-import { PeerChannel } from '../transport/connections';
+import { PeerChannel } from '../transport/peer-channel';
 import { HandlerResult, messageHandler } from '../transport/message-handlers';
 import { VersionedValue } from '../state/versions';
 import { VoterSet } from '../state/voter-set';
--- a/src/shared/replication/follower.ts
+++ b/src/shared/replication/follower.ts
@@ -12,15 +12,10 @@
 import { pollVoters } from '../transport/quorum-poll';
 import { Ports } from '../ports/ports';
 import { TimeLimits } from '../settings/time-limits';
-import {
-  requestOnce,
-  PeerChannel,
-  INITIAL_BACKOFF_RATIO,
-  Hello,
-  makeConnectionPool,
-  MAX_BACKOFF_RATIO,
-  notConnected,
-} from '../transport/connections';
+import { makeConnectionPool } from '../transport/connection-pool';
+import { Hello } from '../transport/hello';
+import { notConnected, PeerChannel, requestOnce } from '../transport/peer-channel';
+import { Backoff } from '../concurrency/backoff';
 import { allVoters, addressOf, isQuorum, Voter, VoterSet } from '../state/voter-set';
 import { compareVersions, VersionedValue, Version } from '../state/versions';
 import { Engine } from '../state/engines';
@@ -214,13 +209,10 @@
       await askSeed(at);
       asking.delete(at);
     }
-    for (
-      let pause = bounds.retryPauseMs * INITIAL_BACKOFF_RATIO;
-      !stopped && core().length === 0;
-      pause = Math.min(pause * 2, bounds.retryPauseMs * MAX_BACKOFF_RATIO)
-    ) {
+    const backoff = new Backoff(ports, bounds.retryPauseMs);
+    while (!stopped && core().length === 0) {
       for (const at of seeds) if (!asking.has(at)) void one(at);
-      await ports.clock.sleep(pause * (0.5 + ports.random.next()));
+      await backoff.wait();
     }
   }
 
--- a/src/shared/replication/lease-renewal.ts
+++ b/src/shared/replication/lease-renewal.ts
@@ -4,7 +4,7 @@
 import { AppliedEntry, appliedEntries } from './change-message';
 import { CatchUp } from './catch-up';
 import { TimeLimits } from '../settings/time-limits';
-import { PeerChannel } from '../transport/connections';
+import { PeerChannel } from '../transport/peer-channel';
 import { errorOrValue } from '../errors/errors';
 import { KeyJournal } from './key-journal';
 import { MemberUpdate } from './member-view';
--- a/src/shared/transport/compressed-requests.ts
+++ b/src/shared/transport/compressed-requests.ts
@@ -3,7 +3,7 @@
  */
 import { pack } from 'msgpackr';
 import { decompress, deflate } from './compression';
-import { PeerChannel } from './connections';
+import { PeerChannel } from './peer-channel';
 import { dispatch, HandlerResult, messageHandler } from './message-handlers';
 import { bodyField } from './body-fields';
 import { errorOrValue, Result } from '../errors/errors';
