--- a/src/data/router.ts
+++ b/src/data/router.ts
@@ -60,7 +60,13 @@
   const hello = helloOf(settings, 'router');
   const member = memberOf(ports, settings);
   const edges: object[] = [new HelloHandlers(hello)];
-  const follower = followCore(ports, bounds, hello, member, settings.seeds, edges);
+  const follower = followCore(ports, {
+    timeLimits: bounds,
+    hello,
+    member,
+    seeds: settings.seeds,
+    handlers: edges,
+  });
   function taken(s: Connection): void {
     openChannel(ports, s, edges);
   }
@@ -113,7 +119,13 @@
   const underWay = new Set<Attempt>();
   let runs = 0;
   let leaving = false;
-  const follower = followCore(ports, bounds, hello, member, settings.seeds, edges);
+  const follower = followCore(ports, {
+    timeLimits: bounds,
+    hello,
+    member,
+    seeds: settings.seeds,
+    handlers: edges,
+  });
   const engines = watchEngines(ports, bounds, follower);
   const placer = makePlacer(ports, bounds, follower, engines, hello, edges, settings.placeBy);
 
--- a/src/index/indexer.ts
+++ b/src/index/indexer.ts
@@ -127,7 +127,13 @@
     new OverlapEdge(trees, coming, loads, reached, gateOpen),
     repair.edge,
   );
-  const follower = followCore(ports, bounds, hello, member, settings.seeds, edges);
+  const follower = followCore(ports, {
+    timeLimits: bounds,
+    hello,
+    member,
+    seeds: settings.seeds,
+    handlers: edges,
+  });
 
   function gateOpen(): boolean {
     return gate;
--- a/src/shared/replication/catch-up.ts
+++ b/src/shared/replication/catch-up.ts
@@ -1,136 +1,152 @@
+/**
+ * Catch-up: fetching of changes that a node lacks, each key from one controller at a time, however many report that it
+ * is missing.
+ */
+
+import { errorOrValue, Result } from '../errors/errors';
+import { VersionedValue } from '../state/versions';
+import { PeerChannel } from '../transport/peer-channel';
 import {
   AppliedEntry,
-  appliedEntries,
   ChangeMessage,
   ChangeOffer,
+  entryOf,
   InlineChange,
   isAtLeast,
+  keyOfEntry,
+  separateOffers,
 } from './change-message';
-import { PeerChannel } from '../transport/peer-channel';
-import { errorOrValue } from '../errors/errors';
-import { makeChunkFetcher } from './chunk-fetcher';
-import { VersionedValue } from '../state/versions';
+import { ChunkFetcher, makeChunkFetcher } from './chunk-fetcher';
 
-/** What fetching missed changes needs of its node. */
+/** What catch-up needs of its node. */
 export interface CatchUpDependencies {
+  /** The applied version of a key. */
   appliedVersion: (key: string) => VersionedValue | undefined;
-  /** Applies what came, and gives the keys that could not be read or kept. */
+  /** Applies messages, and gives the keys that could not be read or stored. */
   apply: (messages: InlineChange[]) => Promise<string[]>;
-  /** The controllers that can be asked now. */
+  /** The channels of all controllers that are connected. */
   openChannels: () => PeerChannel[];
-  /** How long an answer may take. */
+  /** How long a reply may take. */
   timeoutMs: number;
 }
 
-/** Fetches missed changes: each key from one controller at a time, however many tell that it is missing. */
+/** Fetching of changes that a node lacks. */
 export interface CatchUp {
-  /** Comes back when what is missing was fetched, here or by another call; false where this controller did not give it. */
-  fetch: (exchange: PeerChannel, lacking: AppliedEntry[]) => Promise<boolean>;
+  /** Resolves once all that is missing was fetched, by this call or another; false where this controller did not give it. */
+  fetch: (channel: PeerChannel, lacking: AppliedEntry[]) => Promise<boolean>;
   /** Fetches a change that a controller offers, unless its key is being fetched; true once it is applied. */
-  acceptOffer: (exchange: PeerChannel, offer: ChangeOffer) => Promise<boolean>;
+  acceptOffer: (channel: PeerChannel, offer: ChangeOffer) => Promise<boolean>;
 }
 
-/** Makes the fetching of missed changes. */
-export function makeCatchUp(parts: CatchUpDependencies): CatchUp {
-  const fetching = new Map<string, Promise<boolean>>();
-  const pieces = makeChunkFetcher(parts);
+/** Requests the newest versions of keys; `held` are the applied versions, which deltas are made to. */
+function requestChanges(
+  channel: PeerChannel,
+  held: AppliedEntry[],
+  timeoutMs: number,
+): Promise<Result<ChangeMessage[]>> {
+  const reply = channel.request('fetch-changes', { held, pieces: true }, timeoutMs);
+  return reply as Promise<Result<ChangeMessage[]>>;
+}
 
-  function isMissing([key, epoch, by, number]: AppliedEntry): boolean {
-    return !isAtLeast(parts.appliedVersion(key), { epoch, by, number });
-  }
+class ChangeCatchUp implements CatchUp {
+  /** The fetch that is in progress for a key. */
+  private readonly inProgress = new Map<string, Promise<boolean>>();
+  private readonly chunks: ChunkFetcher;
 
-  function heldEntry(key: string): AppliedEntry {
-    const held = parts.appliedVersion(key);
-    return held ? appliedEntries([held])[0] : [key, 0, '', 0];
+  constructor(private readonly dependencies: CatchUpDependencies) {
+    this.chunks = makeChunkFetcher(dependencies);
   }
 
-  /** Fetches keys; what can't be read over what is held here is fetched whole. */
-  async function fetchFrom(exchange: PeerChannel, keys: string[]): Promise<boolean> {
-    const unread = await fetchEntries(exchange, keys.map(heldEntry));
-    if (!unread || unread.length === 0) return unread !== undefined;
-    const left = await fetchEntries(exchange, unread.map(wholeEntry));
-    return left?.length === 0;
+  async fetch(channel: PeerChannel, lacking: AppliedEntry[]): Promise<boolean> {
+    const missing = lacking.filter(this.isMissing, this).map(keyOfEntry);
+    const idle = missing.filter(this.isIdle, this);
+    const others = missing.map(this.fetchOf, this);
+    if (idle.length === 0) return (await Promise.all(others)).every(isFetched);
+    return this.track(idle, this.fetchKeys(channel, idle));
   }
 
-  /** Fetches the newest versions over the held ones; gives the keys that could not be read, or nothing where not all came. */
-  async function fetchEntries(
-    exchange: PeerChannel,
-    held: AppliedEntry[],
-  ): Promise<string[] | undefined> {
-    const ask = { held, pieces: true };
-    const [fault, messages] = errorOrValue(
-      await exchange.request('fetch-changes', ask, parts.timeoutMs),
-    );
-    return fault ? undefined : applyAll(exchange, messages as ChangeMessage[]);
+  async acceptOffer(channel: PeerChannel, offer: ChangeOffer): Promise<boolean> {
+    const { key } = offer;
+    if (!this.isIdle(key) || isAtLeast(this.dependencies.appliedVersion(key), offer)) return false;
+    return this.track([key], this.fetchOffer(channel, offer));
   }
 
-  /** Applies what came at once, then each offered change as it is here. */
-  async function applyAll(
-    exchange: PeerChannel,
-    messages: readonly ChangeMessage[],
-  ): Promise<string[] | undefined> {
-    const inline: InlineChange[] = [];
-    const offers: ChangeOffer[] = [];
-    for (const message of messages) {
-      if (message.kind === 'offer') offers.push(message);
-      else inline.push(message);
-    }
-    const unread = await parts.apply(inline);
-    for (const offer of offers) {
-      const message = await pieces.fetch(offer, exchange);
-      if (!message) return undefined;
-      unread.push(...(await parts.apply([message])));
-    }
-    return unread;
+  private isMissing([key, epoch, by, number]: AppliedEntry): boolean {
+    return !isAtLeast(this.dependencies.appliedVersion(key), { epoch, by, number });
   }
 
-  /** Notes that keys are being fetched until that is done. */
-  async function noteFetching(keys: readonly string[], done: Promise<boolean>): Promise<boolean> {
-    for (const key of keys) fetching.set(key, done);
-    const fetched = await done;
-    for (const key of keys) if (fetching.get(key) === done) fetching.delete(key);
-    return fetched;
+  private isIdle(key: string): boolean {
+    return !this.inProgress.has(key);
   }
 
-  async function fetch(exchange: PeerChannel, lacking: AppliedEntry[]): Promise<boolean> {
-    const missing = lacking.filter(isMissing).map(keyOf);
-    const keys = missing.filter(isNotUnderWay);
-    const others = missing.map(underWay);
-    if (keys.length === 0) return (await Promise.all(others)).every(isTrue);
-    return noteFetching(keys, fetchFrom(exchange, keys));
+  private fetchOf(key: string): Promise<boolean> | undefined {
+    return this.inProgress.get(key);
   }
 
-  async function accept(exchange: PeerChannel, offer: ChangeOffer): Promise<boolean> {
-    if (!isNotUnderWay(offer.key) || isAtLeast(parts.appliedVersion(offer.key), offer))
-      return false;
-    return noteFetching([offer.key], acceptOffer(exchange, offer));
+  /** Notes that keys are being fetched until that is done. */
+  private async track(keys: readonly string[], done: Promise<boolean>): Promise<boolean> {
+    const { inProgress } = this;
+    for (const key of keys) inProgress.set(key, done);
+    const isDone = await done;
+    for (const key of keys) if (inProgress.get(key) === done) inProgress.delete(key);
+    return isDone;
   }
 
-  async function acceptOffer(exchange: PeerChannel, offer: ChangeOffer): Promise<boolean> {
-    const unread = await applyAll(exchange, [offer]);
+  private async fetchOffer(channel: PeerChannel, offer: ChangeOffer): Promise<boolean> {
+    const unread = await this.applyAll(channel, [offer]);
     return unread?.length === 0;
   }
 
-  function isNotUnderWay(key: string): boolean {
-    return !fetching.has(key);
+  /** Fetches keys; what can't be read over the applied version is fetched complete. */
+  private async fetchKeys(channel: PeerChannel, keys: string[]): Promise<boolean> {
+    const unread = await this.fetchEntries(channel, keys.map(this.appliedEntry, this));
+    if (!unread || unread.length === 0) return unread !== undefined;
+    const unreadComplete = await this.fetchEntries(channel, unread.map(initialEntry));
+    return unreadComplete?.length === 0;
   }
 
-  function underWay(key: string): Promise<boolean> | undefined {
-    return fetching.get(key);
+  private appliedEntry(key: string): AppliedEntry {
+    return entryOf(key, this.dependencies.appliedVersion(key));
   }
 
-  return { fetch, acceptOffer: accept };
-}
+  /** Fetches the newest versions over the applied ones; gives the keys that could not be read, or undefined where not all came. */
+  private async fetchEntries(
+    channel: PeerChannel,
+    applied: AppliedEntry[],
+  ): Promise<string[] | undefined> {
+    const [error, messages] = errorOrValue(
+      await requestChanges(channel, applied, this.dependencies.timeoutMs),
+    );
+    return error ? undefined : this.applyAll(channel, messages);
+  }
 
-/** Asks for a key whole. */
-function wholeEntry(key: string): AppliedEntry {
-  return [key, 0, '', 0];
+  /** Applies what came at once, then each offered change once it is fetched; gives the keys that could not be read. */
+  private async applyAll(
+    channel: PeerChannel,
+    messages: readonly ChangeMessage[],
+  ): Promise<string[] | undefined> {
+    const { apply } = this.dependencies;
+    const { inline, offers } = separateOffers(messages);
+    const unread = await apply(inline);
+    for (const offer of offers) {
+      const message = await this.chunks.fetch(offer, channel);
+      if (!message) return undefined;
+      unread.push(...(await apply([message])));
+    }
+    return unread;
+  }
 }
 
-function keyOf(entry: AppliedEntry): string {
-  return entry[0];
+/** The entry by which a key is asked for complete. */
+function initialEntry(key: string): AppliedEntry {
+  return entryOf(key, undefined);
 }
 
-function isTrue(fetched: boolean | undefined): boolean {
+function isFetched(fetched: boolean | undefined): boolean {
   return fetched !== false;
 }
+
+/** Makes the catch-up of a node. */
+export function makeCatchUp(dependencies: CatchUpDependencies): CatchUp {
+  return new ChangeCatchUp(dependencies);
+}
--- a/src/shared/replication/draining-engines.ts
+++ b/src/shared/replication/draining-engines.ts
@@ -1,37 +1,40 @@
 /**
- * What a node has heard of engines that leave, ahead of the committed list.
+ * Notices of engines that drain, ahead of the committed list.
  *
- * The advice only keeps work away, so it need not be agreed upon. An engine that leaves does not come back under its
- * name, and a list may have been read before the advice was given: so a list that shows such an engine as serving does
- * not end the advice. It ends with a list that shows the same or has the engine no more, or after a time.
+ * A notice only keeps new work away, so it needs no agreement. An engine that drains does not come back under its name,
+ * and a list may have been read before the notice was given: so a list that shows such an engine as serving does not
+ * end the notice. It ends with a list that shows the engine as draining or has it no more, or after a time.
  */
+
 import { Engine } from '../state/engines';
 
-/** Engines that are heard to leave. */
+/** Engines that are reported to drain. */
 export interface DrainingEngines {
+  /** Takes note of engines that drain. */
   markDraining: (ids: readonly string[]) => void;
   /** Takes note of a committed list. */
   noteCommittedList: (engines: readonly Engine[]) => void;
+  /** Whether there is a notice of an engine. */
   isDraining: (id: string) => boolean;
 }
 
-/** Makes the advice; it lasts for `lastsMs` at the most. */
-export function makeDrainingEngines(now: () => number, lastsMs: number): DrainingEngines {
-  const until = new Map<string, number>();
+/** Makes an empty set of notices, each of which is kept for `ttlMs` at the most. */
+export function makeDrainingEngines(now: () => number, ttlMs: number): DrainingEngines {
+  const expiresAt = new Map<string, number>();
 
-  function hear(ids: readonly string[]): void {
-    for (const id of ids) until.set(id, now() + lastsMs);
+  function markDraining(ids: readonly string[]): void {
+    for (const id of ids) expiresAt.set(id, now() + ttlMs);
   }
 
-  function listed(engines: readonly Engine[]): void {
+  function noteCommittedList(engines: readonly Engine[]): void {
     const serving = new Set<string>();
     for (const engine of engines) if (!engine.leaving) serving.add(engine.id);
-    for (const id of until.keys()) if (!serving.has(id)) until.delete(id);
+    for (const id of expiresAt.keys()) if (!serving.has(id)) expiresAt.delete(id);
   }
 
-  function leaves(id: string): boolean {
-    return (until.get(id) ?? -Infinity) > now();
+  function isDraining(id: string): boolean {
+    return (expiresAt.get(id) ?? -Infinity) > now();
   }
 
-  return { markDraining: hear, noteCommittedList: listed, isDraining: leaves };
+  return { markDraining, noteCommittedList, isDraining };
 }
--- a/src/shared/replication/follower-handlers.ts
+++ b/src/shared/replication/follower-handlers.ts
@@ -1,98 +1,101 @@
+/**
+ * A follower's handlers of messages from controllers and from other followers.
+ */
+
 import { Right } from 'purify-ts';
+import { VersionedValue } from '../state/versions';
+import { VoterSet } from '../state/voter-set';
+import { HandlerResult, messageHandler } from '../transport/message-handlers';
+import { PeerChannel } from '../transport/peer-channel';
 import {
   AppliedEntry,
   ChangeMessage,
   ChangeOffer,
   ChangesReply,
+  entryOf,
   InlineChange,
-  isCurrent,
   isAtLeast,
+  isCurrent,
   readChange,
+  separateOffers,
   targetOf,
 } from './change-message';
-import { PeerChannel } from '../transport/peer-channel';
-import { HandlerResult, messageHandler } from '../transport/message-handlers';
-import { VersionedValue } from '../state/versions';
-import { VoterSet } from '../state/voter-set';
 
 /** What the handlers of a follower work with. */
 export interface FollowerHandlersDependencies {
-  /** Applies committed changes; earlier ones are ignored. */
+  /** Applies committed changes; those that are not newer than what is applied are ignored. */
   apply: (changes: VersionedValue[]) => boolean;
-  /** The version of a key that is applied here. */
+  /** The applied version of a key. */
   appliedVersion: (key: string) => VersionedValue | undefined;
-  /** Where the core is, as far as is known here. */
+  /** Where the controllers are, as far as this node knows. */
   coreLocation: () => unknown;
   /** Fetches and applies what a controller offers. */
   fetchOffer: (offer: ChangeOffer, from: PeerChannel) => void;
-  /** Hears where the core is. */
+  /** Called with the voter set that a controller reports. */
   onCoreFound: (voters: VoterSet | undefined) => void;
-  /** Hears which engines leave. */
+  /** Called with the ids of engines that are reported to drain. */
   onEnginesDraining: (ids: string[]) => void;
 }
 
-/** Applies messages that bring changes, and lists the keys that could not be read. */
+/** Applies messages, and lists the keys that could not be read. */
 export function applyMessages(
-  parts: Pick<FollowerHandlersDependencies, 'apply' | 'appliedVersion'>,
+  dependencies: Pick<FollowerHandlersDependencies, 'apply' | 'appliedVersion'>,
   messages: readonly InlineChange[],
 ): ChangesReply {
   const lacking: AppliedEntry[] = [];
-  for (const one of messages) {
-    const target = targetOf(one);
-    const held = parts.appliedVersion(target.key);
-    if (isAtLeast(held, target)) continue;
-    const change = readChange(held, one);
-    if (change) parts.apply([change]);
-    else lacking.push([target.key, held?.epoch ?? 0, held?.by ?? '', held?.number ?? 0]);
+  for (const message of messages) {
+    const target = targetOf(message);
+    const applied = dependencies.appliedVersion(target.key);
+    if (isAtLeast(applied, target)) continue;
+    const change = readChange(applied, message);
+    if (change) dependencies.apply([change]);
+    else lacking.push(entryOf(target.key, applied));
   }
   return { lacking };
 }
 
-/** Handlers of what the core and other followers say. */
+/** Handlers of messages from controllers and from other followers. */
 export class FollowerHandlers {
-  constructor(private readonly parts: FollowerHandlersDependencies) {}
+  constructor(private readonly dependencies: FollowerHandlersDependencies) {}
 
-  /** Takes committed changes, whole; earlier ones are ignored. */
+  /** Applies committed changes that come complete. */
   @messageHandler('news')
   async news(changes: VersionedValue[]): HandlerResult {
-    this.parts.apply(changes);
+    this.dependencies.apply(changes);
     return Right(true);
   }
 
-  /** Takes committed changes in whatever form they come, and tells which could not be read. */
+  /** Applies committed changes in whatever form they come, and replies which could not be read. */
   @messageHandler('changes')
   async changes(messages: ChangeMessage[], from: PeerChannel): HandlerResult {
-    const inline: InlineChange[] = [];
-    for (const one of messages) {
-      if (one.kind === 'offer') this.parts.fetchOffer(one, from);
-      else inline.push(one);
-    }
-    return Right(applyMessages(this.parts, inline));
+    const { inline, offers } = separateOffers(messages);
+    for (const offer of offers) this.dependencies.fetchOffer(offer, from);
+    return Right(applyMessages(this.dependencies, inline));
   }
 
-  /** Hears which engines leave, where the core could not make that a change. */
+  /** Takes note of engines that drain, where the controllers could not commit that as a change. */
   @messageHandler('leaving')
   async leaving(ids: string[]): HandlerResult {
-    this.parts.onEnginesDraining(ids);
+    this.dependencies.onEnginesDraining(ids);
     return Right(true);
   }
 
-  /** Tells whether a change was applied here. */
+  /** Replies whether a change is applied here. */
   @messageHandler('has')
   async has(change: VersionedValue): HandlerResult {
-    return Right(isCurrent(this.parts.appliedVersion(change.key), change));
+    return Right(isCurrent(this.dependencies.appliedVersion(change.key), change));
   }
 
-  /** Hears from a controller where the core is, for one that has this process among its seeds. */
+  /** Takes the voter set from a controller that has this process among its seeds. */
   @messageHandler('here')
   async here(voters: VoterSet): HandlerResult {
-    this.parts.onCoreFound(voters);
+    this.dependencies.onCoreFound(voters);
     return Right(true);
   }
 
-  /** Tells a newcomer where the core is. */
+  /** Replies to a new node where the controllers are. */
   @messageHandler('who')
   async askWho(): HandlerResult {
-    return Right(this.parts.coreLocation());
+    return Right(this.dependencies.coreLocation());
   }
 }
--- a/src/shared/replication/follower.ts
+++ b/src/shared/replication/follower.ts
@@ -1,330 +1,385 @@
-import { Stream as Feed } from 'most';
+/**
+ * The follower of the replicated control state: what a node that is no controller knows of it, and the leases under
+ * which it may act by it.
+ */
+
+import { Stream } from 'most';
 import { Left } from 'purify-ts';
-import { makeCatchUp } from './catch-up';
-import { AppliedEntry, ChangeOffer, InlineChange, isAtLeast } from './change-message';
-import { OperationError, errorOrValue, Result } from '../errors/errors';
-import { applyMessages, FollowerHandlers } from './follower-handlers';
-import { makeKeyJournal } from './key-journal';
-import { makePushStream } from '../util/push-stream';
-import { LeaseReply, makeLeaseRenewals } from './lease-renewal';
-import { makeDrainingEngines } from './draining-engines';
-import { makeMemberView } from './member-view';
-import { pollVoters } from '../transport/quorum-poll';
+import { errorOrValue, OperationError, Result } from '../errors/errors';
 import { Ports } from '../ports/ports';
 import { TimeLimits } from '../settings/time-limits';
-import { makeConnectionPool } from '../transport/connection-pool';
-import { Hello } from '../transport/hello';
-import { notConnected, PeerChannel, requestOnce } from '../transport/peer-channel';
-import { Backoff } from '../concurrency/backoff';
-import { allVoters, addressOf, isQuorum, Voter, VoterSet } from '../state/voter-set';
-import { compareVersions, VersionedValue, Version } from '../state/versions';
-import { Engine } from '../state/engines';
 import { CONTROL_KEYS } from '../state/control-keys';
+import { Engine } from '../state/engines';
 import { Member } from '../state/members';
+import { Version, VersionedValue } from '../state/versions';
+import { addressOf, allVoters, Voter, VoterSet } from '../state/voter-set';
+import { ConnectionPool, makeConnectionPool } from '../transport/connection-pool';
+import { Hello } from '../transport/hello';
+import { notConnected, PeerChannel } from '../transport/peer-channel';
+import { pollVoters } from '../transport/quorum-poll';
+import { makePushStream } from '../util/push-stream';
+import { AppliedState } from './applied-state';
+import { CatchUp, makeCatchUp } from './catch-up';
+import { ChangeOffer, InlineChange, isAtLeast, keyOfEntry } from './change-message';
+import { CoreDiscovery, CoreLocation } from './core-discovery';
+import { DrainingEngines, makeDrainingEngines } from './draining-engines';
+import { applyMessages, FollowerHandlers } from './follower-handlers';
+import { hasLeaseQuorum } from './lease-quorum';
+import { LeaseReply, LeaseRenewals } from './lease-renewal';
+import { makeMemberView, MemberView } from './member-view';
 
-/** A node's view of the control state, kept up by news and leases. */
+/** A node's view of the control state, which committed changes and leases keep current. */
 export interface Follower {
+  /** Whether the node may act by its view: it holds the leases of a quorum, or no controller's process runs. */
   hasLease: () => boolean;
+  /** The applied value of a key, and its version. */
   value: <T>(key: string) => { place: Version; value: T } | undefined;
+  /** The keys with a prefix that have a value. */
   keys: (prefix: string) => string[];
+  /** The members of a role, by name; of all roles where it is empty. */
   members: (role: string) => Member[];
+  /** The voter set, once it is known. */
   voters: () => VoterSet | undefined;
+  /** The addresses of the controllers that vote; none before they are known. */
   coreAddresses: () => string[];
+  /** All applied values. */
   appliedValues: () => VersionedValue[];
-  applyAll: (list: VersionedValue[]) => boolean;
-  changes: Feed<VersionedValue>;
+  /** Applies committed changes; those that are not newer than what is applied are ignored. Whether there was a newer one. */
+  applyAll: (changes: VersionedValue[]) => boolean;
+  /** The changes as they are applied. */
+  changes: Stream<VersionedValue>;
+  /** Whether an engine is known to drain, ahead of the committed list. */
   isDraining: (id: string) => boolean;
-  drainingNotices: Feed<string[]>;
-  memberChanges: Feed<Member[]>;
+  /** The ids of engines that are reported to drain. */
+  drainingNotices: Stream<string[]>;
+  /** All members, each time that they have changed. */
+  memberChanges: Stream<Member[]>;
+  /** Sends a notification to all controllers that are connected. */
   notifyCore: (type: string, body: unknown) => void;
+  /** Sends a request to all voters: whether a quorum gave a reply that `isYes` accepts, and the replies until then. */
   askVoters: <T>(
     type: string,
     body: unknown,
-    yes: (r: T, v: Voter) => boolean,
+    isYes: (reply: T, voter: Voter) => boolean,
   ) => Promise<{ ok: boolean; got: T[] }>;
+  /** Gives the leases back, before the process ends. */
   releaseLeases: () => Promise<void>;
+  /** Closes all connections, and asks for no more leases. */
   stop: () => void;
 }
 
-/** Follows the core: finds it from the seeds, renews a lease at each controller, applies news. */
-export function followCore(
-  ports: Ports,
-  bounds: TimeLimits,
-  hello: Hello,
-  member: Member,
-  seeds: string[],
-  edges: object[],
-): Follower {
-  const state = new Map<string, VersionedValue>();
-  const applied = makeKeyJournal();
-  const refused = new Map<string, number>();
-  const changes = makePushStream<VersionedValue>();
-  const membership = makePushStream<Member[]>();
-  const advice = makePushStream<string[]>();
-  const view = makeMemberView(ports.clock.now, membership.push);
-  const leavingAdvice = makeDrainingEngines(ports.clock.now, bounds.drainingNoticeTtlMs);
-  let founded: VoterSet | undefined;
-  let stopped = false;
-
-  function voters(): VoterSet | undefined {
-    return (state.get(CONTROL_KEYS.voters)?.value as VoterSet | undefined) ?? founded;
-  }
-
-  function core(): string[] {
-    const v = voters();
-    return v ? allVoters(v).map(addressOf) : [];
-  }
-
-  function take(list: VersionedValue[]): boolean {
-    let any = false;
-    for (const n of list) {
-      const have = state.get(n.key);
-      if (have && compareVersions(n, have) <= 0) continue;
-      state.set(n.key, n);
-      applied.add(n.key);
-      if (n.key === CONTROL_KEYS.engines) leavingAdvice.noteCommittedList(n.value as Engine[]);
-      any = true;
-      changes.push(n);
+/** What a follower is started with. */
+export interface FollowerOptions {
+  timeLimits: TimeLimits;
+  /** The node's handshake message. */
+  hello: Hello;
+  /** The node as a member. */
+  member: Member;
+  /** Addresses at which the voter set is asked for. */
+  seeds: readonly string[];
+  /** The node's message handlers; the follower adds its own. */
+  handlers: object[];
+}
+
+class CoreFollower {
+  readonly members: MemberView;
+  readonly state = new AppliedState(this.beforeNotify.bind(this));
+  readonly drainingNotices = makePushStream<string[]>();
+  readonly memberChanges = makePushStream<Member[]>();
+  private readonly draining: DrainingEngines;
+  private readonly catchUp: CatchUp;
+  private readonly renewals: LeaseRenewals;
+  private readonly pool: ConnectionPool;
+  private readonly discovery: CoreDiscovery;
+  /** The voter set as seeds and controllers reported it, until the control state itself holds one. */
+  private reportedVoters: VoterSet | undefined;
+  /** Controllers whose machine refuses connections, and until when that is taken as true. */
+  private readonly refusedUntil = new Map<string, number>();
+  private isStopped = false;
+
+  constructor(
+    private readonly ports: Ports,
+    private readonly options: FollowerOptions,
+  ) {
+    const { clock } = ports;
+    const { timeLimits } = options;
+    this.members = makeMemberView(clock.now, this.memberChanges.push);
+    this.draining = makeDrainingEngines(clock.now, timeLimits.drainingNoticeTtlMs);
+    options.handlers.push(this.makeHandlers());
+    this.catchUp = this.makeCatchUp();
+    this.renewals = this.makeRenewals();
+    this.pool = this.makePool();
+    this.discovery = this.makeDiscovery();
+  }
+
+  /** Starts to look for the controllers. */
+  start(): void {
+    void this.discovery.findCore();
+    void this.discovery.findLostCore();
+  }
+
+  stop(): void {
+    this.isStopped = true;
+    this.pool.stop();
+  }
+
+  hasLease(): boolean {
+    const voters = this.voters();
+    if (!voters) return false;
+    const now = this.ports.clock.now();
+    const granted = new Set<string>();
+    const refused = new Set<string>();
+    for (const { disk, at } of allVoters(voters)) {
+      if (this.members.expiryOf(disk) > now) granted.add(disk);
+      if ((this.refusedUntil.get(at) ?? 0) > now) refused.add(disk);
     }
-    if (any) reach();
-    return any;
+    return hasLeaseQuorum(voters, granted, refused);
   }
 
-  function advised(ids: string[]): void {
-    leavingAdvice.markDraining(ids);
-    advice.push(ids);
+  value<T>(key: string): { place: Version; value: T } | undefined {
+    const applied = this.state.get(key);
+    return applied && { place: applied, value: applied.value as T };
   }
 
-  function who(): unknown {
-    return { voters: voters(), core: core() };
+  voters(): VoterSet | undefined {
+    return this.state.voters() ?? this.reportedVoters;
   }
 
-  function held(key: string): VersionedValue | undefined {
-    return state.get(key);
+  coreAddresses(): string[] {
+    const voters = this.voters();
+    return voters ? allVoters(voters).map(addressOf) : [];
   }
 
-  function exchanges(): PeerChannel[] {
-    return helds.openChannels();
+  applyAll(changes: readonly VersionedValue[]): boolean {
+    const anyNewer = this.state.apply(changes);
+    if (anyNewer) this.connectToCore();
+    return anyNewer;
   }
 
-  /** Fetches what a controller offers, and has the controllers know soon that it is applied. */
-  function fetchOffer(offer: ChangeOffer, from: PeerChannel): void {
-    void catchUp.acceptOffer(from, offer).then(tell);
-    function tell(): void {
-      if (isAtLeast(state.get(offer.key), offer)) renewals.wake();
+  isDraining(id: string): boolean {
+    return this.draining.isDraining(id);
+  }
+
+  notifyCore(type: string, body: unknown): void {
+    for (const address of this.pool.peerAddresses())
+      this.pool.channelTo(address)?.notify(type, body);
+  }
+
+  async askVoters<T>(
+    type: string,
+    body: unknown,
+    isYes: (reply: T, voter: Voter) => boolean,
+  ): Promise<{ ok: boolean; got: T[] }> {
+    const voters = this.voters();
+    if (!voters) return { ok: false, got: [] };
+    const got: T[] = [];
+    const { pool, options } = this;
+    async function askVoter(voter: Voter): Promise<Result<T>> {
+      const channel = pool.channelTo(voter.at);
+      if (!channel) return Left(notConnected(type, voter.at));
+      const timeoutMs = options.timeLimits.requestTimeoutMs;
+      const result = (await channel.request(type, body, timeoutMs)) as Result<T>;
+      const [, reply] = errorOrValue(result);
+      if (reply !== undefined) got.push(reply);
+      return result;
     }
+    const outcome = await pollVoters(voters, askVoter, isYes);
+    return { ok: outcome.isRight(), got };
   }
 
-  async function applyChanges(messages: InlineChange[]): Promise<string[]> {
-    return applyMessages({ apply: take, appliedVersion: held }, messages).lacking.map(keyOf);
-  }
-
-  function keyOf(entry: AppliedEntry): string {
-    return entry[0];
-  }
-
-  edges.push(
-    new FollowerHandlers({
-      apply: take,
-      appliedVersion: held,
-      fetchOffer,
-      coreLocation: who,
-      onCoreFound: told,
-      onEnginesDraining: advised,
-    }),
-  );
-  const catchUp = makeCatchUp({
-    appliedVersion: held,
-    apply: applyChanges,
-    openChannels: exchanges,
-    timeoutMs: bounds.requestTimeoutMs,
-  });
-  const renewals = makeLeaseRenewals({
-    ports,
-    bounds,
-    member,
-    state,
-    applied,
-    catchUp,
-    applyAll: take,
-    onGranted: grant,
-    onVoterSet: votersTold,
-    isStopped: isStopped,
-  });
-  const helds = makeConnectionPool(ports, {
-    hello,
-    handlers: edges,
-    timeoutMs: bounds.connectTimeoutMs,
-    retryPauseMs: bounds.retryPauseMs,
-    onUp,
-    onConnectFailed: onRefused,
-  });
-
-  function live(): boolean {
-    const v = voters();
-    if (!v) return false;
-    const now = ports.clock.now();
-    const good = new Set<string>();
-    const dead = new Set<string>();
-    for (const x of allVoters(v)) {
-      if (view.expiryOf(x.disk) > now) good.add(x.disk);
-      if ((refused.get(x.at) ?? 0) > now) dead.add(x.disk);
+  async releaseLeases(): Promise<void> {
+    this.members.clear();
+    const { member, timeLimits } = this.options;
+    const replies: Promise<unknown>[] = [];
+    for (const address of this.pool.peerAddresses()) {
+      const channel = this.pool.channelTo(address);
+      replies.push(
+        channel?.request('leave', { member, has: [] }, timeLimits.requestTimeoutMs) ??
+          Promise.resolve(undefined),
+      );
     }
-    return isQuorum(v, good) || dead.size === allVoters(v).length;
+    await Promise.all(replies);
   }
 
-  function onUp(ex: PeerChannel): void {
-    void renewals.renew(ex);
+  private makeHandlers(): FollowerHandlers {
+    return new FollowerHandlers({
+      apply: this.applyAll.bind(this),
+      appliedVersion: this.state.get.bind(this.state),
+      fetchOffer: this.fetchOffer.bind(this),
+      coreLocation: this.coreLocation.bind(this),
+      onCoreFound: this.onCoreFound.bind(this),
+      onEnginesDraining: this.onEnginesDraining.bind(this),
+    });
   }
 
-  function grant(answer: LeaseReply, ex: PeerChannel, sent: number): void {
-    refused.delete(ex.peer);
-    view.grant(answer.disk, sent + bounds.leaseMs, answer);
-    reach();
+  private makeCatchUp(): CatchUp {
+    return makeCatchUp({
+      appliedVersion: this.state.get.bind(this.state),
+      apply: this.applyMessages.bind(this),
+      openChannels: this.openChannels.bind(this),
+      timeoutMs: this.options.timeLimits.requestTimeoutMs,
+    });
   }
 
-  function votersTold(told: VoterSet): void {
-    founded = told;
+  private makeRenewals(): LeaseRenewals {
+    const { timeLimits, member } = this.options;
+    return new LeaseRenewals({
+      ports: this.ports,
+      timeLimits,
+      member,
+      state: this.state,
+      catchUp: this.catchUp,
+      applyAll: this.applyAll.bind(this),
+      onGranted: this.onGranted.bind(this),
+      onVoterSet: this.onVoterSet.bind(this),
+      isStopped: this.hasStopped.bind(this),
+    });
   }
 
-  function isStopped(): boolean {
-    return stopped;
+  private makePool(): ConnectionPool {
+    const { timeLimits, hello, handlers } = this.options;
+    return makeConnectionPool(this.ports, {
+      hello,
+      handlers,
+      timeoutMs: timeLimits.connectTimeoutMs,
+      retryPauseMs: timeLimits.retryPauseMs,
+      onUp: this.onUp.bind(this),
+      onConnectFailed: this.onConnectFailed.bind(this),
+    });
   }
 
-  function onRefused(f: OperationError): void {
-    if (f.code === 'ECONNREFUSED' && live())
-      refused.set(f.peer, ports.clock.now() + bounds.leaseMs - bounds.connectTimeoutMs);
+  private makeDiscovery(): CoreDiscovery {
+    const { timeLimits, hello, handlers, seeds } = this.options;
+    return new CoreDiscovery({
+      ports: this.ports,
+      timeLimits,
+      hello,
+      handlers,
+      seeds,
+      isKnown: this.isCoreKnown.bind(this),
+      isConnected: this.isConnected.bind(this),
+      isStopped: this.hasStopped.bind(this),
+      onFound: this.onDiscovered.bind(this),
+    });
   }
 
-  function reach(): void {
-    const want = core();
-    if (want.length > 0) helds.setPeers(want);
+  private hasStopped(): boolean {
+    return this.isStopped;
   }
 
-  /** Asks all seeds side by side, at first soon again: after a loss of power they come up one by one. */
-  async function findCore(): Promise<void> {
-    const asking = new Set<string>();
-    async function one(at: string): Promise<void> {
-      asking.add(at);
-      await askSeed(at);
-      asking.delete(at);
-    }
-    const backoff = new Backoff(ports, bounds.retryPauseMs);
-    while (!stopped && core().length === 0) {
-      for (const at of seeds) if (!asking.has(at)) void one(at);
-      await backoff.wait();
-    }
+  private isCoreKnown(): boolean {
+    return this.coreAddresses().length > 0;
   }
 
-  /** Asks the seeds again where no controller has been here for the contact bound: all that were known may have been exchanged. */
-  async function findCoreAnew(): Promise<void> {
-    function isUp(at: string): boolean {
-      return helds.channelTo(at) !== undefined;
-    }
-    let since = ports.clock.now();
-    while (!stopped) {
-      await ports.clock.sleep(bounds.leaseMs);
-      if (core().length === 0 || helds.peerAddresses().some(isUp)) since = ports.clock.now();
-      else if (ports.clock.now() - since > bounds.idleChannelTimeoutMs)
-        await Promise.all(seeds.map(askSeed));
-    }
+  private openChannels(): PeerChannel[] {
+    return this.pool.openChannels();
   }
 
-  async function askSeed(at: string): Promise<void> {
-    const [f, w] = errorOrValue(
-      await requestOnce(ports, hello, edges, at, 'who', {}, bounds.connectTimeoutMs),
-    );
-    if (f) return;
-    const { voters: v, stands } = w as { voters?: VoterSet; stands?: VersionedValue };
-    told(v);
-    if (stands) take([stands]);
+  private isConnected(): boolean {
+    return this.pool.openChannels().length > 0;
   }
 
-  function told(v: VoterSet | undefined): void {
-    if (!v) return;
-    founded = founded ?? v;
-    reach();
+  private connectToCore(): void {
+    const addresses = this.coreAddresses();
+    if (addresses.length > 0) this.pool.setPeers(addresses);
   }
 
-  async function coreAsk(type: string, body: unknown): Promise<unknown[]> {
-    const out: Promise<unknown>[] = [];
-    for (const at of helds.peerAddresses())
-      out.push(
-        helds.channelTo(at)?.request(type, body, bounds.requestTimeoutMs) ??
-          Promise.resolve(undefined),
-      );
-    return Promise.all(out);
+  /** The reply to a node that looks for the controllers; `stands` is only sent by controllers. */
+  private coreLocation(): CoreLocation & { core: string[] } {
+    return { voters: this.voters(), core: this.coreAddresses() };
   }
 
-  function coreTell(type: string, body: unknown): void {
-    for (const at of helds.peerAddresses()) helds.channelTo(at)?.notify(type, body);
+  /** Runs before a change is told to the streams, so that they see its effect on what drains. */
+  private beforeNotify(change: VersionedValue): void {
+    const engines = enginesOf(change);
+    if (engines) this.draining.noteCommittedList(engines);
   }
 
-  async function askVoters<T>(
-    type: string,
-    body: unknown,
-    yes: (r: T, v: Voter) => boolean,
-  ): Promise<{ ok: boolean; got: T[] }> {
-    const v = voters();
-    if (!v) return { ok: false, got: [] };
-    const got: T[] = [];
-    async function one(x: Voter): Promise<Result<T>> {
-      const ex = helds.channelTo(x.at);
-      const r = (
-        ex ? await ex.request(type, body, bounds.requestTimeoutMs) : Left(notConnected(type, x.at))
-      ) as Result<T>;
-      const [, g] = errorOrValue(r);
-      if (g !== undefined) got.push(g);
-      return r;
-    }
-    const o = await pollVoters(v, one, yes);
-    return { ok: o.isRight(), got };
+  /** Fetches what a controller offers, and has the controllers hear soon that it is applied. */
+  private fetchOffer(offer: ChangeOffer, from: PeerChannel): void {
+    void this.catchUp.acceptOffer(from, offer).then(this.reportApplied.bind(this, offer));
   }
 
-  async function leave(): Promise<void> {
-    view.clear();
-    await coreAsk('leave', { member, has: [] });
+  private reportApplied(offer: ChangeOffer): void {
+    if (isAtLeast(this.state.get(offer.key), offer)) this.renewals.wake();
   }
 
-  function value<T>(key: string): { place: Version; value: T } | undefined {
-    const n = state.get(key);
-    return n && { place: n, value: n.value as T };
+  /** Applies messages, and gives the keys that could not be read. */
+  private async applyMessages(messages: InlineChange[]): Promise<string[]> {
+    const apply = this.applyAll.bind(this);
+    const appliedVersion = this.state.get.bind(this.state);
+    return applyMessages({ apply, appliedVersion }, messages).lacking.map(keyOfEntry);
   }
 
-  function keys(prefix: string): string[] {
-    function starts(k: string): boolean {
-      return k.startsWith(prefix);
-    }
-    return [...state.keys()].filter(starts);
+  private onUp(channel: PeerChannel): void {
+    void this.renewals.renew(channel);
+  }
+
+  /**
+   * Notes that a controller's machine refuses connections, which shows that no controller runs there. This is taken as
+   * true for a lease's time less the time that a connection may take, and is noted only while leases last.
+   */
+  private onConnectFailed(error: OperationError): void {
+    if (error.code !== 'ECONNREFUSED' || !this.hasLease()) return;
+    const { leaseMs, connectTimeoutMs } = this.options.timeLimits;
+    this.refusedUntil.set(error.peer, this.ports.clock.now() + leaseMs - connectTimeoutMs);
   }
 
-  function places(): VersionedValue[] {
-    return [...state.values()];
+  private onGranted(reply: LeaseReply, from: PeerChannel, requestedAt: number): void {
+    this.refusedUntil.delete(from.peer);
+    this.members.grant(reply.disk, requestedAt + this.options.timeLimits.leaseMs, reply);
+    this.connectToCore();
   }
 
-  function stop(): void {
-    stopped = true;
-    helds.stop();
+  private onVoterSet(voters: VoterSet): void {
+    this.reportedVoters = voters;
   }
 
-  void findCore();
-  void findCoreAnew();
+  private onCoreFound(voters: VoterSet | undefined): void {
+    if (!voters) return;
+    this.reportedVoters = this.reportedVoters ?? voters;
+    this.connectToCore();
+  }
+
+  private onDiscovered({ voters, stands }: CoreLocation): void {
+    this.onCoreFound(voters);
+    if (stands) this.applyAll([stands]);
+  }
+
+  private onEnginesDraining(ids: string[]): void {
+    this.draining.markDraining(ids);
+    this.drainingNotices.push(ids);
+  }
+}
+
+function enginesOf(change: VersionedValue): Engine[] | undefined {
+  return change.key === CONTROL_KEYS.engines ? (change.value as Engine[]) : undefined;
+}
+
+/**
+ * Follows the control state: finds the controllers from the seeds, renews a lease at each, and applies what they commit.
+ * The functions of the result need no `this`.
+ */
+export function followCore(ports: Ports, options: FollowerOptions): Follower {
+  const follower = new CoreFollower(ports, options);
+  follower.start();
+  const { state, members } = follower;
   return {
-    hasLease: live,
-    value,
-    keys,
-    members: view.members,
-    voters,
-    coreAddresses: core,
-    appliedValues: places,
-    applyAll: take,
-    changes: changes.stream,
-    isDraining: leavingAdvice.isDraining,
-    drainingNotices: advice.stream,
-    memberChanges: membership.stream,
-    notifyCore: coreTell,
-    askVoters,
-    releaseLeases: leave,
-    stop,
+    hasLease: follower.hasLease.bind(follower),
+    value: follower.value.bind(follower),
+    keys: state.keysWithPrefix.bind(state),
+    members: members.members.bind(members),
+    voters: follower.voters.bind(follower),
+    coreAddresses: follower.coreAddresses.bind(follower),
+    appliedValues: state.values.bind(state),
+    applyAll: follower.applyAll.bind(follower),
+    changes: state.changes,
+    isDraining: follower.isDraining.bind(follower),
+    drainingNotices: follower.drainingNotices.stream,
+    memberChanges: follower.memberChanges.stream,
+    notifyCore: follower.notifyCore.bind(follower),
+    askVoters: follower.askVoters.bind(follower),
+    releaseLeases: follower.releaseLeases.bind(follower),
+    stop: follower.stop.bind(follower),
   };
 }
--- a/src/shared/replication/key-journal.ts
+++ b/src/shared/replication/key-journal.ts
@@ -1,34 +1,41 @@
-/** Which keys changed, in order, by a count that only grows. */
+/**
+ * A journal of which keys changed, in order, by a count of changes that only grows.
+ */
+
+/** Which keys changed, in order. */
 export interface KeyJournal {
+  /** Notes a change of a key. */
   add: (key: string) => void;
-  /** How many changes there were. */
+  /** How many changes there have been. */
   count: () => number;
-  /** The keys that changed after a count, each once; undefined where that is too long ago. */
+  /** The keys that changed after a count, each once; undefined where the journal has dropped some of them. */
   after: (count: number) => string[] | undefined;
 }
 
-/** Changes that a journal keeps at the least, once there were as many. */
-const KEPT = 4096;
+/** The newest changes that a journal always keeps. */
+const MIN_KEPT_CHANGES = 4096;
+/** Changes at which a journal is cut down to those. */
+const MAX_KEPT_CHANGES = 2 * MIN_KEPT_CHANGES;
 
-/** Makes a journal. */
+/** Makes an empty journal. */
 export function makeKeyJournal(): KeyJournal {
   let keys: string[] = [];
-  let gone = 0;
+  let droppedCount = 0;
 
   function add(key: string): void {
     keys.push(key);
-    if (keys.length < 2 * KEPT) return;
-    gone += keys.length - KEPT;
-    keys = keys.slice(-KEPT);
+    if (keys.length < MAX_KEPT_CHANGES) return;
+    droppedCount += keys.length - MIN_KEPT_CHANGES;
+    keys = keys.slice(-MIN_KEPT_CHANGES);
   }
 
   function count(): number {
-    return gone + keys.length;
+    return droppedCount + keys.length;
   }
 
-  function after(n: number): string[] | undefined {
-    if (n < gone) return undefined;
-    return n >= count() ? [] : [...new Set(keys.slice(n - gone))];
+  function after(from: number): string[] | undefined {
+    if (from < droppedCount) return undefined;
+    return from >= count() ? [] : [...new Set(keys.slice(from - droppedCount))];
   }
 
   return { add, count, after };
--- a/src/shared/replication/lease-renewal.ts
+++ b/src/shared/replication/lease-renewal.ts
@@ -1,26 +1,28 @@
 /**
  * Renewal of a node's leases, one at each controller.
  */
-import { AppliedEntry, appliedEntries } from './change-message';
-import { CatchUp } from './catch-up';
-import { TimeLimits } from '../settings/time-limits';
-import { PeerChannel } from '../transport/peer-channel';
-import { errorOrValue } from '../errors/errors';
-import { KeyJournal } from './key-journal';
-import { MemberUpdate } from './member-view';
-import { Ports } from '../ports/ports';
+
 import { makeWaker, Waker } from '../concurrency/waker';
+import { errorOrValue, OperationError, Result } from '../errors/errors';
+import { Ports } from '../ports/ports';
+import { TimeLimits } from '../settings/time-limits';
 import { Member } from '../state/members';
 import { VersionedValue } from '../state/versions';
 import { VoterSet } from '../state/voter-set';
+import { PeerChannel } from '../transport/peer-channel';
+import { AppliedState } from './applied-state';
+import { CatchUp } from './catch-up';
+import { AppliedEntry } from './change-message';
+import { MemberUpdate } from './member-view';
 
-/** A controller's answer to an ask for a lease. */
+/** A controller's reply to a lease request. The field names are sent. */
 export interface LeaseReply extends MemberUpdate {
   granted: boolean;
+  /** The id of the controller's disk. */
   disk: string;
-  /** What is missing here, from a controller that sends it whole. */
+  /** The changes that this node lacks, from a controller that sends them complete. */
   missing?: VersionedValue[];
-  /** How far the keys stand that are missing here, to be fetched. */
+  /** The versions of the keys that this node lacks, to be fetched. */
   lacking?: AppliedEntry[];
   voters?: VoterSet;
 }
@@ -28,118 +30,164 @@
 /** What renewals work with. */
 export interface LeaseRenewalDependencies {
   ports: Ports;
-  bounds: TimeLimits;
+  timeLimits: TimeLimits;
   member: Member;
-  /** What is applied here, by key. */
-  state: ReadonlyMap<string, VersionedValue>;
-  /** Which keys were applied, in order. */
-  applied: KeyJournal;
+  state: AppliedState;
   catchUp: CatchUp;
-  /** Applies changes that came whole. */
+  /** Applies changes that came complete; whether one was newer. */
   applyAll: (changes: VersionedValue[]) => boolean;
-  /** Notes a lease that was asked for at a time. */
-  onGranted: (answer: LeaseReply, from: PeerChannel, askedAt: number) => void;
+  /** Called with each grant, and when it was requested in ms of the clock port. */
+  onGranted: (reply: LeaseReply, from: PeerChannel, requestedAt: number) => void;
   onVoterSet: (voters: VoterSet) => void;
   isStopped: () => boolean;
 }
 
-/** The renewals of one node. */
-export interface LeaseRenewals {
-  /** Renews the lease at a controller for as long as its connection lasts. */
-  renew: (exchange: PeerChannel) => Promise<void>;
-  /** Has every controller hear soon how far this node is. */
-  wake: () => void;
-}
-
-/** An ask for a lease, as it goes out. */
-interface Ask {
+/** A lease request. The field names are sent. */
+interface LeaseRequest {
   member: Member;
+  /** That this node fetches what it lacks. */
   fetches: true;
+  /** That it fetches long changes in chunks. */
   pieces: true;
+  /** That the request tells only of changes since the last one, and so may the reply. */
   deltas?: true;
+  /** The versions of all applied keys. */
   has?: AppliedEntry[];
+  /** The versions of the keys that were applied since the last request. */
   changed?: AppliedEntry[];
 }
 
-/** Until when a refused or failed renewal rests, as a share of the time between renewals. */
-const RETRY = 0.5;
-/** How long a renewal that was woken waits, as a share of the time between renewals: what else is applied meanwhile goes with it. */
-const WOKEN = 0.02;
-/** Renewals are this far apart, as a share of their time, at the least and at the most. */
-const JITTER = { least: 0.8, more: 0.4 };
-
-/** Makes the renewals. */
-export function makeLeaseRenewals(parts: LeaseRenewalDependencies): LeaseRenewals {
-  const { ports, bounds, member, state, applied } = parts;
-  const wakers = new Set<Waker>();
-
-  /** How far the keys have been applied that changed after a count; undefined where that is too long ago. */
-  function changedAfter(count: number): AppliedEntry[] | undefined {
-    const out: VersionedValue[] = [];
-    const keys = applied.after(count);
-    for (const key of keys ?? []) out.push(state.get(key)!);
-    return keys && appliedEntries(out);
-  }
+/** The pause after a renewal that was refused or failed, as a ratio of the renewal interval. */
+const RETRY_PAUSE_RATIO = 0.5;
+/** How long a renewal that was woken waits, as a ratio of the renewal interval: it then tells of what else is applied meanwhile. */
+const WAKE_DELAY_RATIO = 0.02;
+/** The least time between renewals, as a ratio of the renewal interval ... */
+const MIN_INTERVAL_RATIO = 0.8;
+/** ... and how much jitter adds to it at the most. */
+const INTERVAL_JITTER_RATIO = 0.4;
 
-  function askOf(changed: AppliedEntry[] | undefined): Ask {
-    const ask: Ask = { member, fetches: true, pieces: true };
-    if (changed === undefined) return { ...ask, has: appliedEntries(state.values()) };
-    return { ...ask, deltas: true, ...(changed.length > 0 ? { changed } : {}) };
-  }
+/** Sends a lease request. */
+function requestLease(
+  channel: PeerChannel,
+  request: LeaseRequest,
+  timeoutMs: number,
+): Promise<Result<LeaseReply>> {
+  return channel.request('claim', request, timeoutMs) as Promise<Result<LeaseReply>>;
+}
+
+/** The renewals of the lease at one controller, for as long as its connection lasts. */
+class LeaseRenewalLoop {
+  private isUp = true;
+  /** The count of changes that the controller knows to be applied here; undefined where it must be told of all keys. */
+  private reportedCount: number | undefined;
+  /** Whether the controller can't read a request that tells only of changes. */
+  private mustReportAll = false;
 
-  /** Takes what a controller told as missing; false where nothing came of it. */
-  async function takeMissing(exchange: PeerChannel, answer: LeaseReply): Promise<boolean> {
-    return answer.lacking
-      ? parts.catchUp.fetch(exchange, answer.lacking)
-      : parts.applyAll(answer.missing ?? []);
+  constructor(
+    private readonly dependencies: LeaseRenewalDependencies,
+    private readonly channel: PeerChannel,
+    private readonly waker: Waker,
+  ) {}
+
+  onClosed(): void {
+    this.isUp = false;
+    this.waker.wake();
   }
 
-  async function renew(exchange: PeerChannel): Promise<void> {
-    const waker = makeWaker(ports.clock);
-    wakers.add(waker);
-    let isUp = true;
-    let told: number | undefined;
-    let isWhole = false;
-    void exchange.closed.then(down);
-    function down(): void {
-      isUp = false;
-      wakers.delete(waker);
-      waker.wake();
-    }
-    function rest(share: number): Promise<void> {
-      return waker.wait(bounds.leaseRenewalMs * share, bounds.leaseRenewalMs * WOKEN);
-    }
-    while (isUp && !parts.isStopped()) {
-      const askedAt = ports.clock.now();
-      const count = applied.count();
-      const changed = told === undefined || isWhole ? undefined : changedAfter(told);
-      const [fault, reply] = errorOrValue(
-        await exchange.request('claim', askOf(changed), bounds.requestTimeoutMs),
+  async run(): Promise<void> {
+    const { ports, state, timeLimits, isStopped } = this.dependencies;
+    while (this.isUp && !isStopped()) {
+      const requestedAt = ports.clock.now();
+      const changeCount = state.changeCount();
+      const changed = this.changedEntries();
+      const [error, reply] = errorOrValue(
+        await requestLease(this.channel, this.makeRequest(changed), timeLimits.requestTimeoutMs),
       );
-      told = undefined;
-      if (fault) {
-        if (fault.code === 'bad-shape') isWhole = true;
-        if (fault.code === 'tell-all' || fault.code === 'bad-shape') continue;
-        if (fault.code === 'not-founded') await ports.clock.sleep(bounds.retryPauseMs);
-        else await rest(RETRY);
+      this.reportedCount = undefined;
+      if (error) {
+        await this.afterError(error);
         continue;
       }
-      const answer = reply as LeaseReply;
-      if (answer.voters) parts.onVoterSet(answer.voters);
-      if (!answer.granted) {
-        if (!(await takeMissing(exchange, answer))) await rest(RETRY);
-        else if (changed) told = count;
-        continue;
-      }
-      told = count;
-      parts.onGranted(answer, exchange, askedAt);
-      await rest(JITTER.least + JITTER.more * ports.random.next());
+      if (reply.voters) this.dependencies.onVoterSet(reply.voters);
+      if (reply.granted) await this.afterGrant(reply, requestedAt, changeCount);
+      else await this.afterRefusal(reply, changed === undefined ? undefined : changeCount);
     }
   }
 
-  function wake(): void {
-    for (const waker of wakers) waker.wake();
+  /** The versions that the controller has not been told of; undefined where it must be told of all. */
+  private changedEntries(): AppliedEntry[] | undefined {
+    if (this.reportedCount === undefined || this.mustReportAll) return undefined;
+    return this.dependencies.state.entriesAfter(this.reportedCount);
+  }
+
+  private makeRequest(changed: AppliedEntry[] | undefined): LeaseRequest {
+    const { member, state } = this.dependencies;
+    const request: LeaseRequest = { member, fetches: true, pieces: true };
+    if (changed === undefined) return { ...request, has: state.entries() };
+    return { ...request, deltas: true, ...(changed.length > 0 ? { changed } : {}) };
+  }
+
+  /** Waits before the next request, except where the controller only wants to be told of all keys. */
+  private async afterError({ code }: OperationError): Promise<void> {
+    const { ports, timeLimits } = this.dependencies;
+    if (code === 'bad-shape') this.mustReportAll = true;
+    if (code === 'tell-all' || code === 'bad-shape') return;
+    if (code === 'not-founded') await ports.clock.sleep(timeLimits.retryPauseMs);
+    else await this.pause(RETRY_PAUSE_RATIO);
+  }
+
+  private async afterGrant(
+    reply: LeaseReply,
+    requestedAt: number,
+    changeCount: number,
+  ): Promise<void> {
+    const { ports, onGranted } = this.dependencies;
+    this.reportedCount = changeCount;
+    onGranted(reply, this.channel, requestedAt);
+    await this.pause(MIN_INTERVAL_RATIO + INTERVAL_JITTER_RATIO * ports.random.next());
+  }
+
+  /** Fetches what is missing here; `changeCount` is what the request reported, where it told only of changes. */
+  private async afterRefusal(reply: LeaseReply, changeCount: number | undefined): Promise<void> {
+    if (await this.applyMissing(reply)) this.reportedCount = changeCount;
+    else await this.pause(RETRY_PAUSE_RATIO);
   }
 
-  return { renew, wake };
+  /** Applies what the controller reported as missing here; false where nothing came of it. */
+  private async applyMissing({ lacking, missing }: LeaseReply): Promise<boolean> {
+    const { catchUp, applyAll } = this.dependencies;
+    return lacking ? catchUp.fetch(this.channel, lacking) : applyAll(missing ?? []);
+  }
+
+  /** Waits for a ratio of the renewal interval, or until soon after it is woken. */
+  private pause(ratio: number): Promise<void> {
+    const { leaseRenewalMs } = this.dependencies.timeLimits;
+    return this.waker.wait(leaseRenewalMs * ratio, leaseRenewalMs * WAKE_DELAY_RATIO);
+  }
+}
+
+/** The renewals of one node at all controllers. */
+export class LeaseRenewals {
+  private readonly wakers = new Set<Waker>();
+
+  constructor(private readonly dependencies: LeaseRenewalDependencies) {}
+
+  /** Renews the lease at a controller for as long as its connection lasts. */
+  async renew(channel: PeerChannel): Promise<void> {
+    const { wakers } = this;
+    const waker = makeWaker(this.dependencies.ports.clock);
+    const loop = new LeaseRenewalLoop(this.dependencies, channel, waker);
+    wakers.add(waker);
+    void channel.closed.then(onClosed);
+    function onClosed(): void {
+      wakers.delete(waker);
+      loop.onClosed();
+    }
+    await loop.run();
+  }
+
+  /** Has every controller hear soon which versions are applied here. */
+  wake(): void {
+    for (const waker of this.wakers) waker.wake();
+  }
 }
--- a/src/shared/replication/member-view.ts
+++ b/src/shared/replication/member-view.ts
@@ -1,99 +1,135 @@
+/**
+ * The members that a node knows of, as the controllers' grants of its leases report them.
+ */
+
 import { Member } from '../state/members';
 
-/** What a controller's grant of a lease tells of the members: all of them, or who joined and left since. */
+/** What a controller's grant of a lease reports of the members: all of them, or who joined and left since the last. The field names are sent. */
 export interface MemberUpdate {
   members?: Member[];
   joined?: Member[];
+  /** The incarnations that left, by `incarnationOf`. */
   left?: string[];
 }
 
-interface Grant {
-  until: number;
-  members: Map<string, Member>;
-}
-
-/** The leases that this node holds, and the members that they tell of. */
+/** The leases of a node, and the members that they report. */
 export interface MemberView {
-  /** Notes a lease that a controller's disk granted. */
-  grant: (disk: string, until: number, told: MemberUpdate) => void;
-  /** When the lease of a disk ends. */
+  /** Notes the lease that a controller's disk granted until `expiresAt` (ms of the clock port). */
+  grant: (disk: string, expiresAt: number, update: MemberUpdate) => void;
+  /** When the lease that a disk granted expires. */
   expiryOf: (disk: string) => number;
+  /** The members of a role, by name; of all roles where it is empty. */
   members: (role: string) => Member[];
+  /** Drops all leases. */
   clear: () => void;
 }
 
-function lifeOf(m: Member): string {
-  return `${m.name} ${m.life}`;
+/** The lease that one disk granted, and the members by incarnation as its controller reports them. */
+interface Grant {
+  expiresAt: number;
+  members: Map<string, Member>;
+}
+
+/** Identifies one run of a process; part of the message format. */
+function incarnationOf(member: Member): string {
+  return `${member.name} ${member.life}`;
 }
 
-function byLife(m: Member): [string, Member] {
-  return [lifeOf(m), m];
+function withIncarnation(member: Member): [string, Member] {
+  return [incarnationOf(member), member];
 }
 
-function byName(a: Member, b: Member): number {
-  return a.name < b.name ? -1 : 1;
+function byName(one: Member, other: Member): number {
+  return one.name < other.name ? -1 : 1;
 }
 
-/** Makes the view; `changed` is called with all members where they may have changed. */
-export function makeMemberView(now: () => number, changed: (all: Member[]) => void): MemberView {
-  const grants = new Map<string, Grant>();
-  const shown = { by: '', text: '[]', list: [] as Member[], until: -Infinity };
-
-  function grant(disk: string, until: number, told: MemberUpdate): void {
-    const before = grants.get(disk)?.members ?? new Map<string, Member>();
-    const members = told.members ? new Map(told.members.map(byLife)) : before;
-    if (told.joined || told.left) {
-      for (const life of told.left ?? []) members.delete(life);
-      for (const m of told.joined ?? []) members.set(lifeOf(m), m);
+function bringsMembers({ members, joined, left }: MemberUpdate): boolean {
+  return members !== undefined || joined !== undefined || left !== undefined;
+}
+
+/** The members after an update; an update of who joined and left changes the map in place. */
+function updatedMembers(before: Map<string, Member>, update: MemberUpdate): Map<string, Member> {
+  const members = update.members ? new Map(update.members.map(withIncarnation)) : before;
+  for (const incarnation of update.left ?? []) members.delete(incarnation);
+  for (const member of update.joined ?? []) members.set(incarnationOf(member), member);
+  return members;
+}
+
+class GrantedMemberView implements MemberView {
+  private readonly grants = new Map<string, Grant>();
+  /** The disks whose grants lasted at the last report, and the members as text. */
+  private reported = { disks: '', text: '[]' };
+  /** The union of the members of all grants, valid until the first of them expires. */
+  private cached = { expiresAt: -Infinity, members: [] as Member[] };
+
+  constructor(
+    private readonly now: () => number,
+    private readonly onChange: (members: Member[]) => void,
+  ) {}
+
+  grant(disk: string, expiresAt: number, update: MemberUpdate): void {
+    const before = this.grants.get(disk)?.members ?? new Map<string, Member>();
+    this.grants.set(disk, { expiresAt, members: updatedMembers(before, update) });
+    this.report(bringsMembers(update));
+  }
+
+  expiryOf(disk: string): number {
+    return this.grants.get(disk)?.expiresAt ?? 0;
+  }
+
+  members(role: string): Member[] {
+    function hasRole(member: Member): boolean {
+      return role === '' || member.role === role;
     }
-    grants.set(disk, { until, members });
-    show(told.members !== undefined || told.joined !== undefined || told.left !== undefined);
+    return this.allMembers().filter(hasRole);
   }
 
-  function endOf(disk: string): number {
-    return grants.get(disk)?.until ?? 0;
+  clear(): void {
+    this.grants.clear();
   }
 
-  /** Tells who the members are where that may have changed: by what was told, or by which grants last. */
-  function show(isTold: boolean): void {
-    const at = now();
-    let by = '';
-    for (const [disk, g] of grants) if (g.until > at) by += `${disk} `;
-    if (!isTold && by === shown.by) return;
-    shown.until = -Infinity;
-    const list = everyone();
-    const text = JSON.stringify(list);
-    if (text !== shown.text) changed(list);
-    shown.by = by;
-    shown.text = text;
+  /** Reports the members where they may have changed: by an update, or by which grants last. */
+  private report(isUpdated: boolean): void {
+    const disks = this.lastingDisks();
+    if (!isUpdated && disks === this.reported.disks) return;
+    this.cached.expiresAt = -Infinity;
+    const members = this.allMembers();
+    const text = JSON.stringify(members);
+    if (text !== this.reported.text) this.onChange(members);
+    this.reported = { disks, text };
   }
 
-  /** The members that lasting grants tell of, by name; made anew where one was told, or could have ended. */
-  function everyone(): Member[] {
-    const at = now();
-    if (at < shown.until) return shown.list;
-    const all = new Map<string, Member>();
-    let until = Infinity;
-    for (const g of grants.values()) {
-      if (g.until <= at) continue;
-      until = Math.min(until, g.until);
-      for (const [life, m] of g.members) all.set(life, m);
-    }
-    shown.until = until === Infinity ? -Infinity : until;
-    shown.list = [...all.values()].sort(byName);
-    return shown.list;
+  private lastingDisks(): string {
+    const now = this.now();
+    let disks = '';
+    for (const [disk, grant] of this.grants) if (grant.expiresAt > now) disks += `${disk} `;
+    return disks;
   }
 
-  function members(role: string): Member[] {
-    function isOf(m: Member): boolean {
-      return role === '' || m.role === role;
-    }
-    return everyone().filter(isOf);
+  /** The members that lasting grants report, by name. */
+  private allMembers(): Member[] {
+    const now = this.now();
+    if (now >= this.cached.expiresAt) this.cached = this.unionAt(now);
+    return this.cached.members;
   }
 
-  function clear(): void {
-    grants.clear();
+  private unionAt(now: number): { expiresAt: number; members: Member[] } {
+    const union = new Map<string, Member>();
+    let expiresAt = Infinity;
+    for (const grant of this.grants.values()) {
+      if (grant.expiresAt <= now) continue;
+      expiresAt = Math.min(expiresAt, grant.expiresAt);
+      for (const [incarnation, member] of grant.members) union.set(incarnation, member);
+    }
+    if (expiresAt === Infinity) expiresAt = -Infinity;
+    return { expiresAt, members: [...union.values()].sort(byName) };
   }
+}
 
-  return { grant, expiryOf: endOf, members, clear };
+/** Makes a view without leases; `onChange` is called with all members where they have changed. */
+export function makeMemberView(
+  now: () => number,
+  onChange: (members: Member[]) => void,
+): MemberView {
+  return new GrantedMemberView(now, onChange);
 }
--- a/test/control/return.test.ts
+++ b/test/control/return.test.ts
@@ -20,11 +20,10 @@
   function taken(c: Parameters<typeof openChannel>[1]): void {
     openChannel(ports, c, edges);
   }
-  return followCore(
-    ports,
-    BOUNDS,
+  return followCore(ports, {
+    timeLimits: BOUNDS,
     hello,
-    {
+    member: {
       name: p.name,
       role: 'router',
       at,
@@ -32,9 +31,9 @@
       zone: p.name,
       life: ports.random.uuid().slice(0, 8),
     },
-    f.core.map(wireOf),
-    edges,
-  );
+    seeds: f.core.map(wireOf),
+    handlers: edges,
+  });
 }
 
 function wireOf(p: Proc): string {
--- a/test/shared/delta.test.ts
+++ b/test/shared/delta.test.ts
@@ -1,4 +1,5 @@
-import { makeDelta, applyPatch, diff, readDelta } from '../../src/shared/replication/delta';
+import { makeDelta, readDelta } from '../../src/shared/replication/delta';
+import { applyPatch, diff } from '../../src/shared/replication/patch';
 import { VersionedValue } from '../../src/shared/state/versions';
 import { seededDice } from '../../tools/sim/dice';
 
--- a/tools/capacity/role.ts
+++ b/tools/capacity/role.ts
@@ -136,14 +136,13 @@
       at: s.wire,
       zone: s.zone,
     };
-    const f = followCore(
-      ports,
-      timeLimitsOf(s),
+    const f = followCore(ports, {
+      timeLimits: timeLimitsOf(s),
       hello,
-      { ...hello, http: s.http, life: ports.random.uuid().slice(0, 8) },
-      s.seeds,
-      [new HelloHandlers(hello)],
-    );
+      member: { ...hello, http: s.http, life: ports.random.uuid().slice(0, 8) },
+      seeds: s.seeds,
+      handlers: [new HelloHandlers(hello)],
+    });
     void f.changes.observe(changed);
     all.push(f);
   }
--- a/tools/compatibility/scenarios.ts
+++ b/tools/compatibility/scenarios.ts
@@ -127,7 +127,13 @@
   for (const controller of ['1', '2', '3']) seeds.push(`127.20.1.${controller}:7000`);
   const member: Member = { ...hello, http: '', life: 'a' };
   const edges: object[] = [new HelloHandlers(hello)];
-  const follower = followCore(ports, timeLimitsOf(defaultSettings()), hello, member, seeds, edges);
+  const follower = followCore(ports, {
+    timeLimits: timeLimitsOf(defaultSettings()),
+    hello,
+    member,
+    seeds,
+    handlers: edges,
+  });
   function taken(connection: Connection): void {
     openChannel(ports, connection, edges);
   }
--- a/tools/sim/news/rig.ts
+++ b/tools/sim/news/rig.ts
@@ -222,7 +222,13 @@
     const life = ports.random.uuid().slice(0, 8);
     const member: Member = { name: proc.name, role: 'router', at, http: '', zone: '', life };
     const edges: object[] = [new HelloHandlers(hello)];
-    const follower = followCore(ports, timeLimitsOf(settingsOf(proc)), hello, member, seeds, edges);
+    const follower = followCore(ports, {
+      timeLimits: timeLimitsOf(settingsOf(proc)),
+      hello,
+      member,
+      seeds,
+      handlers: edges,
+    });
     followers.set(proc.name, follower);
     function taken(connection: Connection): void {
       openChannel(ports, connection, edges);
