--- a/src/index/indexer.ts
+++ b/src/index/indexer.ts
@@ -104,7 +104,7 @@
     : ownSources(ports, bounds);
   const coming = makeComing(
     ports.clock.now,
-    bounds.coming,
+    bounds.pendingBlockTtlMs,
     Math.ceil(settings.indexMostParts * COMING_SHARE),
     unheard,
   );
@@ -302,7 +302,7 @@
   }
 
   async function join(): Promise<void> {
-    await ports.clock.sleep(dialect ? bounds.joinSoon : bounds.join);
+    await ports.clock.sleep(dialect ? bounds.adapterIndexStartDelayMs : bounds.indexStartDelayMs);
     while (!stopped && !follower.hasLease()) await ports.clock.sleep(bounds.retryPauseMs);
     const dump = await dumpOfPeer(ports, bounds, peers);
     if (dump) applyDump(dump);
--- a/src/index/repair.ts
+++ b/src/index/repair.ts
@@ -120,7 +120,7 @@
   async function run(): Promise<void> {
     running = true;
     while (waits()) {
-      await p.ports.clock.sleep(p.bounds.repairTurn * (0.5 + p.ports.random.next()));
+      await p.ports.clock.sleep(p.bounds.repairIntervalMs * (0.5 + p.ports.random.next()));
       const s = worst();
       if (s !== undefined) await mend(s);
     }
@@ -132,10 +132,10 @@
     const left = (await fromPeers(source)) ?? (await byList(source));
     if (left === undefined) {
       if (!mine(source))
-        notBefore.set(source, p.ports.clock.now() + p.bounds.repairTurn * PEER_TURNS);
+        notBefore.set(source, p.ports.clock.now() + p.bounds.repairIntervalMs * PEER_TURNS);
       return;
     }
-    notBefore.set(source, p.ports.clock.now() + p.bounds.repairEach);
+    notBefore.set(source, p.ports.clock.now() + p.bounds.sourceRepairCooldownMs);
     const since = owed(source) - before + left;
     if (since > 0) owing.set(source, since);
     else owing.delete(source);
@@ -169,7 +169,7 @@
   async function byList(source: string): Promise<number | undefined> {
     const reg = p.registration(source);
     if (!reg || !p.sources.list || !mine(source)) return undefined;
-    notBefore.set(source, p.ports.clock.now() + p.bounds.repairEach);
+    notBefore.set(source, p.ports.clock.now() + p.bounds.sourceRepairCooldownMs);
     counts.lists++;
     const [f, l] = errorOrValue(await p.sources.list(reg));
     if (f) {
--- a/src/index/sources.ts
+++ b/src/index/sources.ts
@@ -126,8 +126,8 @@
       await sendAdapterRequest(
         ports.network,
         reg.at,
-        dialect.engines.feed.ask(after, bounds.feedHold),
-        bounds.feedHold + bounds.requestTimeoutMs,
+        dialect.engines.feed.ask(after, bounds.feedLongPollMs),
+        bounds.feedLongPollMs + bounds.requestTimeoutMs,
         gone,
       ),
     );
@@ -159,7 +159,14 @@
     return Right({ epoch: l.epoch, seq: l.next, held: l.held.map(eventOf) });
   }
 
-  return { asksAnew: true, gatherMs: bounds.gather, ringMost: 1024, registrations, pull, list };
+  return {
+    asksAnew: true,
+    gatherMs: bounds.feedBatchingDelayMs,
+    ringMost: 1024,
+    registrations,
+    pull,
+    list,
+  };
 }
 
 function eventOf(e: Pick<CacheEvent, 'model' | 'salt' | 'hash' | 'size'>): BlockEvent {
--- a/src/shared/settings/time-limits.ts
+++ b/src/shared/settings/time-limits.ts
@@ -19,7 +19,7 @@
   statusTimeoutMs: number;
   feedPollMs: number;
   circuitOpenMs: number;
-  join: number;
+  indexStartDelayMs: number;
   drainTimeoutMs: number;
   orderFreshnessMs: number;
   drainingEngineCutMs: number;
@@ -27,13 +27,13 @@
   lagLogThresholdMs: number;
   /** How long it is remembered that an engine is heard to leave, where lists show it serving. */
   drainingNoticeTtlMs: number;
-  feedHold: number;
-  gather: number;
-  coming: number;
+  feedLongPollMs: number;
+  feedBatchingDelayMs: number;
+  pendingBlockTtlMs: number;
   loadReportExpiryMs: number;
-  repairTurn: number;
-  repairEach: number;
-  joinSoon: number;
+  repairIntervalMs: number;
+  sourceRepairCooldownMs: number;
+  adapterIndexStartDelayMs: number;
   /** Whoever is asked to make a change in another's place waits this long for it. */
   forwardTimeoutMs: number;
   /** An owner that tells that it works on an order is waited for so much longer. */
@@ -86,19 +86,19 @@
     statusTimeoutMs: s.leavingBoundMs * 0.1,
     feedPollMs: s.leavingBoundMs * 3,
     circuitOpenMs: s.leavingBoundMs * 0.5,
-    join: s.changeBoundMs * 0.5,
+    indexStartDelayMs: s.changeBoundMs * 0.5,
     drainTimeoutMs: s.graceMs * 0.8,
     orderFreshnessMs: lease * 0.2,
     drainingEngineCutMs: s.leavingBoundMs * 0.4,
     lagLogThresholdMs: s.changeBoundMs * 0.5,
     drainingNoticeTtlMs: s.leavingBoundMs,
-    feedHold: s.changeBoundMs * 0.5,
-    gather: s.leavingBoundMs * 0.1,
-    coming: s.changeBoundMs * 0.75,
+    feedLongPollMs: s.changeBoundMs * 0.5,
+    feedBatchingDelayMs: s.leavingBoundMs * 0.1,
+    pendingBlockTtlMs: s.changeBoundMs * 0.75,
     loadReportExpiryMs: s.contactMs * 0.3,
-    repairTurn: s.changeBoundMs * 0.2,
-    repairEach: s.changeBoundMs * 5,
-    joinSoon: s.changeBoundMs * 0.15,
+    repairIntervalMs: s.changeBoundMs * 0.2,
+    sourceRepairCooldownMs: s.changeBoundMs * 5,
+    adapterIndexStartDelayMs: s.changeBoundMs * 0.15,
     forwardTimeoutMs: s.ackMs * 0.1,
     inProgressExtensionMs: s.ackMs * 0.35,
     voterLostAfterMs: s.catchUpMs * 0.25,
