--- a/src/shared/transport/body-fields.ts
+++ b/src/shared/transport/body-fields.ts
@@ -1,59 +1,71 @@
 /**
- * Declared fields of a message's or request's body, checked when it is read.
+ * Validation of the bodies of messages and requests by declared fields: a class lists its fields by decorators, and a
+ * body is checked against it when it is read.
  */
 
 import { Right } from 'purify-ts';
 import { failure, Result } from '../errors/errors';
 
-/** The class of a body, whose declared fields are checked. */
-export type Maker<T> = new () => T;
+/** A class without constructor parameters, whose declared fields a body is checked against. */
+export type BodyClass<T> = new () => T;
 
-type FieldSort = 'string' | 'number' | 'boolean' | 'object' | 'list' | 'any';
+/** The type of a field; `list` is an array, `any` is not checked. */
+type FieldType = 'string' | 'number' | 'boolean' | 'object' | 'list' | 'any';
 
 interface FieldRule {
-  sort: FieldSort;
-  need: boolean;
+  type: FieldType;
+  isRequired: boolean;
 }
 
-const fieldsOf = new Map<unknown, Map<string, FieldRule>>();
+/** The declared fields of each class, by its constructor. */
+const rulesByClass = new Map<unknown, Map<string, FieldRule>>();
 
-/** Marks a checked field of something that crosses an edge. */
-export function bodyField(sort: FieldSort, need = true): (target: object, name: string) => void {
-  function mark(target: object, name: string): void {
-    const m = fieldsOf.get(target.constructor) ?? new Map<string, FieldRule>();
-    m.set(name, { sort, need });
-    fieldsOf.set(target.constructor, m);
+/** Declares a field of a body. */
+export function bodyField(
+  type: FieldType,
+  isRequired = true,
+): (target: object, name: string) => void {
+  function declare(target: object, name: string): void {
+    const rules = rulesByClass.get(target.constructor) ?? new Map<string, FieldRule>();
+    rules.set(name, { type, isRequired });
+    rulesByClass.set(target.constructor, rules);
   }
-  return mark;
+  return declare;
 }
 
-function sortOf(v: unknown): FieldSort {
-  if (Array.isArray(v)) return 'list';
-  return typeof v as FieldSort;
+function hasType(value: unknown, type: FieldType): boolean {
+  if (type === 'any') return true;
+  return (Array.isArray(value) ? 'list' : typeof value) === type;
 }
 
-/** Checks a body against a marked shape; unknown fields are dropped. */
+/** What is wrong with the value of a field; undefined where nothing is. */
+function findFieldError(name: string, rule: FieldRule, value: unknown): string | undefined {
+  if (value === undefined || value === null)
+    return rule.isRequired ? `field ${name} is missing` : undefined;
+  if (!hasType(value, rule.type)) return `field ${name} must be a ${rule.type}`;
+  if (rule.type === 'number' && !Number.isFinite(value)) return `field ${name} must be finite`;
+  return undefined;
+}
+
+/**
+ * Reads a body as an instance of a class with declared fields; others are dropped. `step` and `peer` are those of the
+ * error, whose code is `bad-shape`.
+ */
 export function parseBody<T extends object>(
-  shape: Maker<T>,
+  bodyClass: BodyClass<T>,
   body: unknown,
   step: string,
   peer: string,
 ): Result<T> {
   if (typeof body !== 'object' || body === null || Array.isArray(body))
     return failure(step, peer, 'an object is wanted', 'refused', 'bad-shape');
-  const out = new shape() as Record<string, unknown>;
-  const src = body as Record<string, unknown>;
-  for (const [name, rule] of fieldsOf.get(shape) ?? []) {
-    const v = src[name];
-    if (v === undefined || v === null) {
-      if (rule.need) return failure(step, peer, `field ${name} is missing`, 'refused', 'bad-shape');
-      continue;
-    }
-    if (rule.sort !== 'any' && sortOf(v) !== rule.sort)
-      return failure(step, peer, `field ${name} must be a ${rule.sort}`, 'refused', 'bad-shape');
-    if (rule.sort === 'number' && !Number.isFinite(v))
-      return failure(step, peer, `field ${name} must be finite`, 'refused', 'bad-shape');
-    out[name] = v;
+  const parsed = new bodyClass() as Record<string, unknown>;
+  const fields = body as Record<string, unknown>;
+  for (const [name, rule] of rulesByClass.get(bodyClass) ?? []) {
+    const value = fields[name];
+    const reason = findFieldError(name, rule, value);
+    if (reason !== undefined) return failure(step, peer, reason, 'refused', 'bad-shape');
+    if (value !== undefined && value !== null) parsed[name] = value;
   }
-  return Right(out as T);
+  return Right(parsed as T);
 }
--- a/src/shared/transport/compressed-requests.ts
+++ b/src/shared/transport/compressed-requests.ts
@@ -1,61 +1,62 @@
 /**
- * Long asks between controllers, compressed.
+ * Requests between our own processes whose long bodies are compressed.
  */
+
 import { pack } from 'msgpackr';
+import { errorOrValue, Result } from '../errors/errors';
+import { bodyField } from './body-fields';
 import { decompress, deflate } from './compression';
-import { PeerChannel } from './peer-channel';
 import { dispatch, HandlerResult, messageHandler } from './message-handlers';
-import { bodyField } from './body-fields';
-import { errorOrValue, Result } from '../errors/errors';
+import { PeerChannel } from './peer-channel';
 
-/** An ask of more bytes than this is compressed. */
-const PACKED_ABOVE = 4096;
+/** A body of more bytes is compressed. */
+const MAX_UNCOMPRESSED_BYTES = 4096;
 
-/** An ask of another type whose body is compressed. */
+/** A request of another type whose body is compressed. The field names are sent. */
 export class CompressedRequest {
   @bodyField('string') type!: string;
   @bodyField('any') bytes!: Uint8Array;
 }
 
-/** Takes compressed asks, and hands them to the handlers of what they hold. */
+/** Handles compressed requests by the handlers of their types. */
 export class CompressedRequestHandlers {
-  constructor(private readonly edges: readonly object[]) {}
+  constructor(private readonly handlers: readonly object[]) {}
 
-  /** Reads the body and has it handled as if it had come by itself. */
+  /** Reads the body, and has the request handled as if it had come uncompressed. */
   @messageHandler('packed', CompressedRequest)
-  async packed(m: CompressedRequest, from: PeerChannel): HandlerResult {
-    const read = decompress('read packed', from.peer, m.bytes);
-    if (read.isLeft()) return read;
-    return dispatch(this.edges, m.type, read.extract(), from, from.peer);
+  async packed({ type, bytes }: CompressedRequest, from: PeerChannel): HandlerResult {
+    const body = decompress('read packed', from.peer, bytes);
+    if (body.isLeft()) return body;
+    return dispatch(this.handlers, type, body.extract(), from, from.peer);
   }
 }
 
-/** The compressed bodies of asks that go to several peers; nothing for one that is short. */
-const packedBodies = new WeakMap<object, Uint8Array | undefined>();
+/** The compressed bodies of requests that go to several peers; undefined for one that is short. */
+const compressedBodies = new WeakMap<object, Uint8Array | undefined>();
 
-function packedBody(body: object): Uint8Array | undefined {
-  if (packedBodies.has(body)) return packedBodies.get(body);
+function compressedBody(body: object): Uint8Array | undefined {
+  if (compressedBodies.has(body)) return compressedBodies.get(body);
   const bytes = pack(body);
-  const packed = bytes.length > PACKED_ABOVE ? deflate(bytes) : undefined;
-  packedBodies.set(body, packed);
-  return packed;
+  const compressed = bytes.length > MAX_UNCOMPRESSED_BYTES ? deflate(bytes) : undefined;
+  compressedBodies.set(body, compressed);
+  return compressed;
 }
 
-/** Bytes of an ask's body where they are compressed, 0 where it is short. */
+/** The bytes of a request's body where it is compressed, 0 where it is short. */
 export function compressedBodyBytes(body: object): number {
-  return packedBody(body)?.length ?? 0;
+  return compressedBody(body)?.length ?? 0;
 }
 
-/** Asks with a compressed body where it is long; a peer of an earlier release is asked as before. */
+/** Sends a request, with a compressed body where that is long; a peer of an earlier release that can't read it is sent it uncompressed. */
 export async function requestCompressed(
-  exchange: PeerChannel,
+  channel: PeerChannel,
   type: string,
   body: object,
-  within: number,
+  timeoutMs: number,
 ): Promise<Result<unknown>> {
-  const bytes = packedBody(body);
-  if (!bytes) return exchange.request(type, body, within);
-  const reply = await exchange.request('packed', { type, bytes }, within);
-  const [fault] = errorOrValue(reply);
-  return fault?.code === 'not-known' ? exchange.request(type, body, within) : reply;
+  const bytes = compressedBody(body);
+  if (!bytes) return channel.request(type, body, timeoutMs);
+  const reply = await channel.request('packed', { type, bytes }, timeoutMs);
+  const [error] = errorOrValue(reply);
+  return error?.code === 'not-known' ? channel.request(type, body, timeoutMs) : reply;
 }
--- a/src/shared/transport/http-handlers.ts
+++ b/src/shared/transport/http-handlers.ts
@@ -2,32 +2,38 @@
  * Handlers of HTTP requests, declared by decorators, and the documented form of errors.
  */
 
-import { errorOrValue, describeError } from '../errors/errors';
-import { IncomingRequest } from '../ports/network';
+import { describeError, errorOrValue } from '../errors/errors';
 import { Logger } from '../ports/logger';
+import { IncomingRequest } from '../ports/network';
 import { parseJson } from '../util/try-catch';
-import { Maker, parseBody } from './body-fields';
+import { BodyClass, parseBody } from './body-fields';
 
-interface Handling {
+type HandlerMethod = (call: IncomingRequest, ...segments: string[]) => Promise<void>;
+
+interface HandlerDeclaration {
   verb: string;
   path: string;
-  name: string;
+  methodName: string;
 }
 
-const handlingsOf = new Map<unknown, Handling[]>();
+/** The declared handlers of each class, by its constructor. */
+const declarationsByClass = new Map<unknown, HandlerDeclaration[]>();
+
+const MS_PER_S = 1000;
 
-/** Marks a method as the handler of an HTTP verb and path; `:x` parts match one segment. */
-export function httpHandler(verb: string, path: string): (target: object, name: string) => void {
-  function mark(target: object, name: string): void {
-    handlingsOf.set(target.constructor, [
-      ...(handlingsOf.get(target.constructor) ?? []),
-      { verb, path, name },
-    ]);
+/** Declares a method as the handler of an HTTP verb and path; a segment `:name` of the path matches any, and is passed to the method. */
+export function httpHandler(
+  verb: string,
+  path: string,
+): (target: object, methodName: string) => void {
+  function declare(target: object, methodName: string): void {
+    const declarations = declarationsByClass.get(target.constructor) ?? [];
+    declarationsByClass.set(target.constructor, [...declarations, { verb, path, methodName }]);
   }
-  return mark;
+  return declare;
 }
 
-/** Sends a JSON return whole. */
+/** Sends a complete JSON response. */
 export function sendJson(
   call: IncomingRequest,
   status: number,
@@ -38,101 +44,113 @@
   call.end(JSON.stringify(body) + '\n');
 }
 
-/** Sends the one documented shape of an error. */
+/** Sends an error in the documented form; `certainty` is its field `class`, and `retryAfterMs` becomes `Retry-After` in whole seconds. */
 export function sendError(
   call: IncomingRequest,
   status: number,
-  sort: string,
+  certainty: string,
   code: string,
-  why: string,
-  retryAfter?: number,
+  message: string,
+  retryAfterMs?: number,
 ): void {
-  const again: Record<string, string> =
-    retryAfter === undefined
-      ? {}
-      : { 'retry-after': String(Math.max(1, Math.ceil(retryAfter / 1000))) };
-  sendJson(call, status, { error: { class: sort, code, message: why } }, again);
+  const headers: Record<string, string> =
+    retryAfterMs === undefined ? {} : { 'retry-after': retryAfterSeconds(retryAfterMs) };
+  sendJson(call, status, { error: { class: certainty, code, message } }, headers);
 }
 
-/** Reads and checks a JSON body; on a fault the return is given and undefined comes back. */
+function retryAfterSeconds(retryAfterMs: number): string {
+  return String(Math.max(1, Math.ceil(retryAfterMs / MS_PER_S)));
+}
+
+/** Reads a JSON body of at most `maxBytes`; where it can't be read the error is sent, and undefined is returned. */
 export async function readJsonBody(
   call: IncomingRequest,
-  most: number,
+  maxBytes: number,
 ): Promise<unknown | undefined> {
-  const [f, text] = errorOrValue(await call.body(most));
-  if (f) {
-    sendError(call, f.code === 'too-large' ? 413 : 400, 'refused', f.code ?? 'bad-body', f.reason);
+  const [bodyError, text] = errorOrValue(await call.body(maxBytes));
+  if (bodyError) {
+    const { code, reason } = bodyError;
+    sendError(call, code === 'too-large' ? 413 : 400, 'refused', code ?? 'bad-body', reason);
     return undefined;
   }
-  const [g, v] = errorOrValue(parseJson(text, 'read body', call.peer));
-  if (g || v === undefined || v === null) {
-    sendError(call, 400, 'refused', 'bad-json', g ? g.reason : 'empty');
+  const [parseError, body] = errorOrValue(parseJson(text, 'read body', call.peer));
+  if (parseError || body === undefined || body === null) {
+    sendError(call, 400, 'refused', 'bad-json', parseError ? parseError.reason : 'empty');
     return undefined;
   }
-  return v;
+  return body;
 }
 
-/** Reads a JSON body and checks it against a marked shape; on a fault the return is given and undefined comes back. */
+/** Reads a JSON body as a class with declared fields; where it can't be read the error is sent, and undefined is returned. */
 export async function readBodyAs<T extends object>(
   call: IncomingRequest,
-  shape: Maker<T>,
-  most: number,
+  bodyClass: BodyClass<T>,
+  maxBytes: number,
   step: string,
 ): Promise<T | undefined> {
-  const body = await readJsonBody(call, most);
+  const body = await readJsonBody(call, maxBytes);
   if (body === undefined) return undefined;
-  const [f, v] = errorOrValue(parseBody(shape, body, step, call.peer));
-  if (f) sendError(call, 400, 'refused', f.code ?? 'bad-shape', f.reason);
-  return v;
+  const [error, parsed] = errorOrValue(parseBody(bodyClass, body, step, call.peer));
+  if (error) sendError(call, 400, 'refused', error.code ?? 'bad-shape', error.reason);
+  return parsed;
 }
 
-function matches(pattern: string, path: string): string[] | undefined {
-  const a = pattern.split('/');
-  const b = path.split('/');
-  if (a.length !== b.length) return undefined;
-  const found: string[] = [];
-  for (let i = 0; i < a.length; i++) {
-    if (a[i].startsWith(':')) found.push(b[i]);
-    else if (a[i] !== b[i]) return undefined;
+/** The segments that match those of a pattern with a name; undefined where the path does not match. */
+function matchPath(pattern: string, path: string): string[] | undefined {
+  const expected = pattern.split('/');
+  const segments = path.split('/');
+  if (expected.length !== segments.length) return undefined;
+  const matched: string[] = [];
+  for (const [index, segment] of segments.entries()) {
+    if (expected[index].startsWith(':')) matched.push(segment);
+    else if (expected[index] !== segment) return undefined;
   }
-  return found;
+  return matched;
+}
+
+/** The handler of a request, or whether its path has one for another verb. */
+interface Route {
+  run?: () => Promise<void>;
+  isPathKnown: boolean;
 }
 
-/** Makes the taker of HTTP requests for objects with marked handlers. */
+function findRoute(handlers: readonly object[], call: IncomingRequest): Route {
+  let isPathKnown = false;
+  for (const handler of handlers) {
+    for (const { verb, path, methodName } of declarationsByClass.get(handler.constructor) ?? []) {
+      const segments = matchPath(path, call.path);
+      if (!segments) continue;
+      isPathKnown = true;
+      if (verb !== call.method) continue;
+      const methods = handler as Record<string, HandlerMethod>;
+      return { run: run.bind(undefined, methods, methodName, segments), isPathKnown };
+    }
+  }
+  function run(
+    methods: Record<string, HandlerMethod>,
+    methodName: string,
+    segments: string[],
+  ): Promise<void> {
+    return methods[methodName](call, ...segments);
+  }
+  return { isPathKnown };
+}
+
+/** Makes the listener that passes requests to handlers; others are answered 404, or 405 where the path has a handler for another verb. */
 export function makeRequestListener(
-  edges: readonly object[],
-  log: Logger,
+  handlers: readonly object[],
+  logger: Logger,
 ): (call: IncomingRequest) => Promise<void> {
-  async function take(call: IncomingRequest): Promise<void> {
-    let known = false;
-    for (const e of edges) {
-      for (const h of handlingsOf.get(e.constructor) ?? []) {
-        const found = matches(h.path, call.path);
-        if (!found) continue;
-        known = true;
-        if (h.verb !== call.method) continue;
-        await (
-          e as unknown as Record<string, (c: IncomingRequest, ...x: string[]) => Promise<void>>
-        )[h.name](call, ...found);
-        return;
-      }
-    }
-    log.info(
-      { step: 'take call', peer: call.peer },
-      describeError({
-        step: call.method,
-        peer: call.peer,
-        reason: call.path,
-        certainty: 'refused',
-      }),
-    );
-    sendError(
-      call,
-      known ? 405 : 404,
-      'refused',
-      known ? 'bad-method' : 'not-found',
-      `${call.method} ${call.path}`,
+  async function onRequest(call: IncomingRequest): Promise<void> {
+    const { run, isPathKnown } = findRoute(handlers, call);
+    if (run) return run();
+    const { method, path, peer } = call;
+    logger.info(
+      { event: 'http.request-without-handler', peer },
+      describeError({ step: method, peer, reason: path, certainty: 'refused' }),
     );
+    if (isPathKnown) sendError(call, 405, 'refused', 'bad-method', `${method} ${path}`);
+    else sendError(call, 404, 'refused', 'not-found', `${method} ${path}`);
   }
-  return take;
+  return onRequest;
 }
--- a/src/shared/transport/message-handlers.ts
+++ b/src/shared/transport/message-handlers.ts
@@ -2,49 +2,55 @@
  * Handlers of messages between our own processes, declared by decorators.
  */
 
-import { Right } from 'purify-ts';
-import { failure, errorOrValue, Result } from '../errors/errors';
-import { Maker, parseBody } from './body-fields';
+import { Left, Right } from 'purify-ts';
+import { errorOrValue, failure, Result } from '../errors/errors';
+import { BodyClass, parseBody } from './body-fields';
 
-const messagesOf = new Map<unknown, Map<string, { name: string; shape?: Maker<object> }>>();
+/** The reply of a message handler. */
+export type HandlerResult = Promise<Result<unknown>>;
+
+type HandlerMethod = (body: unknown, from: unknown) => HandlerResult;
+
+interface HandlerDeclaration {
+  methodName: string;
+  /** What the body is checked against; without one it is passed on as it came. */
+  bodyClass?: BodyClass<object>;
+}
 
-/** Marks a method as the handler of a wire message, its body checked against a shape. */
+/** The declared handlers of each class, by its constructor and then by message type. */
+const declarationsByClass = new Map<unknown, Map<string, HandlerDeclaration>>();
+
+/** Declares a method as the handler of a message type, its body checked against a class with declared fields. */
 export function messageHandler(
   type: string,
-  shape?: Maker<object>,
-): (target: object, name: string) => void {
-  function mark(target: object, name: string): void {
-    const m =
-      messagesOf.get(target.constructor) ??
-      new Map<string, { name: string; shape?: Maker<object> }>();
-    m.set(type, { name, shape });
-    messagesOf.set(target.constructor, m);
+  bodyClass?: BodyClass<object>,
+): (target: object, methodName: string) => void {
+  function declare(target: object, methodName: string): void {
+    const declarations =
+      declarationsByClass.get(target.constructor) ?? new Map<string, HandlerDeclaration>();
+    declarations.set(type, { methodName, bodyClass });
+    declarationsByClass.set(target.constructor, declarations);
   }
-  return mark;
+  return declare;
 }
 
-/** What a message handler gives back. */
-export type HandlerResult = Promise<Result<unknown>>;
-
-/** Hands a wire message to the first of the objects that handles its type. */
+/** Calls the first of the handlers that declares a message's type. Errors: `not-known`, `bad-shape`, and the handler's own. */
 export async function dispatch(
-  edges: readonly object[],
+  handlers: readonly object[],
   type: string,
   body: unknown,
   from: unknown,
   peer: string,
 ): HandlerResult {
-  for (const e of edges) {
-    const h = messagesOf.get(e.constructor)?.get(type);
-    if (!h) continue;
-    const [f, v] = errorOrValue(
-      h.shape ? parseBody(h.shape, body, type, peer) : Right(body as object),
-    );
-    if (f) return failure(f.step, f.peer, f.reason, f.certainty, f.code);
-    return (e as unknown as Record<string, (b: unknown, x: unknown) => HandlerResult>)[h.name](
-      v,
-      from,
+  for (const handler of handlers) {
+    const declaration = declarationsByClass.get(handler.constructor)?.get(type);
+    if (!declaration) continue;
+    const { methodName, bodyClass } = declaration;
+    const [error, parsed] = errorOrValue(
+      bodyClass ? parseBody(bodyClass, body, type, peer) : Right(body as object),
     );
+    if (error) return Left(error);
+    return (handler as Record<string, HandlerMethod>)[methodName](parsed, from);
   }
   return failure(type, peer, 'message not known here', 'refused', 'not-known');
 }
--- a/src/shared/transport/quorum-poll.ts
+++ b/src/shared/transport/quorum-poll.ts
@@ -1,38 +1,66 @@
-import { Left, Right } from 'purify-ts';
-import { makeError, errorOrValue, Result } from '../errors/errors';
+/**
+ * Quorum polls: a request to all voters that is decided as soon as a quorum agrees, or no longer can.
+ */
+
+import { Right } from 'purify-ts';
+import { errorOrValue, failure, OperationError, Result } from '../errors/errors';
 import { allVoters, isQuorum, Voter, VoterSet } from '../state/voter-set';
 
-function sameDisk(r: { disk?: string } | undefined, v: Voter): boolean {
-  return r?.disk === v.disk;
+/** The test of a reply where the caller gives none: that it comes from the voter's own disk. */
+function isFromOwnDisk(reply: unknown, voter: Voter): boolean {
+  return (reply as { disk?: string } | undefined)?.disk === voter.disk;
+}
+
+/** A vote against, by an error or by a reply that the test did not accept. */
+function noQuorum<T>(voter: Voter, error: OperationError | undefined): Result<T> {
+  const reason = error ? error.reason : 'said no';
+  return failure('poll', voter.at, reason, 'unknown', error?.code ?? 'no-quorum');
+}
+
+/** The votes of one poll. */
+class Ballot {
+  private readonly accepted = new Set<string>();
+  /** The disks that have not voted against. */
+  private readonly open = new Set<string>();
+
+  constructor(private readonly voters: VoterSet) {
+    for (const { disk } of allVoters(voters)) this.open.add(disk);
+  }
+
+  count(voter: Voter, isAccepted: boolean): void {
+    if (isAccepted) this.accepted.add(voter.disk);
+    else this.open.delete(voter.disk);
+  }
+
+  isWon(): boolean {
+    return isQuorum(this.voters, this.accepted);
+  }
+
+  isLost(): boolean {
+    return !isQuorum(this.voters, this.open);
+  }
 }
 
-/** Asks all voters and comes back as soon as enough said yes, or no longer can; without a test, a yes is the voter's own disk. */
+/**
+ * Asks all voters side by side. Resolves with the replies so far once a quorum gave one that `isYes` accepts; or, once
+ * no quorum can any more, with the error of the vote that decided it: its own code, or `no-quorum`, of unknown effect.
+ */
 export async function pollVoters<T>(
   voters: VoterSet,
-  ask: (v: Voter) => Promise<Result<T>>,
-  yes: (r: T, v: Voter) => boolean = sameDisk as never,
+  ask: (voter: Voter) => Promise<Result<T>>,
+  isYes: (reply: T, voter: Voter) => boolean = isFromOwnDisk,
 ): Promise<Result<T[]>> {
-  const all = allVoters(voters);
-  const good = new Set<string>();
-  const not = new Set<string>();
-  const got: T[] = [];
-  function wait(done: (o: Result<T[]>) => void): void {
-    for (const v of all) void one(v);
-    async function one(v: Voter): Promise<void> {
-      const [f, r] = errorOrValue(await ask(v));
-      if (r !== undefined) got.push(r);
-      if (!f && yes(r, v)) good.add(v.disk);
-      else not.add(v.disk);
-      if (isQuorum(voters, good)) return done(Right(got));
-      const rest = new Set<string>();
-      for (const x of all) if (!not.has(x.disk)) rest.add(x.disk);
-      if (!isQuorum(voters, rest))
-        done(
-          Left(
-            makeError('poll', v.at, f ? f.reason : 'said no', 'unknown', f?.code ?? 'no-quorum'),
-          ),
-        );
+  const ballot = new Ballot(voters);
+  const replies: T[] = [];
+  function run(resolve: (outcome: Result<T[]>) => void): void {
+    for (const voter of allVoters(voters)) void poll(voter);
+    async function poll(voter: Voter): Promise<void> {
+      const [error, reply] = errorOrValue(await ask(voter));
+      if (reply !== undefined) replies.push(reply);
+      ballot.count(voter, !error && isYes(reply, voter));
+      if (ballot.isWon()) resolve(Right(replies));
+      else if (ballot.isLost()) resolve(noQuorum(voter, error));
     }
   }
-  return new Promise(wait);
+  return new Promise(run);
 }
