--- a/src/index/indexer.ts
+++ b/src/index/indexer.ts
@@ -104,7 +104,7 @@
     : ownSources(ports, bounds);
   const coming = makeComing(
     ports.clock.now,
-    bounds.coming,
+    bounds.pendingBlockTtlMs,
     Math.ceil(settings.indexMostParts * COMING_SHARE),
     unheard,
   );
@@ -127,7 +127,13 @@
     new OverlapEdge(trees, coming, loads, reached, gateOpen),
     repair.edge,
   );
-  const follower = followCore(ports, bounds, hello, member, settings.seeds, edges);
+  const follower = followCore(ports, {
+    timeLimits: bounds,
+    hello,
+    member,
+    seeds: settings.seeds,
+    handlers: edges,
+  });
 
   function gateOpen(): boolean {
     return gate;
@@ -296,7 +302,7 @@
   }
 
   async function join(): Promise<void> {
-    await ports.clock.sleep(dialect ? bounds.joinSoon : bounds.join);
+    await ports.clock.sleep(dialect ? bounds.adapterIndexStartDelayMs : bounds.indexStartDelayMs);
     while (!stopped && !follower.hasLease()) await ports.clock.sleep(bounds.retryPauseMs);
     const dump = await dumpOfPeer(ports, bounds, peers);
     if (dump) applyDump(dump);
