--- a/src/index/indexer.ts
+++ b/src/index/indexer.ts
@@ -1,94 +1,133 @@
-import { helloOf } from '../shared/transport/hello';
+/**
+ * An indexer: it follows the core, listens to engines and stores, and answers which of them keep a prompt's prefix.
+ */
+
 import { Left, Right } from 'purify-ts';
-import { EventBatch, EventsReply } from '../shared/contracts/engine';
+import { EventsReply } from '../shared/contracts/engine';
 import { errorOrValue, Result } from '../shared/errors/errors';
-import { followCore, Follower } from '../shared/replication/follower';
-import { Ports } from '../shared/ports/ports';
+import { PlatformAdapter } from '../shared/platform-adapter/platform-adapter';
 import { Connection } from '../shared/ports/network';
-import { TimeLimits, timeLimitsOf } from '../shared/settings/time-limits';
+import { Ports } from '../shared/ports/ports';
+import { followCore, Follower } from '../shared/replication/follower';
 import { Settings } from '../shared/settings/settings';
-import { openChannel, HelloHandlers, makeConnectionPool } from '../shared/transport/connections';
-import { PlatformAdapter } from '../shared/platform-adapter/platform-adapter';
-import { addressOf } from '../shared/state/voter-set';
+import { TimeLimits, timeLimitsOf } from '../shared/settings/time-limits';
 import { Member } from '../shared/state/members';
-import { Coming, makeComing, Unheard } from './coming';
-import { dumpOfPeer } from './dump';
-import { GapCounts, makeGaps } from './gaps';
-import { BatchRing, Heard, Listener, ListenerView, listenTo, makeRing } from './listener';
-import { makeLoads } from './loads';
+import { addressOf } from '../shared/state/voter-set';
+import { BatchRing } from './batch-ring';
+import { CacheSources, makeOwnSources, makePlatformSources, Registration } from './cache-sources';
+import { ExpectedBlocks, ExpiredExpectation, makeExpectedBlocks } from './expected-blocks';
+import { FeedListener, ListenerView } from './feed-listener';
+import { FeedProcessor } from './feed-processor';
+import { GapCounts, GapFiller, makeGapFiller } from './gap-filler';
 import {
+  blocksOf,
   CompactDump,
   Dump,
-  IndexEdge,
-  IndexParts,
-  partsOf,
-  QueryAsk,
-  ReusedTell,
-} from './messages';
-import { OverlapEdge } from './overlap';
-import { makeRepair, Repair } from './repair';
-import { dialectSources, ownSources, Registration, Sources } from './sources';
-import { makeTrees, Overlap, Trees } from './tree';
+  IndexHandlers,
+  IndexHandlersDependencies,
+  OverlapQuery,
+  ReuseReport,
+} from './index-handlers';
+import { makeLoadBoard } from './load-board';
+import { OverlapHandlers } from './overlap-handlers';
+import { requestPeerDump } from './peer-dump';
+import { makePrefixTrees, Overlap, PrefixTrees } from './prefix-trees';
+import { makeSourceRepair, SourceRepair } from './source-repair';
+import { HelloHandlers } from '../shared/transport/hello-handlers';
+import { helloOf } from '../shared/transport/hello';
+import { ConnectionPool, makeConnectionPool } from '../shared/transport/connection-pool';
+import { openChannel } from '../shared/transport/peer-channel';
+
+/** What an indexer counts; the names become metrics. */
+export interface IndexCounts extends GapCounts {
+  queries: number;
+  epochChanges: number;
+  /** Blocks that an engine's answer showed to be cached. */
+  confirmed: number;
+  /** Doubted blocks that an engine's answer showed to be gone. */
+  dropped: number;
+}
 
 /** A running indexer. */
-export interface Indexer extends IndexParts {
+export interface Indexer extends IndexHandlersDependencies {
   settings: Settings;
   follower: Follower;
-  trees: Trees;
-  edges: object[];
-  gateOpen: () => boolean;
-  listeners: () => ListenerView[];
+  trees: PrefixTrees;
+  handlers: object[];
+  /** Whether it answers: it has caught up with a peer, or there is none. */
+  isReady: () => boolean;
+  listenerViews: () => ListenerView[];
   counts: IndexCounts;
-  coming: Coming;
-  sources: Sources;
+  expectedBlocks: ExpectedBlocks;
+  sources: CacheSources;
   /** Whether a source's feed can be reached. */
-  reached: (source: string) => boolean;
-  repair: Repair;
+  isReachable: (source: string) => boolean;
+  repair: SourceRepair;
   stop: () => Promise<void>;
 }
 
-/** What an indexer counts. */
-export interface IndexCounts extends GapCounts {
-  queries: number;
-  epochChanges: number;
-  confirmed: number;
-  dropped: number;
+/** How an indexer is started. */
+export interface IndexerOptions {
+  ports: Ports;
+  settings: Settings;
+  /** The platform's adapter; without one, engines and stores speak the product's own contracts. */
+  adapter?: PlatformAdapter;
+  /** Handlers of our own messages, to which the indexer adds its own. */
+  handlers: object[];
 }
 
-/** Notes of parts on their way, as a share of the parts that are kept at the most. */
-const COMING_SHARE = 0.1;
+/** The share of the retained blocks that may be expected and not told of yet. */
+const EXPECTED_BLOCKS_RATIO = 0.1;
 
-/** Starts an indexer on the product's own contracts or on a dialect: listeners buffer, a peer's dump is applied, the gate opens, the buffer drains. */
+/** Bytes of an incarnation's id that tell one run of a process from another. */
+const INCARNATION_CHARACTERS = 8;
+
+/** Starts an indexer; without `listens` it takes no connections. */
 export async function startIndexer(
   ports: Ports,
   settings: Settings,
-  dialect?: PlatformAdapter,
-  edges: object[] = [],
+  adapter?: PlatformAdapter,
+  handlers: object[] = [],
   listens = true,
 ): Promise<Result<Indexer>> {
-  const bounds: TimeLimits = timeLimitsOf(settings);
-  const hello = helloOf(settings, 'indexer');
-  const member: Member = {
-    name: settings.name,
-    role: 'indexer',
-    at: settings.wire,
-    http: settings.http,
-    zone: settings.zone,
-    life: ports.random.uuid().slice(0, 8),
-  };
-  const trees = makeTrees(settings.indexMostParts);
-  const heard = new Map<string, Heard>();
-  const listeners = new Map<string, Listener>();
-  const rings = new Map<string, BatchRing>();
-  const peers = makeConnectionPool(ports, {
-    hello,
-    handlers: edges,
-    timeoutMs: bounds.connectTimeoutMs,
-    retryPauseMs: bounds.retryPauseMs,
-  });
-  const turns = new Map<string, Promise<void>>();
-  const buffered: { id: string; r: EventsReply }[] = [];
-  const counts: IndexCounts = {
+  const service = new IndexerService({ ports, settings, adapter, handlers });
+  if (listens) {
+    const [error] = errorOrValue(await service.listen());
+    if (error) return Left(error);
+  }
+  service.startCatchUp();
+  return Right(service.asIndexer());
+}
+
+function serves(registration: Registration): boolean {
+  return !registration.paused;
+}
+
+function idOf(registration: Registration): string {
+  return registration.id;
+}
+
+function byId(a: ListenerView, b: ListenerView): number {
+  return a.id < b.id ? -1 : 1;
+}
+
+/** The state of an indexer, and what it does with what it hears. */
+class IndexerService {
+  private readonly ports: Ports;
+  private readonly settings: Settings;
+  private readonly timeLimits: TimeLimits;
+  private readonly trees: PrefixTrees;
+  private readonly listeners = new Map<string, FeedListener>();
+  /** Replies that came before a peer's dump was applied. */
+  private readonly buffered: { source: string; reply: EventsReply }[] = [];
+  private readonly peers: ConnectionPool;
+  private readonly sources: CacheSources;
+  private readonly expectedBlocks: ExpectedBlocks;
+  private readonly repair: SourceRepair;
+  private readonly gaps: GapFiller;
+  private readonly feeds: FeedProcessor;
+  private readonly follower: Follower;
+  private readonly counts: IndexCounts = {
     queries: 0,
     gaps: 0,
     repairedBatches: 0,
@@ -97,296 +136,339 @@
     confirmed: 0,
     dropped: 0,
   };
-  let gate = false;
-  let stopped = false;
-  const sources: Sources = dialect
-    ? dialectSources(ports, bounds, dialect)
-    : ownSources(ports, bounds);
-  const coming = makeComing(
-    ports.clock.now,
-    bounds.pendingBlockTtlMs,
-    Math.ceil(settings.indexMostParts * COMING_SHARE),
-    unheard,
-  );
-  const loads = makeLoads(ports.clock.now, bounds.loadReportExpiryMs);
-  const repair = makeRepair({
-    ports,
-    bounds,
-    sources,
-    trees,
-    peers,
-    at: settings.wire,
-    registration: registrationOf,
-    heard: heard.get.bind(heard),
-    adopt,
-  });
-  const gaps = makeGaps({ ports, bounds, trees, peers, repair, counts, apply: applyBatch });
-  edges.push(
-    new HelloHandlers(hello),
-    new IndexEdge({ query, dump, dumpRows, ring, reused }),
-    new OverlapEdge(trees, coming, loads, reached, gateOpen),
-    repair.edge,
-  );
-  const follower = followCore(ports, {
-    timeLimits: bounds,
-    hello,
-    member,
-    seeds: settings.seeds,
-    handlers: edges,
-  });
-
-  function gateOpen(): boolean {
-    return gate;
-  }
-
-  function ring(source: string): BatchRing {
-    const r = rings.get(source) ?? makeRing(sources.ringMost);
-    rings.set(source, r);
-    return r;
-  }
-
-  function query(q: QueryAsk): Overlap[] {
-    counts.queries++;
-    return trees.query(q.model, q.salt, q.weights, partsOf(q));
-  }
-
-  function dump(): Dump {
-    return { open: gate, heard: [...heard], events: trees.dump() };
-  }
-
-  function reused(m: ReusedTell): void {
-    if (!listeners.has(m.source)) return;
-    const r = trees.reused(m.source, m.model, m.salt, m.weights, m.parts, m.count);
-    counts.confirmed += r.confirmed;
-    counts.dropped += r.dropped;
-  }
-
-  function dumpRows(): CompactDump {
-    return { open: gate, heard: [...heard], owed: repair.owedAll(), rows: trees.rows() };
-  }
-
-  function registrationOf(source: string): Registration | undefined {
-    const r = listeners.get(source)?.reg;
-    return r?.paused ? undefined : r;
-  }
-
-  function reached(source: string): boolean {
-    return listeners.get(source)?.reached() ?? false;
-  }
-
-  /** A part that was to come is taken for kept where numbers were lost meanwhile, as its event may be one of them. */
-  function unheard(u: Unheard): void {
-    if (registrationOf(u.source) && repair.owed(u.source) > 0)
-      trees.apply(u.source, {
-        kind: 'stored',
-        model: u.model,
-        weights: '',
-        salt: u.salt,
-        parent: '',
-        hash: u.hash,
-        size: u.size,
-      });
-  }
-
-  function adopt(source: string, epoch: string, seq: number, takeOver: () => void): void {
-    takeOver();
-    const h = heard.get(source);
-    if (h?.epoch === epoch && h.seq > seq)
-      for (const b of ring(source).between(epoch, seq + 1, h.seq)) applyEvents(source, b);
-    else heard.set(source, { epoch, seq });
-  }
-
-  function drop(source: string): void {
-    trees.dropSource(source);
-    coming.dropSource(source);
-    repair.clear(source);
-  }
-
-  function register(): void {
-    const want = new Map<string, Registration>();
-    for (const r of sources.registrations(follower)) want.set(r.id, r);
-    for (const [id, l] of listeners) {
-      const w = want.get(id);
-      if (w && w.at === l.reg.at && w.paused === l.reg.paused) continue;
-      l.stop();
-      listeners.delete(id);
-      if (!w || w.paused || w.at !== l.reg.at) drop(id);
-      if (!w && dialect) forget(id);
-    }
-    for (const [id, r] of want) {
-      if (listeners.has(id)) continue;
-      const l = listenTo(
-        ports,
-        bounds,
-        sources,
-        r,
-        heard.get(id) ?? { epoch: '', seq: 0 },
-        gateOpen,
-        onLong,
-      );
-      listeners.set(id, l);
-      if ((heard.get(id)?.seq ?? 0) > 0 && trees.holding(id) === 0) repair.lost(id, undefined);
-      void l.pulls.observe(pulled);
-      function pulled(e: EventsReply): void {
-        if (!gate) buffered.push({ id, r: e });
-        else inTurn(id, e);
-      }
-      function onLong(): void {
-        if (!dialect) trees.dropSource(id);
-      }
-    }
+  private isCaughtUp = false;
+  private isStopped = false;
+  private closeListener: (() => Promise<void>) | undefined;
+
+  constructor(private readonly options: IndexerOptions) {
+    const { ports, settings, adapter, handlers } = options;
+    this.ports = ports;
+    this.settings = settings;
+    this.timeLimits = timeLimitsOf(settings);
+    const hello = helloOf(settings, 'indexer');
+    const incarnation = ports.random.uuid().slice(0, INCARNATION_CHARACTERS);
+    this.trees = makePrefixTrees(settings.indexMostParts);
+    this.peers = makeConnectionPool(ports, {
+      hello,
+      handlers,
+      timeoutMs: this.timeLimits.connectTimeoutMs,
+      retryPauseMs: this.timeLimits.retryPauseMs,
+    });
+    this.sources = adapter
+      ? makePlatformSources(ports, this.timeLimits, adapter)
+      : makeOwnSources(ports, this.timeLimits);
+    this.expectedBlocks = this.makeExpectedBlocks();
+    const loads = makeLoadBoard(ports.clock.now, this.timeLimits.loadReportExpiryMs);
+    this.repair = this.makeRepair();
+    this.gaps = this.makeGaps();
+    this.feeds = this.makeFeeds();
+    handlers.push(
+      new HelloHandlers(hello),
+      new IndexHandlers(this.handlersDependencies()),
+      new OverlapHandlers(
+        this.trees,
+        this.expectedBlocks,
+        loads,
+        this.isReachable.bind(this),
+        this.isReady.bind(this),
+      ),
+      this.repair.handlers,
+    );
+    const member = this.memberOf(incarnation);
+    this.follower = followCore(ports, {
+      timeLimits: this.timeLimits,
+      hello,
+      member,
+      seeds: settings.seeds,
+      handlers,
+    });
+    void this.follower.changes.observe(this.register.bind(this));
+    void this.follower.memberChanges.observe(this.connectPeers.bind(this));
   }
 
-  /** How far it was heard stays, as it may be registered again. */
-  function forget(id: string): void {
-    rings.delete(id);
-    turns.delete(id);
-    gaps.forget(id);
+  /** Takes connections of routers and other indexers. */
+  async listen(): Promise<Result<void>> {
+    const { network } = this.ports;
+    const [error, listener] = errorOrValue(
+      await network.listen(this.settings.wire, this.accept.bind(this)),
+    );
+    if (error) return Left(error);
+    this.closeListener = listener.close;
+    return Right(undefined);
   }
 
-  function inTurn(id: string, r: EventsReply): void {
-    const before = turns.get(id) ?? Promise.resolve();
-    turns.set(id, before.then(run));
-    function run(): Promise<void> {
-      return take(id, r);
-    }
+  /** Begins to take over what a peer knows; answers are given once that is done. */
+  startCatchUp(): void {
+    void this.catchUp();
   }
 
-  async function take(id: string, r: EventsReply): Promise<void> {
-    if (!listeners.has(id)) return;
-    let h = heard.get(id) ?? { epoch: '', seq: 0 };
-    if (r.epoch !== h.epoch) {
-      if (h.epoch !== '') counts.epochChanges++;
-      drop(id);
-      h = { epoch: r.epoch, seq: 0 };
-      heard.set(id, h);
-    }
-    let gap = false;
-    for (const b of r.batches) {
-      if (b.seq <= h.seq) continue;
-      if (b.seq > h.seq + 1) {
-        gap = true;
-        await gaps.fill(id, h, b.seq);
-      }
-      applyBatch(id, r.epoch, b);
-      h = { epoch: r.epoch, seq: b.seq };
-      heard.set(id, h);
-    }
-    if (r.last > h.seq) {
-      gap = true;
-      await gaps.fill(id, h, r.last + 1);
-      h = { epoch: r.epoch, seq: r.last };
-    }
-    heard.set(id, h);
-    if (r.lost && !gap) repair.lost(id, undefined);
+  /** The indexer as others use it; its methods may be passed on alone. */
+  asIndexer(): Indexer {
+    return {
+      ...this.handlersDependencies(),
+      settings: this.settings,
+      follower: this.follower,
+      trees: this.trees,
+      handlers: this.options.handlers,
+      isReady: this.isReady.bind(this),
+      listenerViews: this.listenerViews.bind(this),
+      counts: this.counts,
+      expectedBlocks: this.expectedBlocks,
+      sources: this.sources,
+      isReachable: this.isReachable.bind(this),
+      repair: this.repair,
+      stop: this.stop.bind(this),
+    };
   }
 
-  function applyBatch(id: string, epoch: string, b: EventBatch): void {
-    ring(id).add(epoch, b);
-    applyEvents(id, b);
+  private memberOf(incarnation: string): Member {
+    const { name, wire, http, zone } = this.settings;
+    return { name, role: 'indexer', at: wire, http, zone, life: incarnation };
   }
 
-  function applyEvents(id: string, b: EventBatch): void {
-    for (const e of b.events) {
-      trees.apply(id, e);
-      if (e.kind === 'stored') coming.heard(e.model, e.salt, e.hash, id);
-    }
+  private makeExpectedBlocks(): ExpectedBlocks {
+    return makeExpectedBlocks(
+      this.ports.clock.now,
+      this.timeLimits.pendingBlockTtlMs,
+      Math.ceil(this.settings.indexMostParts * EXPECTED_BLOCKS_RATIO),
+      this.onExpectationExpired.bind(this),
+    );
   }
 
-  function reachPeers(members: Member[]): void {
-    peers.setPeers(members.filter(isPeer).map(addressOf));
+  private makeRepair(): SourceRepair {
+    return makeSourceRepair({
+      ports: this.ports,
+      timeLimits: this.timeLimits,
+      sources: this.sources,
+      trees: this.trees,
+      peers: this.peers,
+      selfAddress: this.settings.wire,
+      registrationOf: this.registrationOf.bind(this),
+      positionOf: this.positionOf.bind(this),
+      adopt: this.adopt.bind(this),
+    });
   }
 
-  function isPeer(m: Member): boolean {
-    return m.role === 'indexer' && m.name !== settings.name;
+  private makeGaps(): GapFiller {
+    return makeGapFiller({
+      ports: this.ports,
+      timeLimits: this.timeLimits,
+      trees: this.trees,
+      peers: this.peers,
+      repair: this.repair,
+      counts: this.counts,
+      apply: this.applyBatch.bind(this),
+    });
   }
 
-  async function join(): Promise<void> {
-    await ports.clock.sleep(dialect ? bounds.adapterIndexStartDelayMs : bounds.indexStartDelayMs);
-    while (!stopped && !follower.hasLease()) await ports.clock.sleep(bounds.retryPauseMs);
-    const dump = await dumpOfPeer(ports, bounds, peers);
-    if (dump) applyDump(dump);
-    gate = true;
-    for (const b of buffered.splice(0)) inTurn(b.id, b.r);
+  private makeFeeds(): FeedProcessor {
+    return new FeedProcessor({
+      trees: this.trees,
+      expectedBlocks: this.expectedBlocks,
+      repair: this.repair,
+      gaps: this.gaps,
+      maxRetainedBatches: this.sources.maxRetainedBatches,
+      isRegistered: this.isRegistered.bind(this),
+      onEpochChange: this.countEpochChange.bind(this),
+    });
   }
 
-  function applyDump(d: CompactDump): void {
-    const known = new Set<string>(sources.registrations(follower).filter(serves).map(idOf));
-    for (const [id, h] of d.heard) if (known.has(id)) heard.set(id, h);
-    trees.takeRows(d.rows, known.has.bind(known));
-    for (const [id, n] of d.owed) if (known.has(id)) repair.lost(id, n);
+  private handlersDependencies(): IndexHandlersDependencies {
+    return {
+      query: this.query.bind(this),
+      dump: this.dump.bind(this),
+      dumpRows: this.dumpRows.bind(this),
+      ring: this.ringOf.bind(this),
+      reused: this.applyReuse.bind(this),
+    };
   }
 
-  function serves(r: Registration): boolean {
-    return !r.paused;
+  private isReady(): boolean {
+    return this.isCaughtUp;
   }
 
-  function idOf(r: Registration): string {
-    return r.id;
+  private isReachable(source: string): boolean {
+    return this.listeners.get(source)?.isReachable() ?? false;
   }
 
-  function views(): ListenerView[] {
-    const out: ListenerView[] = [];
-    for (const [id, l] of listeners) {
-      const h = heard.get(id) ?? { epoch: '', seq: 0 };
-      out.push({
-        id,
-        kind: l.reg.kind,
-        at: l.reg.at,
-        ...l.view(),
-        epoch: h.epoch,
-        lastSeq: h.seq,
-        ...gaps.of(id),
-      });
+  private isRegistered(source: string): boolean {
+    return this.listeners.has(source);
+  }
+
+  private registrationOf(source: string): Registration | undefined {
+    const registration = this.listeners.get(source)?.registration;
+    return registration?.paused ? undefined : registration;
+  }
+
+  private positionOf(source: string): ReturnType<FeedProcessor['positionOf']> {
+    return this.feeds.positionOf(source);
+  }
+
+  private adopt(source: string, epoch: string, seq: number, takeOver: () => void): void {
+    this.feeds.adopt(source, epoch, seq, takeOver);
+  }
+
+  private applyBatch(...batch: Parameters<FeedProcessor['applyBatch']>): void {
+    this.feeds.applyBatch(...batch);
+  }
+
+  private ringOf(source: string): BatchRing {
+    return this.feeds.ringOf(source);
+  }
+
+  private countEpochChange(): void {
+    this.counts.epochChanges++;
+  }
+
+  private query(query: OverlapQuery): Overlap[] {
+    this.counts.queries++;
+    return this.trees.query(query.model, query.salt, query.weights, blocksOf(query));
+  }
+
+  private dump(): Dump {
+    return { open: this.isCaughtUp, heard: this.feeds.allPositions(), events: this.trees.dump() };
+  }
+
+  private dumpRows(): CompactDump {
+    return {
+      open: this.isCaughtUp,
+      heard: this.feeds.allPositions(),
+      owed: this.repair.lostCounts(),
+      rows: this.trees.rows(),
+    };
+  }
+
+  private applyReuse(report: ReuseReport): void {
+    const { source, model, salt, weights, parts, count } = report;
+    if (!this.listeners.has(source)) return;
+    const { confirmed, dropped } = this.trees.applyReuse(
+      source,
+      model,
+      salt,
+      weights,
+      parts,
+      count,
+    );
+    this.counts.confirmed += confirmed;
+    this.counts.dropped += dropped;
+  }
+
+  /** A block that was expected is taken as cached where events of its source were lost meanwhile: its event may be one of them. */
+  private onExpectationExpired({ source, model, salt, hash, size }: ExpiredExpectation): void {
+    if (!this.registrationOf(source) || this.repair.lostCount(source) === 0) return;
+    this.trees.apply(source, {
+      kind: 'stored',
+      model,
+      weights: '',
+      salt,
+      parent: '',
+      hash,
+      size,
+    });
+  }
+
+  /** Listens to the sources that are listed now, and to no others. */
+  private register(): void {
+    const wanted = new Map<string, Registration>();
+    for (const registration of this.sources.registrations(this.follower))
+      wanted.set(registration.id, registration);
+    for (const [source, listener] of this.listeners)
+      this.stopOutdated(source, listener, wanted.get(source));
+    for (const [source, registration] of wanted)
+      if (!this.listeners.has(source)) this.startListener(registration);
+  }
+
+  private stopOutdated(
+    source: string,
+    listener: FeedListener,
+    wanted: Registration | undefined,
+  ): void {
+    const { at, paused } = listener.registration;
+    if (wanted?.at === at && wanted.paused === paused) return;
+    listener.stop();
+    this.listeners.delete(source);
+    if (!wanted || wanted.paused || wanted.at !== at) this.feeds.dropContent(source);
+    if (!wanted && this.options.adapter) this.feeds.forget(source);
+  }
+
+  private startListener(registration: Registration): void {
+    const source = registration.id;
+    const listener = new FeedListener({
+      ports: this.ports,
+      timeLimits: this.timeLimits,
+      sources: this.sources,
+      registration,
+      from: this.feeds.positionOrStart(source),
+      isReady: this.isReady.bind(this),
+      onLongFailure: this.onLongFailure.bind(this, source),
+    });
+    this.listeners.set(source, listener);
+    const wasHeard = this.feeds.positionOrStart(source).seq > 0;
+    if (wasHeard && this.trees.blockCount(source) === 0) this.repair.noteLost(source, undefined);
+    void listener.replies.observe(this.takeReply.bind(this, source));
+  }
+
+  private takeReply(source: string, reply: EventsReply): void {
+    if (this.isCaughtUp) this.feeds.enqueue(source, reply);
+    else this.buffered.push({ source, reply });
+  }
+
+  /** A source of our own contracts that can't be reached for long has likely lost what it kept. */
+  private onLongFailure(source: string): void {
+    if (!this.options.adapter) this.trees.dropSource(source);
+  }
+
+  private connectPeers(members: Member[]): void {
+    this.peers.setPeers(members.filter(this.isPeer.bind(this)).map(addressOf));
+  }
+
+  private isPeer(member: Member): boolean {
+    return member.role === 'indexer' && member.name !== this.settings.name;
+  }
+
+  /** Takes over what a peer knows, then what was heard meanwhile, and answers from then on. */
+  private async catchUp(): Promise<void> {
+    const { clock } = this.ports;
+    const { adapterIndexStartDelayMs, indexStartDelayMs, retryPauseMs } = this.timeLimits;
+    await clock.sleep(this.options.adapter ? adapterIndexStartDelayMs : indexStartDelayMs);
+    while (!this.isStopped && !this.follower.hasLease()) await clock.sleep(retryPauseMs);
+    const dump = await requestPeerDump(this.ports, this.timeLimits, this.peers);
+    if (dump) this.applyDump(dump);
+    this.isCaughtUp = true;
+    for (const { source, reply } of this.buffered.splice(0)) this.feeds.enqueue(source, reply);
+  }
+
+  private applyDump(dump: CompactDump): void {
+    const registrations = this.sources.registrations(this.follower);
+    const known = new Set<string>(registrations.filter(serves).map(idOf));
+    for (const [source, position] of dump.heard)
+      if (known.has(source)) this.feeds.setPosition(source, position);
+    this.trees.loadRows(dump.rows, known.has.bind(known));
+    for (const [source, lost] of dump.owed)
+      if (known.has(source)) this.repair.noteLost(source, lost);
+  }
+
+  private listenerViews(): ListenerView[] {
+    const views: ListenerView[] = [];
+    for (const [id, listener] of this.listeners) {
+      const { epoch, seq } = this.feeds.positionOrStart(id);
+      const { kind, at } = listener.registration;
+      const stats = this.gaps.statsOf(id);
+      views.push({ id, kind, at, ...listener.view(), epoch, lastSeq: seq, ...stats });
     }
-    return out.sort(byId);
+    return views.sort(byId);
   }
 
-  function byId(a: ListenerView, b: ListenerView): number {
-    return a.id < b.id ? -1 : 1;
+  private accept(connection: Connection): void {
+    openChannel(this.ports, connection, this.options.handlers);
   }
 
-  void follower.changes.observe(register);
-  void follower.memberChanges.observe(reachPeers);
-  let close: () => Promise<void> = nothing;
-  async function nothing(): Promise<void> {}
-  if (listens) {
-    const [f, listening] = errorOrValue(await ports.network.listen(settings.wire, taken));
-    if (f) return Left(f);
-    close = listening.close;
-  }
-
-  function taken(s: Connection): void {
-    openChannel(ports, s, edges);
-  }
-
-  async function stop(): Promise<void> {
-    stopped = true;
-    await follower.releaseLeases();
-    follower.stop();
-    for (const l of listeners.values()) l.stop();
-    peers.stop();
-    await close();
-  }
-
-  void join();
-  return Right({
-    settings,
-    follower,
-    trees,
-    edges,
-    query,
-    dump,
-    dumpRows,
-    ring,
-    reused,
-    gateOpen,
-    listeners: views,
-    counts,
-    coming,
-    sources,
-    reached,
-    repair,
-    stop,
-  });
+  private async stop(): Promise<void> {
+    this.isStopped = true;
+    await this.follower.releaseLeases();
+    this.follower.stop();
+    for (const listener of this.listeners.values()) listener.stop();
+    this.peers.stop();
+    await this.closeListener?.();
+  }
 }
--- a/src/index/overlap.ts
+++ b/src/index/overlap.ts
@@ -1,128 +1,89 @@
-import { Right } from 'purify-ts';
-import { PeerChannel } from '../shared/transport/connections';
-import { HandlerResult, messageHandler } from '../shared/transport/message-handlers';
-import { failure } from '../shared/errors/errors';
-import {
-  LoadReportBody,
-  LoadReport,
-  OverlapReply,
-  OverlapRequest,
-  OverlapRequestBody,
-  PlacementNoticeBody,
-  PlacementNotice,
-  WireBlock,
-} from '../shared/contracts/indexer';
-import { Coming } from './coming';
-import { Loads } from './loads';
-import { Trees } from './tree';
+/**
+ * How much of a prompt's prefix each source has cached, and what is expected there beyond that.
+ */
 
-interface Walk {
-  kept: number;
-  coming: number;
-  /** Whether all so far is kept whole. */
-  whole: boolean;
-}
-
-/** Walks a prompt from its front: what each source keeps of it, and what is on its way there beyond that. */
-export function overlapOf(
-  trees: Trees,
-  coming: Coming,
-  q: OverlapRequest,
-  reached: (source: string) => boolean = always,
-): OverlapReply {
-  const walks = new Map<string, Walk>();
-  let alive = new Set<string>();
-  for (const [i, [hash, size]] of q.parts.entries()) {
-    const next = new Set<string>();
-    const comes = coming.at(q.model, q.salt, hash);
-    for (const h of trees.holders(q.model, q.salt, hash) ?? []) step(h.source, h.kept);
-    for (const source of comes?.keys() ?? []) if (!next.has(source)) step(source, 0);
-    if (next.size === 0) break;
-    alive = next;
+import { OverlapReply, OverlapRequest, WireBlock } from '../shared/contracts/indexer';
+import { ExpectedBlocks } from './expected-blocks';
+import { PrefixTrees } from './prefix-trees';
 
-    function step(source: string, kept: number): void {
-      if (i > 0 && !alive.has(source)) return;
-      const w = walks.get(source) ?? { kept: 0, coming: 0, whole: true };
-      walks.set(source, w);
-      const has = Math.min(kept, size);
-      if (w.whole) w.kept += has;
-      else if (has === size) w.coming += size;
-      if (has === size) {
-        next.add(source);
-        return;
-      }
-      if (!comes?.has(source)) return;
-      w.coming += w.whole ? size - has : size;
-      w.whole = false;
-      next.add(source);
-    }
-  }
-  trees.learn(q.model, q.salt, q.parts);
-  const out: OverlapReply = [];
-  for (const [source, w] of walks)
-    if ((w.kept > 0 || w.coming > 0) && reached(source)) out.push([source, w.kept, w.coming]);
-  return out;
-}
-
-function always(): boolean {
-  return true;
+/** What one source has of the prompt so far, in tokens. */
+interface SourceOverlap {
+  cached: number;
+  expected: number;
+  /** Whether all blocks so far are cached in full. */
+  isComplete: boolean;
 }
 
-/** What routers say to an indexer about prompts and loads. */
-export class OverlapEdge {
-  private readonly watched = new WeakSet<object>();
+/** Walks a prompt block by block and keeps the sources that have, or will have, every block so far. */
+class PrefixWalk {
+  readonly overlaps = new Map<string, SourceOverlap>();
+  private reaching: Set<string> | undefined;
 
   constructor(
-    private readonly trees: Trees,
-    private readonly coming: Coming,
-    private readonly loads: Loads,
-    private readonly reached: (source: string) => boolean,
-    private readonly ready: () => boolean,
+    private readonly trees: PrefixTrees,
+    private readonly expectedBlocks: ExpectedBlocks,
+    private readonly request: OverlapRequest,
   ) {}
 
-  private watch(ex: PeerChannel): void {
-    if (this.watched.has(ex)) return;
-    this.watched.add(ex);
-    void ex.closed.then(this.gone.bind(this, ex));
+  /** Goes on to the next block; false where no source has it. */
+  advance([hash, size]: WireBlock): boolean {
+    const { model, salt } = this.request;
+    const next = new Set<string>();
+    const expecting = this.expectedBlocks.sourcesExpecting(model, salt, hash);
+    for (const { source, kept } of this.trees.holders(model, salt, hash) ?? [])
+      this.addSource(next, source, Math.min(kept, size), size, expecting?.has(source) ?? false);
+    for (const source of expecting?.keys() ?? [])
+      if (!next.has(source)) this.addSource(next, source, 0, size, true);
+    if (next.size === 0) return false;
+    this.reaching = next;
+    return true;
   }
 
-  private note(ex: PeerChannel, p: PlacementNotice): void {
-    const trees = this.trees;
-    function keeps([hash, size]: WireBlock): boolean {
-      for (const h of trees.holders(p.model, p.salt, hash) ?? [])
-        if (h.source === p.engine) return h.kept >= size;
-      return false;
+  private addSource(
+    next: Set<string>,
+    source: string,
+    cachedTokens: number,
+    size: number,
+    isExpected: boolean,
+  ): void {
+    if (this.reaching && !this.reaching.has(source)) return;
+    const overlap = this.overlapOf(source);
+    const isWhole = cachedTokens === size;
+    if (overlap.isComplete) overlap.cached += cachedTokens;
+    else if (isWhole) overlap.expected += size;
+    if (isWhole) {
+      next.add(source);
+      return;
     }
-    this.coming.placed(ex, p, keeps);
-  }
-
-  private gone(ex: PeerChannel): void {
-    this.coming.dropRouter(ex);
-    this.loads.drop(ex);
+    if (!isExpected) return;
+    overlap.expected += overlap.isComplete ? size - cachedTokens : size;
+    overlap.isComplete = false;
+    next.add(source);
   }
 
-  /** Tells how much of a prompt each source keeps; refused until the gate is open. */
-  @messageHandler('overlap', OverlapRequestBody)
-  async overlap(q: OverlapRequest): HandlerResult {
-    if (!this.ready())
-      return failure('overlap', '', 'the gate is not open yet', 'refused', 'not-ready');
-    return Right(overlapOf(this.trees, this.coming, q, this.reached));
+  private overlapOf(source: string): SourceOverlap {
+    const overlap = this.overlaps.get(source) ?? { cached: 0, expected: 0, isComplete: true };
+    this.overlaps.set(source, overlap);
+    return overlap;
   }
+}
 
-  /** Takes a router's note of a request that it placed. */
-  @messageHandler('placed', PlacementNoticeBody)
-  async placed(p: PlacementNotice, ex: PeerChannel): HandlerResult {
-    this.trees.learn(p.model, p.salt, p.parts);
-    this.note(ex, p);
-    if (p.store !== undefined) this.note(ex, { ...p, engine: p.store });
-    this.watch(ex);
-    return Right(undefined);
-  }
+/** What each reachable source has cached of a prompt from its first block on, and what is expected there beyond that. The prompt's blocks are marked as used. */
+export function computeOverlap(
+  trees: PrefixTrees,
+  expectedBlocks: ExpectedBlocks,
+  request: OverlapRequest,
+  isReachable: (source: string) => boolean = always,
+): OverlapReply {
+  const walk = new PrefixWalk(trees, expectedBlocks, request);
+  for (const block of request.parts) if (!walk.advance(block)) break;
+  trees.learnPrompt(request.model, request.salt, request.parts);
+  const reply: OverlapReply = [];
+  for (const [source, { cached, expected }] of walk.overlaps)
+    if ((cached > 0 || expected > 0) && isReachable(source)) reply.push([source, cached, expected]);
+  return reply;
+}
 
-  /** Takes a router's loads and tells those of the others. */
-  @messageHandler('loads', LoadReportBody)
-  async load(t: LoadReport, ex: PeerChannel): HandlerResult {
-    this.watch(ex);
-    return Right(this.loads.tell(ex, ex.hello?.name ?? ex.peer, t));
-  }
+function always(): boolean {
+  return true;
 }
--- a/src/programs/indexer.ts
+++ b/src/programs/indexer.ts
@@ -4,7 +4,7 @@
  */
 
 import { Left, Right } from 'purify-ts';
-import { serveIndex } from '../index/api';
+import { serveIndex } from '../index/index-api';
 import { startIndexer } from '../index/indexer';
 import { errorOrValue, OperationError, Result } from '../shared/errors/errors';
 import { PlatformAdapter } from '../shared/platform-adapter/platform-adapter';
--- a/test/index/index-feed.test.ts
+++ b/test/index/index-feed.test.ts
@@ -160,7 +160,7 @@
   t.sources.get('engine-2')!.keep(SALT, 'a', 0);
   await t.start(0);
   await t.pass(3000);
-  expect(t.indexers[0].gateOpen()).toBe(true);
+  expect(t.indexers[0].isReady()).toBe(true);
   expect(t.told(0)).toEqual({ 'engine-1': [1450, 0], 'store-1': [1450, 0] });
   for (const s of t.sources.values()) expect(s.counts.lists).toBe(0);
 }
@@ -204,9 +204,9 @@
   }
   t.w.kill(store, true);
   await t.pass(4000);
-  expect(t.indexers[0].listeners().map(statusOf)).toEqual(['active', 'failed']);
-  expect(t.indexers[0].reached('store-1')).toBe(false);
-  expect(t.indexers[0].reached('engine-1')).toBe(true);
+  expect(t.indexers[0].listenerViews().map(statusOf)).toEqual(['active', 'failed']);
+  expect(t.indexers[0].isReachable('store-1')).toBe(false);
+  expect(t.indexers[0].isReachable('engine-1')).toBe(true);
   t.w.revive(store);
 }
 
@@ -233,7 +233,7 @@
   function keeps(): boolean {
     return false;
   }
-  t.indexers[0].coming.placed(
+  t.indexers[0].expectedBlocks.expect(
     {},
     { model: 'm', salt: SALT, engine: 'engine-1', parts: PROMPT },
     keeps,
--- a/test/index/index-loads.test.ts
+++ b/test/index/index-loads.test.ts
@@ -1,8 +1,9 @@
-import { makeComing, Unheard } from '../../src/index/coming';
-import { makeLoads } from '../../src/index/loads';
-import { OverlapEdge, overlapOf } from '../../src/index/overlap';
+import { makeExpectedBlocks, ExpiredExpectation } from '../../src/index/expected-blocks';
+import { makeLoadBoard } from '../../src/index/load-board';
+import { computeOverlap } from '../../src/index/overlap';
+import { OverlapHandlers } from '../../src/index/overlap-handlers';
 import { PeerChannel } from '../../src/shared/transport/connections';
-import { makeTrees, Trees } from '../../src/index/tree';
+import { makePrefixTrees, PrefixTrees } from '../../src/index/prefix-trees';
 import { EngineLoad, WireBlock } from '../../src/shared/contracts/indexer';
 
 const PROMPT: WireBlock[] = [
@@ -18,7 +19,7 @@
 
 function none(): void {}
 
-function keep(trees: Trees, source: string, hash: string, size: number): void {
+function keep(trees: PrefixTrees, source: string, hash: string, size: number): void {
   trees.apply(source, {
     kind: size > 0 ? 'stored' : 'removed',
     model: 'm',
@@ -44,10 +45,10 @@
 
 function othersOnly(): void {
   time = 0;
-  const board = makeLoads(now, 900);
+  const board = makeLoadBoard(now, 900);
   const [a, b] = [{}, {}];
   expect(
-    board.tell(a, 'r1', {
+    board.report(a, 'r1', {
       full: true,
       own: [
         ['e1', 2, 500],
@@ -55,26 +56,26 @@
       ],
     }),
   ).toEqual({ full: true, others: [] });
-  expect(board.tell(b, 'r2', { full: true, own: [['e1', 1, 100]] })).toEqual({
+  expect(board.report(b, 'r2', { full: true, own: [['e1', 1, 100]] })).toEqual({
     full: true,
     others: [
       ['e1', 2, 500],
       ['e2', 1, 0],
     ],
   });
-  expect(board.tell(a, 'r1', { full: false, own: [] })).toEqual({
+  expect(board.report(a, 'r1', { full: false, own: [] })).toEqual({
     full: false,
     others: [['e1', 1, 100]],
   });
-  expect(board.tell(a, 'r1', { full: false, own: [] })).toEqual({ full: false, others: [] });
-  board.tell(b, 'r2', {
+  expect(board.report(a, 'r1', { full: false, own: [] })).toEqual({ full: false, others: [] });
+  board.report(b, 'r2', {
     full: false,
     own: [
       ['e1', 0, 0],
       ['e3', 4, 7],
     ],
   });
-  expect(sorted(board.tell(a, 'r1', { full: false, own: [] }).others)).toEqual([
+  expect(sorted(board.report(a, 'r1', { full: false, own: [] }).others)).toEqual([
     ['e1', 0, 0],
     ['e3', 4, 7],
   ]);
@@ -87,15 +88,15 @@
 
 function endsWithItsRouter(): void {
   time = 0;
-  const board = makeLoads(now, 900);
+  const board = makeLoadBoard(now, 900);
   const [a, b, b2] = [{}, {}, {}];
-  board.tell(a, 'r1', { full: true, own: [] });
-  board.tell(b, 'r2', { full: true, own: [['e1', 3, 30]] });
-  expect(board.tell(a, 'r1', { full: false, own: [] }).others).toEqual([['e1', 3, 30]]);
+  board.report(a, 'r1', { full: true, own: [] });
+  board.report(b, 'r2', { full: true, own: [['e1', 3, 30]] });
+  expect(board.report(a, 'r1', { full: false, own: [] }).others).toEqual([['e1', 3, 30]]);
   board.drop(b);
-  expect(board.tell(a, 'r1', { full: false, own: [] }).others).toEqual([['e1', 0, 0]]);
-  board.tell(b, 'r2', { full: true, own: [['e1', 3, 30]] });
-  board.tell(b2, 'r2', { full: true, own: [['e1', 1, 10]] });
+  expect(board.report(a, 'r1', { full: false, own: [] }).others).toEqual([['e1', 0, 0]]);
+  board.report(b, 'r2', { full: true, own: [['e1', 3, 30]] });
+  board.report(b2, 'r2', { full: true, own: [['e1', 1, 10]] });
   expect(board.totals()).toEqual([['e1', 1, 10]]);
   board.drop(b);
   expect(board.totals()).toEqual([['e1', 1, 10]]);
@@ -103,15 +104,15 @@
 
 function silentDoesNotCount(): void {
   time = 0;
-  const board = makeLoads(now, 900);
+  const board = makeLoadBoard(now, 900);
   const [a, b] = [{}, {}];
-  board.tell(b, 'r2', { full: true, own: [['e1', 3, 30]] });
+  board.report(b, 'r2', { full: true, own: [['e1', 3, 30]] });
   time = 800;
-  expect(board.tell(a, 'r1', { full: true, own: [] }).others).toEqual([['e1', 3, 30]]);
+  expect(board.report(a, 'r1', { full: true, own: [] }).others).toEqual([['e1', 3, 30]]);
   time = 901;
-  expect(board.tell(a, 'r1', { full: false, own: [] }).others).toEqual([['e1', 0, 0]]);
-  board.tell(b, 'r2', { full: false, own: [['e2', 1, 1]] });
-  expect(sorted(board.tell(a, 'r1', { full: false, own: [] }).others)).toEqual([
+  expect(board.report(a, 'r1', { full: false, own: [] }).others).toEqual([['e1', 0, 0]]);
+  board.report(b, 'r2', { full: false, own: [['e2', 1, 1]] });
+  expect(sorted(board.report(a, 'r1', { full: false, own: [] }).others)).toEqual([
     ['e1', 3, 30],
     ['e2', 1, 1],
   ]);
@@ -125,7 +126,7 @@
     return Math.floor(seed / 65536) % n;
   }
   time = 0;
-  const board = makeLoads(now, 1e9);
+  const board = makeLoadBoard(now, 1e9);
   const plain = new Map<number, Map<string, [number, number]>>();
   const seen = new Map<number, Map<string, [number, number]>>();
   const links = [{}, {}, {}, {}];
@@ -143,7 +144,7 @@
     const mine = full ? new Map<string, [number, number]>() : plain.get(r)!;
     for (const [e, x, y] of own) mine.set(e, [x, y]);
     plain.set(r, mine);
-    const a = board.tell(links[r], `r${r}`, { full, own });
+    const a = board.report(links[r], `r${r}`, { full, own });
     const view = a.full ? new Map<string, [number, number]>() : seen.get(r)!;
     for (const [e, x, y] of a.others) view.set(e, [x, y]);
     seen.set(r, view);
@@ -161,8 +162,8 @@
 
 function keptFromTheFront(): void {
   time = 0;
-  const trees = makeTrees(1000);
-  const coming = makeComing(now, 1500, 100, none);
+  const trees = makePrefixTrees(1000);
+  const coming = makeExpectedBlocks(now, 1500, 100, none);
   for (const [h, s] of PROMPT) keep(trees, 'e1', h, s);
   keep(trees, 'e2', 'a', 800);
   keep(trees, 'e2', 'c', 250);
@@ -170,43 +171,43 @@
   keep(trees, 'e4', 'a', 800);
   keep(trees, 'e4', 'b', 128);
   keep(trees, 'e4', 'c', 250);
-  expect(overlapOf(trees, coming, ask())).toEqual([
+  expect(computeOverlap(trees, coming, ask())).toEqual([
     ['e1', 1450, 0],
     ['e2', 800, 0],
     ['e4', 928, 0],
   ]);
-  expect(overlapOf(trees, coming, { ...ask(), salt: 's|2' })).toEqual([]);
+  expect(computeOverlap(trees, coming, { ...ask(), salt: 's|2' })).toEqual([]);
   function but(source: string): boolean {
     return source !== 'e1';
   }
-  expect(overlapOf(trees, coming, ask(), but)).toEqual([
+  expect(computeOverlap(trees, coming, ask(), but)).toEqual([
     ['e2', 800, 0],
     ['e4', 928, 0],
   ]);
   keep(trees, 'e1', 'b', 0);
-  expect(overlapOf(trees, coming, ask())[0]).toEqual(['e1', 800, 0]);
+  expect(computeOverlap(trees, coming, ask())[0]).toEqual(['e1', 800, 0]);
 }
 
 function comesUntilTold(): void {
   time = 0;
-  const trees = makeTrees(1000);
-  const out: Unheard[] = [];
-  const coming = makeComing(now, 1500, 100, out.push.bind(out));
+  const trees = makePrefixTrees(1000);
+  const out: ExpiredExpectation[] = [];
+  const coming = makeExpectedBlocks(now, 1500, 100, out.push.bind(out));
   const [r1, r2] = [{}, {}];
   keep(trees, 'e1', 'a', 800);
   function keeps([h]: WireBlock): boolean {
     return h === 'a';
   }
-  coming.placed(r1, { ...ask(), engine: 'e1' }, keeps);
-  coming.placed(r2, { ...ask([['x', 9]]), engine: 'e2' }, keeps);
-  expect(overlapOf(trees, coming, ask())).toEqual([['e1', 800, 650]]);
+  coming.expect(r1, { ...ask(), engine: 'e1' }, keeps);
+  coming.expect(r2, { ...ask([['x', 9]]), engine: 'e2' }, keeps);
+  expect(computeOverlap(trees, coming, ask())).toEqual([['e1', 800, 650]]);
   keep(trees, 'e1', 'b', 400);
-  coming.heard('m', 's|1', 'b', 'e1');
-  expect(overlapOf(trees, coming, ask())).toEqual([['e1', 1200, 250]]);
+  coming.arrived('m', 's|1', 'b', 'e1');
+  expect(computeOverlap(trees, coming, ask())).toEqual([['e1', 1200, 250]]);
   coming.dropRouter(r2);
-  expect(overlapOf(trees, coming, ask([['x', 9]]))).toEqual([]);
+  expect(computeOverlap(trees, coming, ask([['x', 9]]))).toEqual([]);
   time = 1501;
-  expect(overlapOf(trees, coming, ask())).toEqual([['e1', 1200, 0]]);
+  expect(computeOverlap(trees, coming, ask())).toEqual([['e1', 1200, 0]]);
   expect(out.map(hashOf)).toEqual(['c']);
   expect(coming.size()).toBe(0);
 }
@@ -214,8 +215,8 @@
 /** What goes on to a store is coming there too, so that it is sent once; before its gate opens an indexer says nothing of overlaps. */
 async function comesToStores(): Promise<void> {
   time = 0;
-  const trees = makeTrees(1000);
-  const coming = makeComing(now, 1500, 100, none);
+  const trees = makePrefixTrees(1000);
+  const coming = makeExpectedBlocks(now, 1500, 100, none);
   let open = false;
   function ready(): boolean {
     return open;
@@ -225,7 +226,7 @@
   }
   function never(): void {}
   const router = { closed: new Promise<void>(never), peer: 'r1' } as unknown as PeerChannel;
-  const edge = new OverlapEdge(trees, coming, makeLoads(now, 900), reached, ready);
+  const edge = new OverlapHandlers(trees, coming, makeLoadBoard(now, 900), reached, ready);
   keep(trees, 'store', 'a', 800);
   await edge.placed({ ...ask(), engine: 'e1', store: 'store' }, router);
   expect((await edge.overlap(ask())).extract()).toMatchObject({
@@ -239,48 +240,48 @@
   ]);
 }
 
-function hashOf(u: Unheard): string {
+function hashOf(u: ExpiredExpectation): string {
   return u.hash;
 }
 
 function notesAreBounded(): void {
   time = 0;
-  const coming = makeComing(now, 1500, 100, none);
+  const coming = makeExpectedBlocks(now, 1500, 100, none);
   function never(): boolean {
     return false;
   }
-  for (let i = 0; i < 500; i++) coming.placed({}, { ...ask([[`p${i}`, 1]]), engine: 'e1' }, never);
+  for (let i = 0; i < 500; i++) coming.expect({}, { ...ask([[`p${i}`, 1]]), engine: 'e1' }, never);
   expect(coming.size()).toBe(100);
-  expect(coming.at('m', 's|1', 'p0')).toBeUndefined();
-  expect([...coming.at('m', 's|1', 'p499')!.keys()]).toEqual(['e1']);
+  expect(coming.sourcesExpecting('m', 's|1', 'p0')).toBeUndefined();
+  expect([...coming.sourcesExpecting('m', 's|1', 'p499')!.keys()]).toEqual(['e1']);
   coming.dropSource('e1');
   expect(coming.size()).toBe(0);
 }
 
 /** A prompt's parts go last part first once its order is known from a query. */
 function evictsFromTheEnd(): void {
-  const trees = makeTrees(3);
-  const coming = makeComing(now, 1500, 100, none);
+  const trees = makePrefixTrees(3);
+  const coming = makeExpectedBlocks(now, 1500, 100, none);
   for (const [h, s] of PROMPT) keep(trees, 'e1', h, s);
-  overlapOf(trees, coming, ask());
+  computeOverlap(trees, coming, ask());
   keep(trees, 'e1', 'new', 10);
-  expect(overlapOf(trees, coming, ask())).toEqual([['e1', 1200, 0]]);
+  expect(computeOverlap(trees, coming, ask())).toEqual([['e1', 1200, 0]]);
   expect(trees.size()).toBe(3);
 }
 
 function rowsCarryAll(): void {
-  const trees = makeTrees(1000);
-  const coming = makeComing(now, 1500, 100, none);
+  const trees = makePrefixTrees(1000);
+  const coming = makeExpectedBlocks(now, 1500, 100, none);
   for (const [h, s] of PROMPT) keep(trees, 'e1', h, s);
   keep(trees, 'e2', 'a', 800);
   keep(trees, 'gone', 'a', 800);
-  overlapOf(trees, coming, ask());
-  const other = makeTrees(1000);
+  computeOverlap(trees, coming, ask());
+  const other = makePrefixTrees(1000);
   function wanted(s: string): boolean {
     return s !== 'gone';
   }
-  other.takeRows(JSON.parse(JSON.stringify(trees.rows())), wanted);
-  expect(overlapOf(other, coming, ask())).toEqual([
+  other.loadRows(JSON.parse(JSON.stringify(trees.rows())), wanted);
+  expect(computeOverlap(other, coming, ask())).toEqual([
     ['e1', 1450, 0],
     ['e2', 800, 0],
   ]);
--- a/test/index/tree.test.ts
+++ b/test/index/tree.test.ts
@@ -1,5 +1,5 @@
 import { PromptBlock, BlockEvent } from '../../src/shared/contracts/engine';
-import { makeTrees, Trees } from '../../src/index/tree';
+import { makePrefixTrees, PrefixTrees } from '../../src/index/prefix-trees';
 import { seededDice } from '../../tools/sim/dice';
 
 const SALTS = ['w:a', 'w:b', 'g:x:0'];
@@ -43,7 +43,7 @@
 }
 
 function asked(
-  trees: Trees,
+  trees: PrefixTrees,
   salt: string,
   weights: string,
   parts: PromptBlock[],
@@ -56,7 +56,7 @@
 function agreesWithNaive(): void {
   for (let seed = 1; seed <= 60; seed++) {
     const dice = seededDice(seed);
-    const trees = makeTrees(100000);
+    const trees = makePrefixTrees(100000);
     let facts: Fact[] = [];
     const prompts = [chain('p', 5), chain('q', 4), [...chain('p', 3), ...chain('r', 3)]];
     function any<T>(list: readonly T[]): T {
@@ -110,7 +110,7 @@
 }
 
 function staysBounded(): void {
-  const trees = makeTrees(100);
+  const trees = makePrefixTrees(100);
   const hot = chain('hot', 10);
   function keep(parts: PromptBlock[], salt: string): void {
     for (const [i, p] of parts.entries())
--- a/tools/capacity/role.ts
+++ b/tools/capacity/role.ts
@@ -97,13 +97,13 @@
 function indexerMore(ix: Indexer): More {
   function more(): Record<string, number> {
     let seqs = 0;
-    for (const l of ix.listeners()) seqs += l.lastSeq;
+    for (const l of ix.listenerViews()) seqs += l.lastSeq;
     return {
       parts: ix.trees.size(),
       batches: seqs,
       queries: ix.counts.queries,
-      open: ix.gateOpen() ? 1 : 0,
-      listeners: ix.listeners().length,
+      open: ix.isReady() ? 1 : 0,
+      listeners: ix.listenerViews().length,
     };
   }
   return more;
--- a/tools/compatibility/stored-dump.ts
+++ b/tools/compatibility/stored-dump.ts
@@ -54,7 +54,7 @@
 /** Starts a replica beside one that gives the packed dump, and reads what it has taken over. */
 export async function readDump(packed: Uint8Array): Promise<DumpReading> {
   const scene = await makeScenePast(OTHER);
-  scene.indexers[0].edges.unshift(new RecordedReplica(unpack(packed)));
+  scene.indexers[0].handlers.unshift(new RecordedReplica(unpack(packed)));
   await scene.start(1);
   await scene.pass(JOINED_MS);
   return { prompt: scene.told(1), other: scene.told(1, OTHER) };
--- a/tools/sim/feeds.ts
+++ b/tools/sim/feeds.ts
@@ -83,8 +83,8 @@
 /** Leaves a mechanism out of every indexer. */
 function leaveOut(t: Scene): void {
   for (const ix of t.indexers) {
-    if (without === 'lists') ix.sources.list = undefined;
-    if (without === 'notes') ix.coming.placed = nothing;
+    if (without === 'lists') ix.sources.snapshot = undefined;
+    if (without === 'notes') ix.expectedBlocks.expect = nothing;
   }
 }
 
@@ -189,7 +189,7 @@
     const s: Sample = { at: t.w.now(), held: 0, little: 0, much: 0 };
     for (const parts of asked.slice(-SAMPLE)) {
       for (const i of [0, 1]) {
-        if (!t.procs[i].alive || !t.indexers[i].gateOpen()) continue;
+        if (!t.procs[i].alive || !t.indexers[i].isReady()) continue;
         const told = t.told(i, parts);
         for (let n = 0; n < ENGINES; n++) {
           const held = caches[n].overlap(parts);
@@ -209,7 +209,11 @@
     const had = caches[n].overlap(parts);
     for (const [i, ix] of t.indexers.entries())
       if (t.procs[i].alive)
-        ix.coming.placed(t, { model: 'm', salt: SALT, engine: `engine-${n + 1}`, parts }, none);
+        ix.expectedBlocks.expect(
+          t,
+          { model: 'm', salt: SALT, engine: `engine-${n + 1}`, parts },
+          none,
+        );
     const fresh = caches[n].read(parts);
     if (everRead.has(parts[0][0]) && had < parts[0][1] && t.w.now() >= AT)
       again += Math.max(0, fresh - parts[1][1]);
--- a/tools/sim/feedscene.ts
+++ b/tools/sim/feedscene.ts
@@ -1,7 +1,7 @@
 import { Right } from 'purify-ts';
 import { usersPlatform } from '../../platform/adapter';
 import { Indexer, startIndexer } from '../../src/index/indexer';
-import { overlapOf } from '../../src/index/overlap';
+import { computeOverlap } from '../../src/index/overlap';
 import { PlatformAdapter } from '../../src/shared/platform-adapter/platform-adapter';
 import { errorOrValue } from '../../src/shared/errors/errors';
 import { defaultSettings } from '../../src/shared/settings/settings';
@@ -119,7 +119,7 @@
 
   function told(i = 0, parts = PROMPT): Record<string, [number, number]> {
     const out: Record<string, [number, number]> = {};
-    for (const [s, kept, coming] of overlapOf(all[i].trees, all[i].coming, {
+    for (const [s, kept, coming] of computeOverlap(all[i].trees, all[i].expectedBlocks, {
       model: 'm',
       salt: SALT,
       parts,
--- a/tools/sim/overlap.ts
+++ b/tools/sim/overlap.ts
@@ -60,7 +60,7 @@
   const salts = [...f.controllers.values()].map(intentsOf).find(Boolean)?.salts ?? {};
   for (const x of seen.slice(-SAMPLE)) {
     for (const [name, ix] of f.indexers) {
-      if (!f.w.procs().find(named(name))!.alive || !ix.gateOpen()) continue;
+      if (!f.w.procs().find(named(name))!.alive || !ix.isReady()) continue;
       for (const [id, e] of f.standins) {
         if (!f.w.procs().find(named(id))!.alive) continue;
         const q = {
--- a/tools/sim/simfleet.ts
+++ b/tools/sim/simfleet.ts
@@ -3,7 +3,7 @@
 import { startBackgroundTasks } from '../../src/control/singletons/background-tasks';
 import { countCalls, drainCalls } from '../../src/control/api/call-draining';
 import { startRouter } from '../../src/data/router';
-import { serveIndex } from '../../src/index/api';
+import { serveIndex } from '../../src/index/index-api';
 import { Indexer, startIndexer } from '../../src/index/indexer';
 import { requestJson } from '../../src/shared/util/http-json';
 import { errorOrValue, Result } from '../../src/shared/errors/errors';
--- a/tools/sim/simworld.ts
+++ b/tools/sim/simworld.ts
@@ -218,9 +218,8 @@
 
   function log(p: Proc): Logger {
     function say(fields: object, text: string): void {
-      trace(
-        `${p.name} ${(fields as { step?: string }).step ?? ''} ${(fields as { peer?: string }).peer ?? ''}: ${text}`,
-      );
+      const { event, step, peer } = fields as { event?: string; step?: string; peer?: string };
+      trace(`${p.name} ${event ?? step ?? ''} ${peer ?? ''}: ${text}`);
     }
     return { info: nothing, notice: nothing, warn: say, error: say };
   }
--- a/tools/sim/without.ts
+++ b/tools/sim/without.ts
@@ -7,8 +7,8 @@
 import * as engines from '../../src/data/engines';
 import * as router from '../../src/data/router';
 import * as once from '../../src/data/once';
-import * as indexMessages from '../../src/index/messages';
-import * as tree from '../../src/index/tree';
+import * as indexMessages from '../../src/index/index-handlers';
+import * as tree from '../../src/index/prefix-trees';
 import * as engine from '../../src/shared/contracts/engine';
 import * as platform from '../../src/shared/contracts/platform';
 import * as delta from '../../src/shared/replication/delta';
@@ -292,21 +292,21 @@
       async function none(): Promise<Result<unknown>> {
         return Right([]);
       }
-      (indexMessages.IndexEdge.prototype as unknown as Patch).missed = none;
+      (indexMessages.IndexHandlers.prototype as unknown as Patch).missed = none;
     } else if (way === 'returns') {
       async function deaf(): Promise<Result<unknown>> {
         return Right(undefined);
       }
-      (indexMessages.IndexEdge.prototype as unknown as Patch).reused = deaf;
+      (indexMessages.IndexHandlers.prototype as unknown as Patch).reused = deaf;
     } else {
-      const real = tree.makeTrees;
-      function sure(most: number): tree.Trees {
+      const real = tree.makePrefixTrees;
+      function sure(most: number): tree.PrefixTrees {
         function doubt(): number {
           return 0;
         }
-        return { ...real(most), doubt };
+        return { ...real(most), markDoubted: doubt };
       }
-      (tree as unknown as Patch).makeTrees = sure;
+      (tree as unknown as Patch).makePrefixTrees = sure;
     }
   }
   return patch;
