--- a/src/control/singletons/weights-rollout.ts
+++ b/src/control/singletons/weights-rollout.ts
@@ -1,263 +1,218 @@
-import {
-  PlatformAdapter,
-  EngineReport,
-  OrderReply,
-} from '../../shared/platform-adapter/platform-adapter';
-import { errorOrValue } from '../../shared/errors/errors';
+/**
+ * The rolling load of weights: brings all engines of each model to its named weights, in batches, each engine ordered
+ * once, under the fencing token of one singleton role for the whole fleet.
+ */
+
 import { Ports } from '../../shared/ports/ports';
-import { compareWeights, lacks, NamedWeights } from '../../shared/state/weights';
-import { sendAdapterRequest } from '../../shared/platform-adapter/adapter-request';
-import { Engine } from '../../shared/state/engines';
 import { CONTROL_KEYS } from '../../shared/state/control-keys';
+import { Engine } from '../../shared/state/engines';
+import { NamedWeights } from '../../shared/state/weights';
 import { Controller } from '../controller-interface';
-import { makeSingletonLease } from './singleton-lease';
-
-/** Engines of a model that take up weights at once, as a share of them all. */
-const AT_ONCE = 0.25;
-/** The same where the time is short, while older weights serve: the other half goes on serving. */
-const AT_ONCE_LATE = 0.5;
-/** Weight of the last engine's time in the usual one. */
-const SMOOTH = 0.3;
-/** Reports without an answer after which an engine is left to the list. */
-const MOST_SILENT = 3;
-
-interface Task {
-  engine: Engine;
-  model: string;
-  named: NamedWeights;
-}
-
-interface Sent {
+import { EngineOrderAdapter, EngineWeightsLoader } from './engine-weights-loader';
+import {
+  assumedElapsedMs,
+  batchSize,
+  countLoading,
+  EngineUpdate,
+  nextRetry,
+  RetryState,
+  selectNextUpdates,
+  servingEngines,
+  smoothLoadTime,
+  updatesFor,
+} from './rollout-decisions';
+import { makeSingletonLease, SingletonLease } from './singleton-lease';
+
+/** The name of the role, as it is stored. */
+const ROLE = 'weights';
+
+/** Of the time for which the role is safe, the ratio between two rounds. */
+const ROUND_INTERVAL_RATIO = 0.5;
+
+/** Of the same, the ratio by which routers are notified of a load before its order: they send the engine nothing meanwhile. */
+const NOTICE_RATIO = 0.25;
+
+/** Since when weights are named, in ms of the clock. */
+interface NamedSince {
+  weights: string;
   at: number;
-  sure: boolean;
 }
 
-/** Brings all engines of each model to its named weights: a few at a time, each ordered once, under the fence of one duty for the whole fleet. */
-export async function runWeightsRollout(
-  c: Controller,
-  ports: Ports,
-  speak: Pick<PlatformAdapter['engines'], 'order' | 'report'>,
-): Promise<void> {
-  const { clock, network: wire, logger: log } = ports;
-  const { timeLimits: bounds } = c;
-  const term = makeSingletonLease(c, ports, 'weights');
-  const known = new Map<string, string>();
-  const since = new Map<string, { weights: string; at: number }>();
-  const underWay = new Map<string, string>();
-  const notBefore = new Map<string, { tries: number; at: number }>();
-  let usual = bounds.initialWeightsLoadMs;
-  let waiting: number | undefined;
-  let passed = -Infinity;
-  let inTouchSince = Infinity;
-
-  while (!c.isStopped()) {
-    await clock.sleep(bounds.singletonFreshMs * 0.5);
-    term.observe();
-    noteTouch();
-    const next: Task[] = [];
-    let any = false;
-    for (const named of namedModels()) {
-      const all = lacking(named);
-      any ||= all.length > 0;
-      next.push(...nextOf(named, all));
-      if (all.length === 0) await endOlder(named);
-    }
-    waiting = any ? (waiting ?? clock.now()) : undefined;
-    if (waiting === undefined || (next.length === 0 && term.isSafeFromTakeover())) continue;
-    if ((await term.acquireFencingToken(clock.now() - waiting)) !== undefined)
-      for (const t of next) void bring(t);
-  }
-
-  /** Notes since when this node has taken its turns and seen a majority: what it hears meanwhile, it hears as it is made. */
-  function noteTouch(): void {
-    const now = clock.now();
-    if (now - passed > bounds.leaseMs || !c.hasQuorum()) inTouchSince = now;
-    passed = now;
+/** The rolling load of weights at one controller; of all controllers only the holder of the role gives orders. */
+class WeightsRollout {
+  private readonly lease: SingletonLease;
+  private readonly loader: EngineWeightsLoader;
+  /** The weights that engines have by their own answers, by engine and model. */
+  private readonly loadedWeights = new Map<string, string>();
+  private readonly namedSince = new Map<string, NamedSince>();
+  /** The engines that load now, with the model of which they do. */
+  private readonly loading = new Map<string, string>();
+  private readonly retries = new Map<string, RetryState>();
+  private usualLoadMs: number;
+  /** Since when updates wait; nothing where none does. */
+  private waitingSince: number | undefined;
+  private lastRoundAt = -Infinity;
+  private inTouchSince = Infinity;
+
+  constructor(
+    private readonly controller: Controller,
+    private readonly ports: Ports,
+    adapter: EngineOrderAdapter,
+  ) {
+    this.lease = makeSingletonLease(controller, ports, ROLE);
+    this.usualLoadMs = controller.timeLimits.initialWeightsLoadMs;
+    this.loader = new EngineWeightsLoader({
+      ports,
+      timeLimits: controller.timeLimits,
+      adapter,
+      lease: this.lease,
+      holderId: controller.ownerId,
+      usualLoadMs: this.currentUsualLoadMs.bind(this),
+      isListed: this.isListed.bind(this),
+    });
   }
 
-  /** The named weights of each model, and since when they are named; where that is not known, half of the time is taken as gone. */
-  function namedModels(): NamedWeights[] {
-    const out: NamedWeights[] = [];
-    for (const key of c.store.registers.keys()) {
-      const v = key.startsWith(CONTROL_KEYS.weights)
-        ? c.committedValue<NamedWeights>(key)?.value
-        : undefined;
-      if (!v) continue;
-      const s = since.get(v.model);
-      if (s?.weights !== v.weights)
-        since.set(v.model, {
-          weights: v.weights,
-          at:
-            clock.now() -
-            (clock.now() - inTouchSince > bounds.leaseMs ? 0 : bounds.rolloutTargetMs * 0.5),
-        });
-      out.push(v);
+  /** Goes round until the controller stops. */
+  async run(): Promise<void> {
+    const { clock } = this.ports;
+    const { timeLimits } = this.controller;
+    while (!this.controller.isStopped()) {
+      await clock.sleep(timeLimits.singletonFreshMs * ROUND_INTERVAL_RATIO);
+      this.lease.observe();
+      this.noteRound();
+      let lackingCount = 0;
+      const next: EngineUpdate[] = [];
+      for (const named of this.namedModels()) {
+        const updates = this.updatesOf(named);
+        lackingCount += updates.length;
+        next.push(...this.nextUpdates(named, updates));
+        if (updates.length === 0) await this.retireOlder(named);
+      }
+      this.waitingSince = lackingCount > 0 ? (this.waitingSince ?? clock.now()) : undefined;
+      if (this.waitingSince === undefined) continue;
+      if (next.length === 0 && this.lease.isSafeFromTakeover()) continue;
+      const fence = await this.lease.acquireFencingToken(clock.now() - this.waitingSince);
+      if (fence !== undefined) for (const update of next) void this.load(update);
     }
-    return out;
-  }
-
-  /** Ends the older weights of a model once none of its engines has them, or they are long over at every router. */
-  async function endOlder(named: NamedWeights): Promise<void> {
-    const s = since.get(named.model)!;
-    if (
-      named.older.length === 0 ||
-      !c.keyOwner.owns(CONTROL_KEYS.weights + named.model) ||
-      clock.now() - s.at < bounds.oldWeightsRetireMs
-    )
-      return;
-    s.at = clock.now();
-    await c.change({ kind: 'weights-end', model: named.model, ended: named.older });
   }
 
-  function enginesOf(model: string): Engine[] {
-    const out: Engine[] = [];
-    for (const e of c.committedValue<Engine[]>(CONTROL_KEYS.engines)?.value ?? [])
-      if (!e.leaving && listedWeights(e, model) !== undefined) out.push(e);
-    return out;
+  /** Notes since when this node goes round in time and sees a majority: what it learns meanwhile, it learns as it is made. */
+  private noteRound(): void {
+    const now = this.ports.clock.now();
+    const { timeLimits, hasQuorum } = this.controller;
+    if (now - this.lastRoundAt > timeLimits.leaseMs || !hasQuorum()) this.inTouchSince = now;
+    this.lastRoundAt = now;
   }
 
-  function listedWeights(e: Engine, model: string): string | undefined {
-    for (const m of e.models ?? [{ name: e.model, weights: e.weights }])
-      if (m.name === model) return m.weights;
-    return undefined;
+  /** The named weights of each model; notes since when they are named. */
+  private namedModels(): NamedWeights[] {
+    const models: NamedWeights[] = [];
+    for (const key of this.controller.store.registers.keys()) {
+      if (!key.startsWith(CONTROL_KEYS.weights)) continue;
+      const named = this.controller.committedValue<NamedWeights>(key)?.value;
+      if (!named) continue;
+      this.noteNamed(named);
+      models.push(named);
+    }
+    return models;
   }
 
-  /** What an engine runs with: the newest of what the list and its own answers say, for its weights never fall. */
-  function weightsOf(e: Engine, named: NamedWeights): string {
-    const listed = listedWeights(e, named.model)!;
-    const own = known.get(`${e.id} ${named.model}`);
-    return own !== undefined && compareWeights(own, listed, named) > 0 ? own : listed;
+  private noteNamed({ model, weights }: NamedWeights): void {
+    if (this.namedSince.get(model)?.weights === weights) return;
+    const now = this.ports.clock.now();
+    const elapsedMs = assumedElapsedMs(now - this.inTouchSince, this.controller.timeLimits);
+    this.namedSince.set(model, { weights, at: now - elapsedMs });
   }
 
-  function lacking(named: NamedWeights): Task[] {
-    const out: Task[] = [];
-    for (const engine of enginesOf(named.model))
-      if (lacks(weightsOf(engine, named), named)) out.push({ engine, model: named.model, named });
-    return out;
+  /** Retires the older weights of a model of which no engine has them, once they are out of use at every router. */
+  private async retireOlder(named: NamedWeights): Promise<void> {
+    const { keyOwner, timeLimits, change } = this.controller;
+    const since = this.namedSince.get(named.model)!;
+    const now = this.ports.clock.now();
+    if (named.older.length === 0 || !keyOwner.owns(CONTROL_KEYS.weights + named.model)) return;
+    if (now - since.at < timeLimits.oldWeightsRetireMs) return;
+    since.at = now;
+    await change({ kind: 'weights-end', model: named.model, ended: named.older });
   }
 
-  /** How many engines may take up weights at once: a share of them, or up to half where the time is short. Once older ones have ended, all may. */
-  function atOnce(named: NamedWeights, left: number): number {
-    const gone = clock.now() - since.get(named.model)!.at;
-    const all = enginesOf(named.model).length;
-    const needed = Math.ceil(
-      (left * usual) / Math.max(usual, bounds.rolloutTargetMs - gone - usual / 2),
-    );
-    const most = gone < bounds.oldWeightsRetireMs ? Math.ceil(all * AT_ONCE_LATE) : left;
-    return Math.max(1, Math.floor(all * AT_ONCE), Math.min(needed, most));
+  private servingEngines(model: string): Engine[] {
+    const engines = this.controller.committedValue<Engine[]>(CONTROL_KEYS.engines)?.value;
+    return servingEngines(engines ?? [], model);
   }
 
-  /** The engines of a model to be brought to its weights now. */
-  function nextOf(named: NamedWeights, all: readonly Task[]): Task[] {
-    let room = atOnce(named, all.length);
-    for (const m of underWay.values()) if (m === named.model) room--;
-    return all.filter(isFree).slice(0, Math.max(0, room));
-    function isFree(t: Task): boolean {
-      return !underWay.has(t.engine.id) && clock.now() >= (notBefore.get(t.engine.id)?.at ?? 0);
+  private updatesOf(named: NamedWeights): EngineUpdate[] {
+    const { loadedWeights } = this;
+    function loadedBy(engine: Engine): string | undefined {
+      return loadedWeights.get(loadKey(engine, named.model));
     }
-  }
-
-  /** Brings one engine to the weights: tells routers, orders, and looks until it has them. */
-  async function bring(t: Task): Promise<void> {
-    const { engine, model } = t;
-    const began = clock.now();
-    underWay.set(engine.id, model);
-    c.leases.notifyAll('loading', { engines: [engine.id], within: bounds.weightsLoadTimeoutMs });
-    await clock.sleep(bounds.singletonFreshMs * 0.25);
-    const done = await orderAndLook(t);
-    underWay.delete(engine.id);
-    if (done) {
-      usual += SMOOTH * (clock.now() - began - usual);
-      notBefore.delete(engine.id);
-      known.set(`${engine.id} ${model}`, t.named.weights);
-      c.leases.notifyAll('loaded', { engine: engine.id, weights: { [model]: t.named.weights } });
-      return;
+    return updatesFor(this.servingEngines(named.model), named, loadedBy);
+  }
+
+  private nextUpdates({ model }: NamedWeights, updates: EngineUpdate[]): EngineUpdate[] {
+    const now = this.ports.clock.now();
+    const progress = {
+      engineCount: this.servingEngines(model).length,
+      lackingCount: updates.length,
+      elapsedMs: now - this.namedSince.get(model)!.at,
+      usualLoadMs: this.usualLoadMs,
+    };
+    const batch = batchSize(progress, this.controller.timeLimits);
+    const room = batch - countLoading(this.loading, model);
+    return selectNextUpdates(updates, room, this.loading, this.retries, now);
+  }
+
+  /** Has one engine load weights: notifies routers, orders it, and notes what came of it. */
+  private async load(update: EngineUpdate): Promise<void> {
+    const { timeLimits, leases } = this.controller;
+    const { engine, model } = update;
+    const { clock } = this.ports;
+    const beganAt = clock.now();
+    this.loading.set(engine.id, model);
+    leases.notifyAll('loading', { engines: [engine.id], within: timeLimits.weightsLoadTimeoutMs });
+    await clock.sleep(timeLimits.singletonFreshMs * NOTICE_RATIO);
+    const isLoaded = await this.loader.load(update);
+    this.loading.delete(engine.id);
+    if (isLoaded) this.noteLoaded(update, clock.now() - beganAt);
+    else this.noteFailed(engine);
+  }
+
+  private noteLoaded({ engine, model, named }: EngineUpdate, tookMs: number): void {
+    const { weights } = named;
+    this.usualLoadMs = smoothLoadTime(this.usualLoadMs, tookMs);
+    this.retries.delete(engine.id);
+    this.loadedWeights.set(loadKey(engine, model), weights);
+    const loaded = { engine: engine.id, weights: { [model]: weights } };
+    this.controller.leases.notifyAll('loaded', loaded);
+  }
+
+  private noteFailed({ id }: Engine): void {
+    const { leases, timeLimits } = this.controller;
+    leases.notifyAll('loading', { engines: [id], within: 0 });
+    const now = this.ports.clock.now();
+    this.retries.set(id, nextRetry(this.retries.get(id), now, timeLimits.engineReportMaxAgeMs));
+  }
+
+  private isListed({ engine, model }: EngineUpdate): boolean {
+    function isSame(listed: Engine): boolean {
+      return listed.id === engine.id;
     }
-    c.leases.notifyAll('loading', { engines: [engine.id], within: 0 });
-    const tries = (notBefore.get(engine.id)?.tries ?? 0) + 1;
-    notBefore.set(engine.id, {
-      tries,
-      at: clock.now() + bounds.engineReportMaxAgeMs * Math.min(8, 2 ** (tries - 1)),
-    });
+    return this.servingEngines(model).some(isSame);
   }
 
-  async function orderAndLook(t: Task): Promise<boolean> {
-    let sent = await order(t, undefined);
-    let silent = 0;
-    while (sent !== 'holds' && sent !== 'not taken') {
-      await clock.sleep(
-        Math.max(
-          bounds.singletonFreshMs * 0.6,
-          clock.now() - sent.at < usual * 0.5 ? usual * 0.5 : 0,
-        ),
-      );
-      const r = await report(t);
-      if (r === undefined) silent++;
-      else silent = 0;
-      if (
-        silent >= MOST_SILENT ||
-        clock.now() - sent.at > bounds.weightsLoadTimeoutMs ||
-        !isListed(t)
-      )
-        return false;
-      if (r === undefined) continue;
-      if (has(r, t)) return true;
-      if (r.busy || clock.now() - sent.at < bounds.engineReportMaxAgeMs * 2) continue;
-      if (sent.sure) return false;
-      sent = await order(t, r.orders);
-    }
-    return sent === 'holds';
-  }
-
-  /** Gives the order, under a fence that a majority confirmed just now; what got no clear answer may have been taken. */
-  async function order(
-    t: Task,
-    expected: number | undefined,
-  ): Promise<Sent | 'holds' | 'not taken'> {
-    const fence = await term.acquireFencingToken(0);
-    if (fence === undefined || !term.isFresh()) return 'not taken';
-    const { engine, model, named } = t;
-    const q = speak.order.ask({
-      instance: engine.id,
-      model,
-      weights: named.weights,
-      method: 'queue',
-      holder: c.ownerId,
-      fence,
-      expected,
-    });
-    const at = clock.now();
-    const [f, r] = errorOrValue(
-      await sendAdapterRequest(wire, engine.at, q, bounds.engineOrderTimeoutMs),
-    );
-    const answer: OrderReply = f ? 'unknown' : speak.order.read(r.status, r.body);
-    log.info(
-      { step: 'order weights', peer: engine.at },
-      `${engine.id} ${model} ${named.weights}: ${f ? f.reason : answer}`,
-    );
-    if (f?.certainty === 'refused') return 'not taken';
-    if (answer === 'holds') return 'holds';
-    if (answer === 'taken' || answer === 'busy') return { at, sure: true };
-    return answer === 'unknown' ? { at, sure: false } : 'not taken';
-  }
-
-  async function report(t: Task): Promise<EngineReport | undefined> {
-    const [f, r] = errorOrValue(
-      await sendAdapterRequest(wire, t.engine.at, speak.report.ask(), bounds.engineOrderTimeoutMs),
-    );
-    const read = f ? undefined : speak.report.read(r.status, r.body);
-    return read?.isRight() ? read.extract() : undefined;
+  private currentUsualLoadMs(): number {
+    return this.usualLoadMs;
   }
+}
 
-  function has(r: EngineReport, t: Task): boolean {
-    for (const m of r.models) if (m.name === t.model) return !lacks(m.weights, t.named);
-    return false;
-  }
+function loadKey(engine: Engine, model: string): string {
+  return `${engine.id} ${model}`;
+}
 
-  function isListed(t: Task): boolean {
-    function same(e: Engine): boolean {
-      return e.id === t.engine.id;
-    }
-    return enginesOf(t.model).some(same);
-  }
+/** Runs the rolling load of weights at one controller until that stops. */
+export function runWeightsRollout(
+  controller: Controller,
+  ports: Ports,
+  adapter: EngineOrderAdapter,
+): Promise<void> {
+  return new WeightsRollout(controller, ports, adapter).run();
 }
