--- a/test/control/lease-costs.test.ts
+++ b/test/control/lease-costs.test.ts
@@ -1,5 +1,6 @@
 import { Right } from 'purify-ts';
-import { LeaseRequest, LeaseRegistry } from '../../src/control/leases/lease-registry';
+import { LeaseRequest } from '../../src/control/leases/lease-messages';
+import { LeaseRegistry } from '../../src/control/leases/lease-registry';
 import { PeerHandlers } from '../../src/control/peer-handlers';
 import { ControlStore } from '../../src/control/storage/control-store';
 import { ChangeMessage } from '../../src/shared/replication/change-message';
--- a/tools/sim/without.ts
+++ b/tools/sim/without.ts
@@ -41,8 +41,8 @@
 }
 
 function noEffect(): void {
-  async function atOnce(this: { slots: { disk: string } }): Promise<Result<unknown>> {
-    return Right({ disk: this.slots.disk });
+  async function atOnce(this: { store: { diskId: string } }): Promise<Result<unknown>> {
+    return Right({ disk: this.store.diskId });
   }
   (leases.LeaseRegistry.prototype as unknown as Patch).effect = atOnce;
 }
