--- a/src/control/configuration/change-coordinator.ts
+++ b/src/control/configuration/change-coordinator.ts
@@ -1,50 +1,51 @@
-import { isDeepStrictEqual } from 'node:util';
+/**
+ * Makes the changes of one controller: forwards each one to the owner of its key, or makes it here in the owner's
+ * place. An order that is sent again while it is in progress joins the first attempt and has its result.
+ */
+
 import { Left, Right } from 'purify-ts';
+import { makeSingleFlight } from '../../shared/concurrency/single-flight';
 import {
-  failure,
-  OperationError,
   errorOrValue,
-  Result,
   isRetryableElsewhere,
+  OperationError,
+  Result,
 } from '../../shared/errors/errors';
-import { rankByRendezvousHash } from '../../shared/util/hashing';
-import { PeerChannel, notConnected } from '../../shared/transport/connections';
 import { Clock } from '../../shared/ports/clock';
 import { RandomSource } from '../../shared/ports/random';
-import { TimeLimits } from '../../shared/settings/time-limits';
-import { Settings } from '../../shared/settings/settings';
-import { IntentsValue } from '../../shared/state/intents';
 import { CONTROL_KEYS } from '../../shared/state/control-keys';
-import { VersionedValue, Version } from '../../shared/state/versions';
-import { VoterSet } from '../../shared/state/voter-set';
-import { DocumentParser, operationIdentity, checkBaseRevision } from './deployment-change';
+import { Version, VersionedValue } from '../../shared/state/versions';
+import { notConnected } from '../../shared/transport/connections';
+import { isApplied, nextValueInDoubt, refusalInDoubt, withDoubt } from './change-doubt';
 import { forwardChange } from './change-forwarding';
-import { validateIntents } from './intents-validation';
-import { controlKeyOf, computeNextValue, Operation } from './operations';
-import { KeyOwner } from '../consensus/key-owner';
-import { makeSingleFlight } from '../../shared/concurrency/single-flight';
+import { checkBaseRevision, DocumentParser, operationIdentity } from './deployment-change';
+import { computeNextValue } from './next-value';
+import { controlKeyOf, Operation } from './operations';
+import { OwnerRequests, OwnerRequestsDependencies } from './owner-requests';
 import { SingletonHolder } from './singleton-holder';
 
-/** What became of a change. */
+/** Attempts at a change, and rounds of asking its key's owner. */
+const MAX_ATTEMPTS = 3;
+
+/** The pause before another round, as a ratio of the usual pause: at least the first, and up to the second more at random. */
+const ROUND_PAUSE_MIN_RATIO = 0.05;
+const ROUND_PAUSE_JITTER_RATIO = 0.15;
+
+/** The result of a change that was made. The field names are sent. */
 export interface ChangeResult {
+  /** The version that the change has. */
   place: Version;
+  /** Whether every router with a live lease goes by it. */
   inEffect: boolean;
-  /** The duty as it stands, where the change was of one; other values may be large, and nobody reads them here. */
+  /** The singleton role as it is committed, where the change was of one; other values may be large, and nobody reads them here. */
   duty?: SingletonHolder;
 }
 
-interface ChangeCoordinatorDependencies {
+interface ChangeCoordinatorDependencies extends OwnerRequestsDependencies {
   clock: Clock;
   random: RandomSource;
-  settings: Settings;
-  timeLimits: TimeLimits;
-  keyOwner: KeyOwner;
   parser: DocumentParser | undefined;
-  voters: () => VoterSet | undefined;
-  liveAddresses: () => string[];
-  channelTo: (at: string) => PeerChannel | undefined;
-  dispatchLocally: (type: string, body: unknown) => Promise<Result<unknown>>;
-  /** Reads what a majority holds as committed of a key, without its owner; a fault where a change may be under way. */
+  /** Reads what a majority holds as committed of a key, without its owner; an error where a change may be in progress. */
   readIfStable: (key: string) => Promise<Result<VersionedValue | undefined>>;
 }
 
@@ -52,170 +53,136 @@
 export interface ChangeCoordinator {
   /** Makes a change here, as the key's owner. */
   changeAsOwner: (
-    op: Operation,
-    tries?: number,
-    inDoubt?: boolean,
+    operation: Operation,
+    maxAttempts?: number,
+    isInDoubt?: boolean,
   ) => Promise<Result<ChangeResult>>;
   /** Has the key's owner make a change, and makes it here where that one does not. */
-  commit: (op: Operation) => Promise<Result<ChangeResult>>;
+  commit: (operation: Operation) => Promise<Result<ChangeResult>>;
   /** Asks a key's owner; where that one does not answer, this node takes its place. */
   requestOwner: (key: string, type: string, body: object) => Promise<Result<unknown>>;
   /** Has a key's owner commit its value anew; where that one does not answer, nobody takes its place. */
   recommit: (key: string) => Promise<Result<unknown>>;
-  /** Whether an order is being worked on here, as by the key's owner. */
+  /** Whether an order is in progress here, as at the key's owner. */
   isInProgress: (identity: string) => boolean;
 }
 
-const TRIES = 3;
-
-/** Whether the value that stands is what a change on a base has made of it. */
-function isMade(op: Operation, now: VersionedValue | undefined): boolean {
-  if (!now || (op.kind !== 'voters' && op.kind !== 'intents') || now.number !== op.basedOn + 1)
-    return false;
-  if (op.kind === 'voters') return isDeepStrictEqual(now.value, op.voters);
-  return isDeepStrictEqual((now.value as IntentsValue).doc, validateIntents(op.doc).extract());
+/** What identifies an operator's order; other changes have no identity. */
+function identityOf(operation: Operation): string | undefined {
+  return operation.kind === 'deployment' ? operationIdentity(operation) : undefined;
 }
 
-/** What identifies an operator's order; other changes have no identity. */
-function identityOfOrder(op: Operation): string | undefined {
-  return op.kind === 'deployment' ? operationIdentity(op) : undefined;
+function resultOf(committed: VersionedValue): ChangeResult {
+  const { key, epoch, by, number, value } = committed;
+  const result: ChangeResult = { place: { epoch, by, number }, inEffect: false };
+  return key.startsWith(CONTROL_KEYS.duty) ? { ...result, duty: value as SingletonHolder } : result;
 }
 
-/** Makes the changes of one controller. */
-export function makeChangeCoordinator(p: ChangeCoordinatorDependencies): ChangeCoordinator {
-  const { settings, timeLimits: bounds, keyOwner: owner } = p;
-  const madeHere = makeSingleFlight<Result<ChangeResult>>();
-  const committed = makeSingleFlight<Result<ChangeResult>>();
-
-  /** Another may have made the change already; a conflict with what stands may then be with the change itself. */
-  function makeAgain(op: Operation, now: VersionedValue | undefined): Result<unknown> {
-    const o = computeNextValue(op, now, p.parser);
-    const [f] = errorOrValue(o);
-    return f?.code === 'conflict' && op.kind !== 'deployment'
-      ? failure(f.step, f.peer, f.reason, 'unknown', 'in-doubt')
-      : o;
-  }
+/** The changes of one controller. */
+class Changes {
+  private readonly madeAsOwner = makeSingleFlight<Result<ChangeResult>>();
+  private readonly committed = makeSingleFlight<Result<ChangeResult>>();
+  private readonly owners: OwnerRequests;
 
-  /** A change that may stand already is not refused by a fault that says nothing of it. */
-  function leaveOpen(f: OperationError): OperationError {
-    return f.certainty === 'refused' && isRetryableElsewhere(f)
-      ? { ...f, certainty: 'unknown' }
-      : f;
+  constructor(private readonly dependencies: ChangeCoordinatorDependencies) {
+    this.owners = new OwnerRequests(dependencies);
   }
 
-  /** Makes a change as the key's owner; one that is sent again meanwhile has the same outcome. */
-  async function here(op: Operation, tries = 1, inDoubt = false): Promise<Result<ChangeResult>> {
-    const made = await madeHere.run(identityOfOrder(op), start);
-    return inDoubt ? made.mapLeft(leaveOpen) : made;
-
-    async function start(): Promise<Result<ChangeResult>> {
-      return (await owner.change(controlKeyOf(op), make, tries)).map(changed);
-    }
-
-    function make(now: VersionedValue | undefined): Result<unknown> {
-      return inDoubt ? makeAgain(op, now) : computeNextValue(op, now, p.parser);
-    }
-  }
-
-  function changed(n: VersionedValue): ChangeResult {
+  coordinator(): ChangeCoordinator {
     return {
-      place: { epoch: n.epoch, by: n.by, number: n.number },
-      inEffect: false,
-      ...(n.key.startsWith(CONTROL_KEYS.duty) ? { duty: n.value as SingletonHolder } : {}),
+      changeAsOwner: this.changeAsOwner.bind(this),
+      commit: this.commit.bind(this),
+      requestOwner: this.owners.request.bind(this.owners),
+      recommit: this.owners.recommit.bind(this.owners),
+      isInProgress: this.madeAsOwner.isInProgress,
     };
   }
 
-  function nobody(step: string): OperationError {
-    return {
-      step,
-      peer: settings.name,
-      reason: 'no voter is here',
-      certainty: 'refused',
-      code: p.voters() ? 'no-quorum' : 'not-founded',
-    };
-  }
+  /** Makes a change as the key's owner; one that is sent again meanwhile has the same result. */
+  private async changeAsOwner(
+    operation: Operation,
+    maxAttempts = 1,
+    isInDoubt = false,
+  ): Promise<Result<ChangeResult>> {
+    const { keyOwner, parser } = this.dependencies;
+    const result = await this.madeAsOwner.run(identityOf(operation), start);
+    return isInDoubt ? withDoubt(result) : result;
 
-  async function handOverTo(at: string, op: Operation): Promise<Result<unknown>> {
-    const exchange = p.channelTo(at);
-    return exchange
-      ? forwardChange(p, exchange, op, identityOfOrder(op))
-      : Left(notConnected('change', at));
-  }
+    async function start(): Promise<Result<ChangeResult>> {
+      return (await keyOwner.change(controlKeyOf(operation), next, maxAttempts)).map(resultOf);
+    }
 
-  async function ask(at: string, type: string, body: object): Promise<Result<unknown>> {
-    return (
-      p.channelTo(at)?.request(type, body, bounds.forwardTimeoutMs) ?? Left(notConnected(type, at))
-    );
+    function next(committed: VersionedValue | undefined): Result<unknown> {
+      const value = computeNextValue(operation, committed, parser);
+      return isInDoubt ? nextValueInDoubt(operation, value) : value;
+    }
   }
 
   /**
-   * Has a change made. An order that was taken or refused by what stands is answered by a read, at any controller:
-   * its owner is left to the changes that are made, and is not outbid for a verdict.
+   * Has a change made. An order that was applied, or is refused by what is committed, is answered by a read, at any
+   * controller: its owner is left to the changes that are made, and is not outbid for a verdict.
    */
-  function commit(op: Operation): Promise<Result<ChangeResult>> {
-    return committed.run(identityOfOrder(op), start);
+  private commit(operation: Operation): Promise<Result<ChangeResult>> {
+    return this.committed.run(identityOf(operation), this.start.bind(this, operation));
+  }
 
-    async function start(): Promise<Result<ChangeResult>> {
-      const verdict = await verdictByRead(op);
-      return verdict ? Left(verdict) : commitByOwner(op);
-    }
+  private async start(operation: Operation): Promise<Result<ChangeResult>> {
+    const verdict = await this.verdictByRead(operation);
+    return verdict ? Left(verdict) : this.commitByOwner(operation);
   }
 
-  async function verdictByRead(op: Operation): Promise<OperationError | undefined> {
-    if (op.kind !== 'deployment' || !p.parser) return undefined;
-    const [fault, now] = errorOrValue(await p.readIfStable(controlKeyOf(op)));
-    return fault ? undefined : checkBaseRevision(op, now, p.parser);
+  private async verdictByRead(operation: Operation): Promise<OperationError | undefined> {
+    const { parser, readIfStable } = this.dependencies;
+    if (operation.kind !== 'deployment' || !parser) return undefined;
+    const [error, committed] = errorOrValue(await readIfStable(controlKeyOf(operation)));
+    return error ? undefined : checkBaseRevision(operation, committed, parser);
   }
 
-  async function commitByOwner(
-    op: Operation,
-    rounds = TRIES,
-    inDoubt = false,
+  private async commitByOwner(
+    operation: Operation,
+    rounds = MAX_ATTEMPTS,
+    isInDoubt = false,
   ): Promise<Result<ChangeResult>> {
-    const key = controlKeyOf(op);
-    const at = rankByRendezvousHash(key, p.liveAddresses())[0];
-    if (at === undefined) return Left(nobody('change'));
-    if (at === settings.wire) return here(op, TRIES, inDoubt);
-    const [f, r] = errorOrValue(await handOverTo(at, op));
-    if (!f) return Right(r as ChangeResult);
-    if (!isRetryableElsewhere(f))
-      return Left(
-        inDoubt && f.code === 'conflict' && op.kind !== 'deployment'
-          ? { ...f, certainty: 'unknown', code: 'in-doubt' }
-          : f,
-      );
-    const doubted = inDoubt || f.certainty === 'unknown';
-    const [g, now] = errorOrValue(await owner.acquire(key));
-    if (!g) return doubted && isMade(op, now) ? Right(changed(now!)) : here(op, TRIES, doubted);
-    if (rounds <= 1) return Left({ ...g, certainty: doubted ? 'unknown' : 'refused' });
-    await p.clock.sleep(bounds.retryPauseMs * (0.05 + 0.15 * p.random.next()));
-    return commitByOwner(op, rounds - 1, doubted);
+    const owner = this.owners.ownerAddress(controlKeyOf(operation));
+    if (owner === undefined) return Left(this.owners.noVoter('change'));
+    if (owner === this.dependencies.settings.wire)
+      return this.changeAsOwner(operation, MAX_ATTEMPTS, isInDoubt);
+    const [error, result] = errorOrValue(await this.forwardTo(owner, operation));
+    if (!error) return Right(result as ChangeResult);
+    if (!isRetryableElsewhere(error))
+      return Left(isInDoubt ? refusalInDoubt(operation, error) : error);
+    return this.commitInPlace(operation, rounds, isInDoubt || error.certainty === 'unknown');
   }
 
-  async function ofOwner(key: string, type: string, body: object): Promise<Result<unknown>> {
-    const at = rankByRendezvousHash(key, p.liveAddresses())[0];
-    if (at === undefined) return Left(nobody(type));
-    if (at === settings.wire) return p.dispatchLocally(type, body);
-    const o = await ask(at, type, body);
-    const [f] = errorOrValue(o);
-    return f && isRetryableElsewhere(f) ? p.dispatchLocally(type, body) : o;
+  /** Takes the place of an owner that did not answer, and makes the change unless that one had made it. */
+  private async commitInPlace(
+    operation: Operation,
+    rounds: number,
+    isInDoubt: boolean,
+  ): Promise<Result<ChangeResult>> {
+    const { keyOwner, clock, random, timeLimits } = this.dependencies;
+    const [error, committed] = errorOrValue(await keyOwner.acquire(controlKeyOf(operation)));
+    if (!error)
+      return isInDoubt && committed && isApplied(operation, committed)
+        ? Right(resultOf(committed))
+        : this.changeAsOwner(operation, MAX_ATTEMPTS, isInDoubt);
+    if (rounds <= 1) return Left({ ...error, certainty: isInDoubt ? 'unknown' : 'refused' });
+    const pauseRatio = ROUND_PAUSE_MIN_RATIO + ROUND_PAUSE_JITTER_RATIO * random.next();
+    await clock.sleep(timeLimits.retryPauseMs * pauseRatio);
+    return this.commitByOwner(operation, rounds - 1, isInDoubt);
   }
 
-  async function settle(key: string): Promise<Result<unknown>> {
-    const at = rankByRendezvousHash(key, p.liveAddresses())[0];
-    if (at === undefined) return Left(nobody('settle'));
-    if (at === settings.wire) return owner.reacquire(key);
-    return (
-      p.channelTo(at)?.request('settle', { key }, bounds.requestTimeoutMs) ??
-      Left(notConnected('settle', at))
-    );
+  private async forwardTo(address: string, operation: Operation): Promise<Result<unknown>> {
+    const channel = this.dependencies.channelTo(address);
+    return channel
+      ? forwardChange(this.dependencies, channel, operation, identityOf(operation))
+      : Left(notConnected('change', address));
   }
+}
 
-  return {
-    changeAsOwner: here,
-    commit,
-    requestOwner: ofOwner,
-    recommit: settle,
-    isInProgress: madeHere.isInProgress,
-  };
+/** Makes the changes of one controller. */
+export function makeChangeCoordinator(
+  dependencies: ChangeCoordinatorDependencies,
+): ChangeCoordinator {
+  return new Changes(dependencies).coordinator();
 }
--- a/test/control/weights-naming.test.ts
+++ b/test/control/weights-naming.test.ts
@@ -1,4 +1,4 @@
-import { computeNextValue } from '../../src/control/configuration/operations';
+import { computeNextValue } from '../../src/control/configuration/next-value';
 import { NamedWeights } from '../../src/shared/state/weights';
 import { VersionedValue } from '../../src/shared/state/versions';
 import { seededDice } from '../../tools/sim/dice';
--- a/tools/sim/without.ts
+++ b/tools/sim/without.ts
@@ -21,7 +21,8 @@
 import { Settings } from '../../src/shared/settings/settings';
 import { Engine } from '../../src/shared/state/engines';
 import { Intents } from '../../src/shared/state/intents';
-import * as operations from '../../src/control/configuration/operations';
+import * as nextValue from '../../src/control/configuration/next-value';
+import { Operation } from '../../src/control/configuration/operations';
 
 type Patch = Record<string, (...x: never[]) => unknown>;
 
@@ -56,8 +57,8 @@
 }
 
 function noSalts(): void {
-  const real = operations.computeNextValue;
-  function same(...x: Parameters<typeof operations.computeNextValue>): Result<unknown> {
+  const real = nextValue.computeNextValue;
+  function same(...x: Parameters<typeof nextValue.computeNextValue>): Result<unknown> {
     function flatten(v: unknown): unknown {
       const i = v as { doc?: Intents; salts?: Record<string, string> };
       for (const t of Object.keys(i?.salts ?? {})) i.salts![t] = 'one';
@@ -65,7 +66,7 @@
     }
     return real(...x).map(flatten);
   }
-  (operations as unknown as Patch).computeNextValue = same;
+  (nextValue as unknown as Patch).computeNextValue = same;
 }
 
 function noWeightsEnd(): void {
@@ -245,7 +246,7 @@
     function chosen(key: string): boolean {
       return key.startsWith('duty/') || c.isPreferredOwner(key);
     }
-    async function change(op: operations.Operation): ReturnType<Controller['change']> {
+    async function change(op: Operation): ReturnType<Controller['change']> {
       return op.kind === 'duty'
         ? Right({
             place: { epoch: 1, by: c.ownerId, number: 1 },
