--- a/src/control/configuration/change-effects.ts
+++ b/src/control/configuration/change-effects.ts
@@ -1,3 +1,8 @@
+/**
+ * Changes with the wait for their effect: until, by a majority of the voters, every router with a live lease has
+ * applied them.
+ */
+
 import { Left, Right } from 'purify-ts';
 import { errorOrValue, Result } from '../../shared/errors/errors';
 import { pollVoters } from '../../shared/transport/quorum-poll';
@@ -9,8 +14,8 @@
 import { ChangeResult } from './change-coordinator';
 import { controlKeyOf, Operation } from './operations';
 
-/** How much longer than a voter waits for an effect its answer is waited for. */
-const ANSWER = 1.1;
+/** How long a voter's reply is waited for, as a ratio of how long that voter waits for the effect. */
+const REPLY_TIMEOUT_RATIO = 1.1;
 
 /** What waiting for effects needs of its controller. */
 export interface ChangeEffectsDependencies {
@@ -18,8 +23,13 @@
   settings: Settings;
   timeLimits: TimeLimits;
   voters: () => VoterSet | undefined;
-  requestVoter: (v: Voter, type: string, body: unknown, within: number) => Promise<Result<unknown>>;
-  commit: (op: Operation) => Promise<Result<ChangeResult>>;
+  requestVoter: (
+    voter: Voter,
+    type: string,
+    body: unknown,
+    timeoutMs: number,
+  ) => Promise<Result<unknown>>;
+  commit: (operation: Operation) => Promise<Result<ChangeResult>>;
   /** Notes how long a change took until it was in effect. */
   observeEffectMs: (ms: number) => void;
 }
@@ -27,35 +37,41 @@
 /** Changes, with the wait until every router goes by them. */
 export interface ChangeEffects {
   /** Whether at a majority of the voters every router with a live lease has applied a change, within so many ms. */
-  awaitEffect: (key: string, place: Version, within: number) => Promise<boolean>;
-  change: (op: Operation) => Promise<Result<ChangeResult>>;
+  awaitEffect: (key: string, version: Version, timeoutMs: number) => Promise<boolean>;
+  /** Makes a change; where the settings are strict, its result tells whether it is in effect. */
+  change: (operation: Operation) => Promise<Result<ChangeResult>>;
 }
 
 /** Makes the changes that wait for their effect. */
-export function makeChangeEffects(p: ChangeEffectsDependencies): ChangeEffects {
-  async function effect(key: string, place: Version, within: number): Promise<boolean> {
-    const v = p.voters();
-    if (!v) return false;
-    const { epoch, by, number } = place;
-    function one(x: Voter): Promise<Result<unknown>> {
-      return p.requestVoter(x, 'effect', { key, epoch, by, number, within }, within * ANSWER);
+export function makeChangeEffects(dependencies: ChangeEffectsDependencies): ChangeEffects {
+  const { clock, settings, timeLimits, requestVoter } = dependencies;
+
+  async function awaitEffect(key: string, version: Version, timeoutMs: number): Promise<boolean> {
+    const voters = dependencies.voters();
+    if (!voters) return false;
+    const { epoch, by, number } = version;
+    const body = { key, epoch, by, number, within: timeoutMs };
+    function ask(voter: Voter): Promise<Result<unknown>> {
+      return requestVoter(voter, 'effect', body, timeoutMs * REPLY_TIMEOUT_RATIO);
     }
-    return (await pollVoters(v, one)).isRight();
+    return (await pollVoters(voters, ask)).isRight();
   }
 
-  async function change(op: Operation): Promise<Result<ChangeResult>> {
-    const began = p.clock.now();
-    const [f, changed] = errorOrValue(await p.commit(op));
-    if (f) return Left(f);
+  async function change(operation: Operation): Promise<Result<ChangeResult>> {
+    const beganAt = clock.now();
+    const [error, result] = errorOrValue(await dependencies.commit(operation));
+    if (error) return Left(error);
     const inEffect =
-      waits(op) && (await effect(controlKeyOf(op), changed.place, p.timeLimits.effectTimeoutMs));
-    if (inEffect) p.observeEffectMs(p.clock.now() - began);
-    return Right({ ...changed, inEffect });
+      isAwaited(operation) &&
+      (await awaitEffect(controlKeyOf(operation), result.place, timeLimits.effectTimeoutMs));
+    if (inEffect) dependencies.observeEffectMs(clock.now() - beganAt);
+    return Right({ ...result, inEffect });
   }
 
-  function waits(op: Operation): boolean {
-    return p.settings.strict && op.kind !== 'engines' && op.kind !== 'duty' && op.kind !== 'voters';
+  /** Whether an operator waits for the effect; the changes of background tasks are not waited for. */
+  function isAwaited({ kind }: Operation): boolean {
+    return settings.strict && kind !== 'engines' && kind !== 'duty' && kind !== 'voters';
   }
 
-  return { awaitEffect: effect, change };
+  return { awaitEffect, change };
 }
--- a/src/control/configuration/deployment-change.ts
+++ b/src/control/configuration/deployment-change.ts
@@ -1,3 +1,8 @@
+/**
+ * Operators' orders that change the deployment: the verdict on an order by the revision that it builds on, and the
+ * deployment that follows from it. An order that is sent again is recognized among those that were accepted last.
+ */
+
 import { Either, Left, Right } from 'purify-ts';
 import { Deployment, DeploymentValue, NamedChange } from '../../shared/state/deployment';
 import { PlatformAdapter } from '../../shared/platform-adapter/platform-adapter';
@@ -15,8 +20,9 @@
   recordAccepted,
   AcceptedChange,
 } from './accepted-changes';
+import { applyNamedChange } from './named-change';
 
-/** An operator's change of the deployment, on top of the revision that it builds on: a whole document, or a named change. */
+/** An operator's change of the deployment, on top of the revision that it builds on: a whole document, or a named change. The field names are sent. */
 export interface DeploymentOperation {
   kind: 'deployment';
   base: number;
@@ -26,33 +32,12 @@
   sum?: string;
 }
 
-/** Whether an order carries a whole document, or a named change of the one that stands. */
+/** Whether an order carries a whole document, or a named change of the committed one. */
 export type DeploymentChangeKind = 'replace' | 'update';
 
 /** How documents are read. */
 export type DocumentParser = Pick<PlatformAdapter, 'deployment' | 'namedChange'>;
 
-type Lists = Record<string, { name: string }[] | undefined>;
-
-/** Makes a document from another by a named change of its lists. */
-export function applyNamedChange(doc: object, change: NamedChange): object {
-  const out = { ...doc, revision: change.revision } as Record<string, unknown>;
-  for (const list of new Set([...Object.keys(change.remove), ...Object.keys(change.upsert)])) {
-    const gone = new Set(change.remove[list]);
-    const fresh = new Map<string, { name: string }>();
-    for (const item of change.upsert[list] ?? []) fresh.set(item.name, item);
-    const items: { name: string }[] = [];
-    for (const item of (doc as Lists)[list] ?? []) {
-      const now = fresh.get(item.name);
-      if (now) items.push(now);
-      else if (!gone.has(item.name)) items.push(item);
-      fresh.delete(item.name);
-    }
-    out[list] = [...items, ...fresh.values()];
-  }
-  return out;
-}
-
 function hashOrder(kind: DeploymentChangeKind, body: unknown): string {
   return shortHash(JSON.stringify([kind === 'replace', body]));
 }
@@ -70,105 +55,121 @@
 }
 
 /** The hash of an order's path and body; with its base, it identifies the order. */
-function sumOf(op: DeploymentOperation): string {
-  if (op.sum !== undefined) return op.sum;
-  return op.change === undefined ? hashOrder('replace', op.doc) : hashOrder('update', op.change);
+function hashOf(operation: DeploymentOperation): string {
+  const { sum, doc, change } = operation;
+  if (sum !== undefined) return sum;
+  return change === undefined ? hashOrder('replace', doc) : hashOrder('update', change);
 }
 
-function refusal(why: string, code: ConfigurationErrorCode): OperationError {
-  return makeError('apply', CONTROL_KEYS.deployment, why, 'refused', code);
+/** What identifies an order wherever and however often it is sent. */
+export function operationIdentity(operation: DeploymentOperation): string {
+  return `${operation.base} ${hashOf(operation)}`;
 }
 
-function refused<T>(why: string, code: ConfigurationErrorCode): Result<T> {
-  return Left(refusal(why, code));
+function refusal(reason: string, code: ConfigurationErrorCode): OperationError {
+  return makeError('apply', CONTROL_KEYS.deployment, reason, 'refused', code);
 }
 
-/** What identifies an order wherever and however often it is sent. */
-export function operationIdentity(op: DeploymentOperation): string {
-  return `${op.base} ${sumOf(op)}`;
+function invalid(violations: readonly string[]): OperationError {
+  return refusal(violations.join('; '), 'bad-deployment');
 }
 
-/** The verdict on an order that needs no look into what it brings: it was taken already, or builds on what no longer stands. */
-export function checkBaseRevision(
-  op: DeploymentOperation,
-  now: VersionedValue | undefined,
-  reader: DocumentParser,
-): OperationError | undefined {
-  const stands = now?.value as DeploymentValue | undefined;
-  const revision = stands?.revision ?? 0;
-  const orders = readAcceptedChanges(stands);
-  if (isAccepted(orders, op.base, sumOf(op))) return refusal('was taken already', 'stands');
-  return op.base === revision ? undefined : refuseBase(op, revision, orders, reader);
+function deploymentOf(committed: VersionedValue | undefined): DeploymentValue | undefined {
+  return committed?.value as DeploymentValue | undefined;
 }
 
-/** Works out the deployment that follows from an order and the one that stands; a fault of code `stands` says that the order was taken already, and one of code `forgotten` that it may have been. */
-export function computeDeployment(
-  op: DeploymentOperation,
-  now: VersionedValue | undefined,
-  reader: DocumentParser | undefined,
-): Result<DeploymentValue> {
-  if (!reader) return refused('no documents are read here', 'bad-deployment');
-  const stands = now?.value as DeploymentValue | undefined;
-  const revision = stands?.revision ?? 0;
-  const orders = readAcceptedChanges(stands);
-  const verdict = checkBaseRevision(op, now, reader);
-  if (verdict) return Left(verdict);
-  const doc = wholeOf(op, stands, reader);
-  const read = doc.chain(reader.deployment).chain(checked);
-  function checked(d: Deployment): Either<string[], Deployment> {
-    const faults = validateDeployment(d);
-    if (d.revision <= revision) faults.push(`revision ${d.revision} is not above ${revision}`);
-    return faults.length > 0 ? Left(faults) : Right(d);
-  }
-  if (read.isLeft()) return refused(read.extract().join('; '), 'bad-deployment');
-  const fresh = (read.extract() as Deployment).revision;
-  return Right({
-    revision: fresh,
-    doc: doc.extract(),
-    taken: recordAccepted(orders, { revision: fresh, base: op.base, sum: sumOf(op) }),
-  });
+/** The verdict on an order that needs no look into what it brings: it was accepted already, or builds on a revision that is not the committed one. */
+export function checkBaseRevision(
+  operation: DeploymentOperation,
+  committed: VersionedValue | undefined,
+  parser: DocumentParser,
+): OperationError | undefined {
+  const deployment = deploymentOf(committed);
+  const revision = deployment?.revision ?? 0;
+  const history = readAcceptedChanges(deployment);
+  if (isAccepted(history, operation.base, hashOf(operation)))
+    return refusal('was taken already', 'stands');
+  return operation.base === revision ? undefined : refuseBase(operation, revision, history, parser);
 }
 
-/** Refuses an order whose base is not what stands; one that may have been taken before all that is remembered is left open. */
+/** Refuses an order on another base than the committed revision; one that may have been accepted before all that is remembered is left open. */
 function refuseBase(
-  op: DeploymentOperation,
+  operation: DeploymentOperation,
   revision: number,
-  orders: AcceptedChange[],
-  reader: DocumentParser,
+  history: AcceptedChange[],
+  parser: DocumentParser,
 ): OperationError {
-  const conflict = `based on revision ${op.base}, but ${revision} stands`;
-  if (!isOlderThanHistory(orders, op.base)) return refusal(conflict, 'conflict');
-  const own = revisionOf(op, reader);
-  if (own.isLeft()) return refusal(own.extract().join('; '), 'bad-deployment');
-  const why = `${conflict}; it may have been taken`;
-  return mayBeEvicted(orders, op.base, own.extract() as number)
-    ? makeError('apply', CONTROL_KEYS.deployment, why, 'unknown', 'forgotten')
-    : refusal(conflict, 'conflict');
+  const { base } = operation;
+  const conflict = `based on revision ${base}, but ${revision} stands`;
+  if (!isOlderThanHistory(history, base)) return refusal(conflict, 'conflict');
+  const own = revisionOf(operation, parser);
+  if (own.isLeft()) return invalid(own.extract());
+  if (!mayBeEvicted(history, base, own.extract() as number)) return refusal(conflict, 'conflict');
+  const reason = `${conflict}; it may have been taken`;
+  return makeError('apply', CONTROL_KEYS.deployment, reason, 'unknown', 'forgotten');
 }
 
-/** The revision that an order brings, read without its base; the faults of one that is invalid on any base. */
-function revisionOf(op: DeploymentOperation, reader: DocumentParser): Either<string[], number> {
+/** The revision that an order brings, read without its base; the violations of one that is invalid on any base. */
+function revisionOf(
+  operation: DeploymentOperation,
+  parser: DocumentParser,
+): Either<string[], number> {
   function ofChange(change: NamedChange): number {
     return change.revision;
   }
-  function ofDocument(document: Deployment): Either<string[], number> {
-    const faults = validateDeployment(document);
-    return faults.length > 0 ? Left(faults) : Right(document.revision);
+  function ofDocument(deployment: Deployment): Either<string[], number> {
+    const violations = validateDeployment(deployment);
+    return violations.length > 0 ? Left(violations) : Right(deployment.revision);
   }
-  return op.change === undefined
-    ? reader.deployment(op.doc).chain(ofDocument)
-    : reader.namedChange(op.change).map(ofChange);
+  return operation.change === undefined
+    ? parser.deployment(operation.doc).chain(ofDocument)
+    : parser.namedChange(operation.change).map(ofChange);
+}
+
+/**
+ * Computes the deployment that follows from an order and the committed one. An error of code `stands` says that the
+ * order was accepted already, and one of code `forgotten` that it may have been.
+ */
+export function computeDeployment(
+  operation: DeploymentOperation,
+  committed: VersionedValue | undefined,
+  parser: DocumentParser | undefined,
+): Result<DeploymentValue> {
+  if (!parser) return Left(refusal('no documents are read here', 'bad-deployment'));
+  const verdict = checkBaseRevision(operation, committed, parser);
+  if (verdict) return Left(verdict);
+  const before = deploymentOf(committed);
+  const document = documentOf(operation, before, parser);
+  const read = document.chain(parser.deployment).chain(checkNext);
+  if (read.isLeft()) return Left(invalid(read.extract()));
+  const { revision } = read.extract() as Deployment;
+  const accepted = { revision, base: operation.base, sum: hashOf(operation) };
+  const taken = recordAccepted(readAcceptedChanges(before), accepted);
+  return Right({ revision, doc: document.extract(), taken });
+
+  function checkNext(deployment: Deployment): Either<string[], Deployment> {
+    return validateNext(deployment, before?.revision ?? 0);
+  }
+}
+
+function validateNext(deployment: Deployment, revision: number): Either<string[], Deployment> {
+  const violations = validateDeployment(deployment);
+  if (deployment.revision <= revision)
+    violations.push(`revision ${deployment.revision} is not above ${revision}`);
+  return violations.length > 0 ? Left(violations) : Right(deployment);
 }
 
-function wholeOf(
-  op: DeploymentOperation,
-  stands: DeploymentValue | undefined,
-  reader: DocumentParser,
+/** The document that an order makes: its own, or the committed one with its named change. */
+function documentOf(
+  operation: DeploymentOperation,
+  before: DeploymentValue | undefined,
+  parser: DocumentParser,
 ): Either<string[], unknown> {
-  if (op.change === undefined) return Right(op.doc);
-  if (!stands) return Left(['there is no deployment to change']);
-  function apply(c: NamedChange): object {
-    return applyNamedChange(stands!.doc as object, c);
+  if (operation.change === undefined) return Right(operation.doc);
+  if (!before) return Left(['there is no deployment to change']);
+  const document = before.doc as object;
+  function apply(change: NamedChange): object {
+    return applyNamedChange(document, change);
   }
-  return reader.namedChange(op.change).map(apply);
+  return parser.namedChange(operation.change).map(apply);
 }
--- a/src/control/configuration/intents-validation.ts
+++ b/src/control/configuration/intents-validation.ts
@@ -1,10 +1,20 @@
+/**
+ * Validates files of operators' intents: the form of each item, then what names what.
+ */
+
 import convict from 'convict';
 import { Either, Left, Right } from 'purify-ts';
+import { errorOrValue } from '../../shared/errors/errors';
 import { tryCatch } from '../../shared/util/try-catch';
 import { id, maybeId, neededAddress, share, whole } from '../../shared/settings/validators';
 import { Intents } from '../../shared/state/intents';
+import { checkReferences } from './intents-references';
+import { IntentViolation, isPlainObject } from './intents-violations';
+
+export type { IntentViolation } from './intents-violations';
 
-const ITEMS: Record<keyof Intents, Record<string, unknown>> = {
+/** The form of the items of each list, as the library of settings takes it. */
+const ITEM_SCHEMAS: Record<keyof Intents, Record<string, unknown>> = {
   tenants: {
     id: { format: id, default: null },
     sharing: { format: ['walled', 'group'], default: null },
@@ -33,103 +43,75 @@
   },
 };
 
-/** One fault of an intents file. */
-export interface IntentViolation {
-  path: string;
-  why: string;
+/** Checks a file of intents; every violation is listed by its path. */
+export function validateIntents(raw: unknown): Either<IntentViolation[], Intents> {
+  if (!isPlainObject(raw)) return Left([{ path: '', why: 'must be an object' }]);
+  const violations: IntentViolation[] = [];
+  for (const field of Object.keys(raw))
+    if (!(field in ITEM_SCHEMAS)) violations.push({ path: field, why: 'is not a known field' });
+  const lists: Record<string, unknown[]> = {};
+  for (const [kind, schema] of Object.entries(ITEM_SCHEMAS))
+    lists[kind] = checkList(kind, schema, raw[kind] ?? [], violations);
+  const intents = lists as unknown as Intents;
+  if (violations.length === 0) violations.push(...checkReferences(intents));
+  return violations.length > 0 ? Left(violations) : Right(intents);
 }
 
-function checkItem(path: string, shape: object, item: unknown, faults: IntentViolation[]): unknown {
-  if (typeof item !== 'object' || item === null || Array.isArray(item)) {
-    faults.push({ path, why: 'must be an object' });
-    return undefined;
+/** The items of a list with their defaults, but for those with violations, which are added. */
+function checkList(
+  kind: string,
+  schema: Record<string, unknown>,
+  list: unknown,
+  violations: IntentViolation[],
+): unknown[] {
+  if (!Array.isArray(list)) {
+    violations.push({ path: kind, why: 'must be a list' });
+    return [];
   }
-  const c = convict(shape as never);
-  const known = new Set(Object.keys(shape));
-  for (const k of Object.keys(item))
-    if (!known.has(k)) faults.push({ path: `${path}.${k}`, why: 'is not a known field' });
-  const take: Record<string, unknown> = {};
-  for (const [k, v] of Object.entries(item)) if (known.has(k)) take[k] = v;
-  const o = tryCatch('check intents', path, check);
-  function check(): unknown {
-    c.load(take as never);
-    c.validate({ allowed: 'strict' });
-    return c.getProperties();
+  const items: unknown[] = [];
+  for (const [index, raw] of list.entries()) {
+    const item = checkItem(`${kind}[${index}]`, schema, raw, violations);
+    if (item !== undefined) items.push(item);
   }
-  if (o.isLeft()) {
-    for (const line of o.extract().reason.split('\n')) {
-      const m = /^(\w+): (.*)$/.exec(line.trim());
-      faults.push({ path: m ? `${path}.${m[1]}` : path, why: m ? m[2] : line.trim() });
-    }
-    return undefined;
-  }
-  const out: Record<string, unknown> = {};
-  for (const [k, v] of Object.entries(o.extract() as object)) if (v !== '') out[k] = v;
-  return out;
+  return items;
 }
 
-function crossCheck(doc: Intents, faults: IntentViolation[]): void {
-  const ids: Record<string, Set<string>> = {};
-  for (const kind of ['tenants', 'models', 'services', 'cacheStores'] as const) {
-    ids[kind] = new Set();
-    for (const [i, x] of doc[kind].entries()) {
-      if (ids[kind].has(x.id))
-        faults.push({ path: `${kind}[${i}].id`, why: `is given twice: ${x.id}` });
-      ids[kind].add(x.id);
-    }
-  }
-  function wants(path: string, kind: string, id: string): void {
-    if (!ids[kind].has(id)) faults.push({ path, why: `names no one of ${kind}: ${id}` });
-  }
-  for (const [i, t] of doc.tenants.entries()) {
-    if (t.sharing === 'group' && !t.group)
-      faults.push({ path: `tenants[${i}].group`, why: 'is needed where sharing is group' });
-    if (t.sharing === 'walled' && t.group)
-      faults.push({ path: `tenants[${i}].group`, why: 'must be left out where sharing is walled' });
-  }
-  for (const [i, s] of doc.services.entries()) {
-    wants(`services[${i}].tenant`, 'tenants', s.tenant);
-    wants(`services[${i}].model`, 'models', s.model);
+function checkItem(
+  path: string,
+  schema: Record<string, unknown>,
+  raw: unknown,
+  violations: IntentViolation[],
+): unknown {
+  if (!isPlainObject(raw)) {
+    violations.push({ path, why: 'must be an object' });
+    return undefined;
   }
-  const seen = new Set<string>();
-  for (const [i, r] of doc.rules.entries()) {
-    wants(`rules[${i}].tenant`, 'tenants', r.tenant);
-    wants(`rules[${i}].service`, 'services', r.service);
-    const s = doc.services.find(named);
-    function named(x: { id: string }): boolean {
-      return x.id === r.service;
-    }
-    if (s && s.tenant !== r.tenant)
-      faults.push({ path: `rules[${i}].service`, why: `belongs to another tenant: ${s.tenant}` });
-    const k = `${r.tenant} ${r.label}`;
-    if (seen.has(k))
-      faults.push({ path: `rules[${i}]`, why: `matches the same as an earlier rule: ${k}` });
-    seen.add(k);
+  const known: Record<string, unknown> = {};
+  for (const [field, value] of Object.entries(raw))
+    if (Object.hasOwn(schema, field)) known[field] = value;
+    else violations.push({ path: `${path}.${field}`, why: 'is not a known field' });
+  const [error, item] = errorOrValue(tryCatch('check intents', path, load));
+  if (!error) return withoutEmpty(item);
+  for (const line of error.reason.split('\n')) violations.push(violationOf(path, line.trim()));
+  return undefined;
+
+  function load(): object {
+    const config = convict(schema as never);
+    config.load(known as never);
+    config.validate({ allowed: 'strict' });
+    return config.getProperties() as object;
   }
 }
 
-/** Checks a whole intents file; every fault is listed by its path. */
-export function validateIntents(raw: unknown): Either<IntentViolation[], Intents> {
-  if (typeof raw !== 'object' || raw === null || Array.isArray(raw))
-    return Left([{ path: '', why: 'must be an object' }]);
-  const faults: IntentViolation[] = [];
-  const src = raw as Record<string, unknown>;
-  for (const k of Object.keys(src))
-    if (!(k in ITEMS)) faults.push({ path: k, why: 'is not a known field' });
-  const out: Record<string, unknown[]> = {};
-  for (const [kind, shape] of Object.entries(ITEMS)) {
-    const list = src[kind] ?? [];
-    out[kind] = [];
-    if (!Array.isArray(list)) {
-      faults.push({ path: kind, why: 'must be a list' });
-      continue;
-    }
-    for (const [i, x] of list.entries()) {
-      const v = checkItem(`${kind}[${i}]`, shape, x, faults);
-      if (v !== undefined) out[kind].push(v);
-    }
-  }
-  const doc = out as unknown as Intents;
-  if (faults.length === 0) crossCheck(doc, faults);
-  return faults.length > 0 ? Left(faults) : Right(doc);
+/** A violation from a line of the library of settings, which begins with the field where it knows one. */
+function violationOf(path: string, line: string): IntentViolation {
+  const match = /^(\w+): (.*)$/.exec(line);
+  return match ? { path: `${path}.${match[1]}`, why: match[2] } : { path, why: line };
+}
+
+/** Leaves out fields that are empty text: they stand for what is not given. */
+function withoutEmpty(item: object): object {
+  const fields: Record<string, unknown> = {};
+  for (const [field, value] of Object.entries(item)) if (value !== '') fields[field] = value;
+  return fields;
 }
--- /dev/null
+++ b/src/control/configuration/intents-violations.ts
@@ -0,0 +1,15 @@
+/**
+ * What may be wrong with a file of intents.
+ */
+
+/** One violation in a file of intents. The field names are sent to operators. */
+export interface IntentViolation {
+  /** Where in the file, such as `services[2].tenant`. */
+  path: string;
+  why: string;
+}
+
+/** Whether a value that was read from JSON is an object. */
+export function isPlainObject(value: unknown): value is Record<string, unknown> {
+  return typeof value === 'object' && value !== null && !Array.isArray(value);
+}
--- a/src/control/configuration/singleton-holder.ts
+++ b/src/control/configuration/singleton-holder.ts
@@ -2,7 +2,7 @@
  * The committed value of a singleton role. The field names are sent and stored.
  */
 
-/** The committed value of a duty: who holds it, where, and the fence of that term: the number of the change that began it. */
+/** Who holds a singleton role, at which address, and the fencing token of the holder: the number of the change by which it acquired the role. */
 export interface SingletonHolder {
   holder: string;
   at?: string;
--- a/test/control/deployment.test.ts
+++ b/test/control/deployment.test.ts
@@ -1,7 +1,5 @@
-import {
-  applyNamedChange,
-  computeDeployment,
-} from '../../src/control/configuration/deployment-change';
+import { computeDeployment } from '../../src/control/configuration/deployment-change';
+import { applyNamedChange } from '../../src/control/configuration/named-change';
 import { DeploymentValue } from '../../src/shared/state/deployment';
 import { platform } from '../../platform/dialect';
 import { CoreRig, documentOf, Heard, makeCore, PATHS } from './deploymentrig';
