--- a/src/control/singletons/engine-listing.ts
+++ b/src/control/singletons/engine-listing.ts
@@ -1,3 +1,7 @@
+/**
+ * Lists the platform's engines: page by page where the platform has an adapter, otherwise by our own interface.
+ */
+
 import { Right } from 'purify-ts';
 import { listEngines } from '../../shared/contracts/platform';
 import { PlatformAdapter, EnginePage } from '../../shared/platform-adapter/platform-adapter';
@@ -6,44 +10,49 @@
 import { sendAdapterRequest } from '../../shared/platform-adapter/adapter-request';
 import { Engine } from '../../shared/state/engines';
 
-/** Pages that a list may have at the most. */
-const MOST_PAGES = 64;
+/** Pages that a list may have. */
+const MAX_PAGES = 64;
 
-/** Lists the platform's engines whole, page by page where it is worded in a dialect. */
+/** Lists all of the platform's engines; each page has `timeoutMs` to come. */
 export async function listAllEngines(
   ports: Ports,
-  at: string,
-  within: number,
-  dialect: PlatformAdapter | undefined,
+  address: string,
+  timeoutMs: number,
+  adapter: PlatformAdapter | undefined,
 ): Promise<Result<Engine[]>> {
-  if (!dialect) return listEngines(ports.network, at, within);
-  const all = new Map<string, Engine>();
-  let next: string | undefined;
-  for (let i = 0; i < MOST_PAGES; i++) {
-    const [f, r] = errorOrValue(
-      await sendAdapterRequest(ports.network, at, dialect.instances.ask(undefined, next), within),
+  if (!adapter) return listEngines(ports.network, address, timeoutMs);
+  const engines = new Map<string, Engine>();
+  let cursor: string | undefined;
+  for (let pages = 0; pages < MAX_PAGES; pages++) {
+    const request = adapter.instances.ask(undefined, cursor);
+    const [error, response] = errorOrValue(
+      await sendAdapterRequest(ports.network, address, request, timeoutMs),
     );
-    if (f) return failure(f.step, f.peer, f.reason, f.certainty, f.code);
-    const page = dialect.instances.read(r.status, r.body);
-    if (page.isLeft())
-      return failure('list engines', at, page.extract(), 'failed', `status-${r.status}`);
-    const { engines, next: following } = page.extract() as EnginePage;
-    for (const e of engines) all.set(e.id, e);
-    if (following === undefined) return Right([...all.values()]);
-    next = following;
+    if (error) return failure(error.step, error.peer, error.reason, error.certainty, error.code);
+    const read = adapter.instances.read(response.status, response.body);
+    if (read.isLeft()) {
+      const code = `status-${response.status}` as const;
+      return failure('list engines', address, read.extract(), 'failed', code);
+    }
+    const page = read.extract() as EnginePage;
+    for (const engine of page.engines) engines.set(engine.id, engine);
+    if (page.next === undefined) return Right([...engines.values()]);
+    cursor = page.next;
   }
-  return failure('list engines', at, `more than ${MOST_PAGES} pages`);
+  return failure('list engines', address, `more than ${MAX_PAGES} pages`);
 }
 
-/** Leaves out what only counts down: how much longer an engine is slow stays as it was first told, until that is over. */
+/**
+ * Leaves out what only counts down: the time for which an engine is still warming up stays as it was first reported,
+ * until that is over, so that the committed list does not change with each poll.
+ */
 export function keepReportedWarmUp(before: readonly Engine[], list: readonly Engine[]): Engine[] {
-  const told = new Map<string, Engine>();
-  for (const e of before) told.set(e.id, e);
-  function settle(e: Engine): Engine {
-    const was = told.get(e.id)?.warmMs;
-    return e.warmMs !== undefined && e.warmMs > 0 && was !== undefined && was > 0
-      ? { ...e, warmMs: was }
-      : e;
+  const reported = new Map<string, Engine>();
+  for (const engine of before) reported.set(engine.id, engine);
+  function keepWarmUp(engine: Engine): Engine {
+    const warmMs = reported.get(engine.id)?.warmMs;
+    const isWarmingUp = engine.warmMs !== undefined && engine.warmMs > 0;
+    return isWarmingUp && warmMs !== undefined && warmMs > 0 ? { ...engine, warmMs } : engine;
   }
-  return list.map(settle);
+  return list.map(keepWarmUp);
 }
--- a/test/control/leaving-engines.test.ts
+++ b/test/control/leaving-engines.test.ts
@@ -1,6 +1,6 @@
 import { Right } from 'purify-ts';
 import { Controller } from '../../src/control/controller';
-import { watchEngineList } from '../../src/control/singletons/background-tasks';
+import { watchEngineList } from '../../src/control/singletons/engine-list-watch';
 import { timeLimitsOf } from '../../src/shared/settings/time-limits';
 import { Ports } from '../../src/shared/ports/ports';
 import { defaultSettings } from '../../src/shared/settings/settings';
--- a/tools/sim/without.ts
+++ b/tools/sim/without.ts
@@ -1,7 +1,8 @@
 import { Right } from 'purify-ts';
 import * as leases from '../../src/control/leases/lease-registry';
 import type { Controller } from '../../src/control/controller';
-import * as duties from '../../src/control/singletons/background-tasks';
+import * as backgroundTasks from '../../src/control/singletons/background-tasks';
+import * as oldWeights from '../../src/control/singletons/old-weights-retirement';
 import * as slots from '../../src/control/storage/control-store';
 import { CallerApi } from '../../src/data/api';
 import * as engines from '../../src/data/engines';
@@ -76,7 +77,7 @@
   }
   async function nothing(): Promise<void> {}
   (bounds as unknown as Patch).timeLimitsOf = endless;
-  (duties as unknown as Patch).retireOldWeights = nothing;
+  (oldWeights as unknown as Patch).retireOldWeights = nothing;
 }
 
 function noLeaving(): void {
@@ -241,7 +242,7 @@
 }
 
 function noFence(): void {
-  const real = duties.startBackgroundTasks;
+  const real = backgroundTasks.startBackgroundTasks;
   function loose(c: Controller, ports: Ports): void {
     function chosen(key: string): boolean {
       return key.startsWith('duty/') || c.isPreferredOwner(key);
@@ -257,7 +258,7 @@
     }
     real({ ...c, isPreferredOwner: chosen, change }, ports);
   }
-  (duties as unknown as Patch).startBackgroundTasks = loose;
+  (backgroundTasks as unknown as Patch).startBackgroundTasks = loose;
 }
 
 /** A router that lets an attempt run on after it told the caller that it refused. */
