--- a/src/control/leases/change-sender.ts
+++ b/src/control/leases/change-sender.ts
@@ -1,3 +1,7 @@
+/**
+ * Sends changes to one follower, with one message in flight at a time; what changes meanwhile is coalesced by key.
+ */
+
 import {
   AppliedEntry,
   ChangeMessage,
@@ -11,140 +15,149 @@
 import { errorOrValue } from '../../shared/errors/errors';
 import { Logger } from '../../shared/ports/logger';
 import { VersionedValue, Version } from '../../shared/state/versions';
+import { AppliedVersions } from './lease-messages';
 
 /** What sending changes to one follower needs. */
 export interface ChangeSenderDependencies {
   channel: PeerChannel;
+  /** The follower's name, for logs. */
   name: string;
-  /** How long an answer may take. */
+  /** How long a reply may take. */
   timeoutMs: number;
   logger: Logger;
   /** How far the follower has applied each key, as far as is known here. */
-  applied: Map<string, Version>;
+  applied: AppliedVersions;
   newest: (key: string) => VersionedValue | undefined;
   messageFor: (change: VersionedValue, held: Version | undefined) => ChangeMessage;
   /** Called when more is known to be applied. */
   onApplied: () => void;
 }
 
-/** Sends changes to one follower. */
-export interface ChangeSender {
-  /** Has the newest version of a key sent. */
-  send: (key: string) => void;
-  /** Has the newest version of a key sent unless the follower says that it has it already. */
-  confirm: (key: string) => void;
-}
-
 /**
- * Makes a sender with one message under way at a time. Keys that change meanwhile wait by name, so a follower that is
+ * Sends changes to one follower. Keys that change while a message is in flight wait by name, so a follower that is
  * behind is sent one difference to the newest version, however many versions there were in between. What is long is
  * offered: the follower fetches it at its own pace, and other keys go ahead meanwhile.
  */
-export function makeChangeSender(parts: ChangeSenderDependencies): ChangeSender {
-  const { applied } = parts;
-  const pending = new Set<string>();
+export class ChangeSender {
+  private readonly pending = new Set<string>();
   /** For each key that was offered last, the version that the follower held then. */
-  const offeredTo = new Map<string, Version | undefined>();
-  const confirming = new Set<string>();
-  let sending = false;
+  private readonly offeredTo = new Map<string, Version | undefined>();
+  private readonly confirming = new Set<string>();
+  private isSending = false;
 
-  function isLacking(change: VersionedValue | undefined): change is VersionedValue {
-    return change !== undefined && !isCurrent(applied.get(change.key), change);
+  constructor(private readonly dependencies: ChangeSenderDependencies) {}
+
+  /** Has the newest version of a key sent. */
+  send(key: string): void {
+    this.pending.add(key);
+    if (!this.isSending) void this.sendAll();
   }
 
-  function send(key: string): void {
-    pending.add(key);
-    if (!sending) void sendAll();
+  /** Has the newest version of a key sent unless the follower says that it has it already. */
+  confirm(key: string): void {
+    if (!this.confirming.has(key)) void this.confirmOne(key);
   }
 
-  async function sendAll(): Promise<void> {
-    sending = true;
-    while (pending.size > 0) if (!(await sendPending())) pending.clear();
-    sending = false;
+  private async sendAll(): Promise<void> {
+    this.isSending = true;
+    while (this.pending.size > 0) if (!(await this.sendPending())) this.pending.clear();
+    this.isSending = false;
   }
 
-  function takePending(): ChangeMessage[] {
+  /** Sends what is pending; false where the follower did not reply: its next renewal says what it lacks. */
+  private async sendPending(): Promise<boolean> {
+    const { channel, timeoutMs, logger, name, onApplied } = this.dependencies;
+    const messages = this.takePending();
+    if (messages.length === 0) return true;
+    const [error, reply] = errorOrValue(await channel.request('changes', messages, timeoutMs));
+    if (error) {
+      logger.warn({ step: 'send changes', peer: name }, error.reason);
+      return false;
+    }
+    this.noteReply(messages, reply as ChangesReply);
+    onApplied();
+    return true;
+  }
+
+  private takePending(): ChangeMessage[] {
     const messages: ChangeMessage[] = [];
-    for (const key of pending) {
-      const change = parts.newest(key);
-      if (isLacking(change) && !isBeingFetched(key)) messages.push(messageFor(change));
+    for (const key of this.pending) {
+      const change = this.dependencies.newest(key);
+      if (this.isLacking(change) && !this.isBeingFetched(key))
+        messages.push(this.messageFor(change));
     }
-    pending.clear();
+    this.pending.clear();
     return messages;
   }
 
-  function messageFor(change: VersionedValue): ChangeMessage {
-    const held = applied.get(change.key);
-    const message = parts.messageFor(change, held);
-    if (message.kind === 'offer') offeredTo.set(change.key, held);
+  private messageFor(change: VersionedValue): ChangeMessage {
+    const held = this.dependencies.applied.get(change.key);
+    const message = this.dependencies.messageFor(change, held);
+    if (message.kind === 'offer') this.offeredTo.set(change.key, held);
     return message;
   }
 
+  private isLacking(change: VersionedValue | undefined): change is VersionedValue {
+    return change !== undefined && !isCurrent(this.dependencies.applied.get(change.key), change);
+  }
+
   /** Whether the follower was offered this key and has not moved on: once it has, it asks by itself for what is newer. */
-  function isBeingFetched(key: string): boolean {
-    if (offeredTo.has(key) && offeredTo.get(key) === applied.get(key)) return true;
-    offeredTo.delete(key);
+  private isBeingFetched(key: string): boolean {
+    const { applied } = this.dependencies;
+    if (this.offeredTo.has(key) && this.offeredTo.get(key) === applied.get(key)) return true;
+    this.offeredTo.delete(key);
     return false;
   }
 
-  /** Sends what is pending; false where the follower did not answer: its next renewal tells what it lacks. */
-  async function sendPending(): Promise<boolean> {
-    const messages = takePending();
-    if (messages.length === 0) return true;
-    const [fault, answer] = errorOrValue(
-      await parts.channel.request('changes', messages, parts.timeoutMs),
-    );
-    if (fault) {
-      parts.logger.warn({ step: 'send changes', peer: parts.name }, fault.reason);
-      return false;
-    }
-    for (const message of messages) if (message.kind !== 'offer') noteApplied(targetOf(message));
-    const bases = new Map(messages.map(baseOf));
-    for (const entry of (answer as ChangesReply).lacking) noteLacking(entry, bases);
-    parts.onApplied();
-    return true;
+  private noteReply(messages: readonly ChangeMessage[], reply: ChangesReply): void {
+    for (const message of messages)
+      if (message.kind !== 'offer') this.noteApplied(targetOf(message));
+    const bases = new Map(messages.map(baseEntryOf));
+    for (const entry of reply.lacking) this.noteLacking(entry, bases);
   }
 
-  function noteApplied(target: Version & { key: string }): void {
+  private noteApplied(target: Version & { key: string }): void {
+    const { applied } = this.dependencies;
     if (!isAtLeast(applied.get(target.key), target)) applied.set(target.key, versionOf(target));
   }
 
-  /** Has a key sent again: as a difference to what the follower holds, or whole where such a difference was what it could not read. */
-  function noteLacking(
+  /** Has a key sent again: as a difference to what the follower holds, or in full where such a difference was what it could not read. */
+  private noteLacking(
     [key, epoch, by, number]: AppliedEntry,
     bases: Map<string, Version | undefined>,
   ): void {
+    const { applied } = this.dependencies;
     const held = { epoch, by, number };
     if (isAtLeast(bases.get(key), held)) applied.delete(key);
     else applied.set(key, held);
-    pending.add(key);
-  }
-
-  function confirm(key: string): void {
-    if (!confirming.has(key)) void confirmOne(key);
+    this.pending.add(key);
   }
 
-  async function confirmOne(key: string): Promise<void> {
-    const change = parts.newest(key);
-    if (!isLacking(change)) return;
-    confirming.add(key);
+  private async confirmOne(key: string): Promise<void> {
+    const { channel, timeoutMs, newest, onApplied } = this.dependencies;
+    const change = newest(key);
+    if (!this.isLacking(change)) return;
+    this.confirming.add(key);
     const asked = { key, ...versionOf(change) };
-    const [fault, has] = errorOrValue(await parts.channel.request('has', asked, parts.timeoutMs));
-    confirming.delete(key);
-    if (fault || has !== true) return send(key);
-    noteApplied(asked);
-    parts.onApplied();
-    if (isLacking(parts.newest(key))) confirm(key);
+    const [error, has] = errorOrValue(await channel.request('has', asked, timeoutMs));
+    this.confirming.delete(key);
+    if (error || has !== true) return this.send(key);
+    this.noteApplied(asked);
+    onApplied();
+    if (this.isLacking(newest(key))) this.confirm(key);
   }
-
-  return { send, confirm };
 }
 
-function baseOf(message: ChangeMessage): [string, Version | undefined] {
-  return [targetOf(message).key, baseIn(message)];
+function baseEntryOf(message: ChangeMessage): [string, Version | undefined] {
+  return [targetOf(message).key, baseOf(message)];
 }
 
-function baseIn(message: ChangeMessage): Version | undefined {
+function baseOf(message: ChangeMessage): Version | undefined {
   if (message.kind === 'delta') return message.delta.base;
   return message.kind === 'compressed-delta' ? message.base : undefined;
 }
+
+/** Makes a sender to one follower. */
+export function makeChangeSender(dependencies: ChangeSenderDependencies): ChangeSender {
+  return new ChangeSender(dependencies);
+}
--- a/src/control/leases/follower-lag.ts
+++ b/src/control/leases/follower-lag.ts
@@ -1,10 +1,11 @@
 /**
- * How far followers are behind what is learned here.
+ * How far followers are behind what is learned here, in time.
  */
+
 import { VersionedValue, Version } from '../../shared/state/versions';
 
 /** Versions of a key of which the time is kept. */
-const KEPT_VERSIONS = 128;
+const MAX_VERSIONS = 128;
 
 /** When versions were learned here. */
 export interface FollowerLag {
@@ -14,12 +15,13 @@
   lagMs: (key: string, held: Version | undefined) => number;
 }
 
+/** A version's number and when it was learned, in ms of the clock. */
 interface LearnedAt {
   number: number;
   at: number;
 }
 
-/** Makes the times; a version that is committed anew keeps its time. */
+/** Makes an empty record of times by the clock `now`; a version that is committed anew keeps its time. */
 export function makeFollowerLag(now: () => number): FollowerLag {
   const byKey = new Map<string, LearnedAt[]>();
 
@@ -28,21 +30,21 @@
     byKey.set(key, versions);
     if (number <= (versions.at(-1)?.number ?? 0)) return;
     versions.push({ number, at: now() });
-    if (versions.length > KEPT_VERSIONS) versions.shift();
+    if (versions.length > MAX_VERSIONS) versions.shift();
   }
 
   function lagMs(key: string, held: Version | undefined): number {
     function isLater(version: LearnedAt): boolean {
       return version.number > (held?.number ?? 0);
     }
-    const first = byKey.get(key)?.find(isLater);
-    return first ? now() - first.at : 0;
+    const firstLacked = byKey.get(key)?.find(isLater);
+    return firstLacked ? now() - firstLacked.at : 0;
   }
 
   return { note, lagMs };
 }
 
-/** The longest lags of routers by key, as figures for collectors. */
+/** The longest lags of routers by key, as metric rows. */
 export function lagMetricRows(keys: Iterable<string>, lagOf: (key: string) => number): string[] {
   const rows: string[] = [];
   for (const key of keys)
--- a/src/control/leases/version-history.ts
+++ b/src/control/leases/version-history.ts
@@ -1,3 +1,8 @@
+/**
+ * The versions of each key that were committed here lately, and the messages made from them: differences to what other
+ * nodes hold, and offers of chunks where a message is long.
+ */
+
 import {
   ChangeMessage,
   ChangeOffer,
@@ -9,137 +14,127 @@
 import { makeDelta, versionOf } from '../../shared/replication/delta';
 import { CHUNK_BYTES, ChunkRequest } from '../../shared/replication/chunk-fetcher';
 import { VersionedValue, Version } from '../../shared/state/versions';
-
-/** The versions of each key that were committed here lately, for differences to what other nodes hold. */
-export interface VersionHistory {
-  /** Takes note of a version that is committed. */
-  note: (change: VersionedValue) => void;
-  /** The message that brings a node from the version that it holds to `change`; only a node that fetches pieces is offered what is long. */
-  messageFor: (change: VersionedValue, held: Version | undefined, pieces: boolean) => ChangeMessage;
-  /** One piece of an offered change; nothing where its versions are not known here any more, or gave other bytes. */
-  chunk: (ask: ChunkRequest) => Uint8Array | undefined;
-}
+import { OfferedBytes } from './offered-bytes';
 
 /** Versions kept of each key; they share what did not change. */
-const KEPT_VERSIONS = 128;
+const MAX_VERSIONS = 128;
 
-/** Offered changes of which the bytes are kept, or known not to be had; the one that was asked for last stands at the end. */
-const KEPT_OFFERS = 32;
-
-interface Versions {
+/** The versions of one key, and the messages that bring a node to the newest of them, by the version that it holds. */
+interface KeyVersions {
   list: VersionedValue[];
   newest: VersionedValue;
   messages: Map<string, InlineChange>;
 }
 
-/** Makes a history that is empty. */
-export function makeVersionHistory(): VersionHistory {
-  const byKey = new Map<string, Versions>();
-  const offers = new WeakMap<InlineChange, ChangeOffer>();
-  /** The bytes of offers by their sum; nothing for a sum that the versions here do not give. */
-  const offered = new Map<string, Uint8Array | undefined>();
+/** The versions of each key that were committed here lately. */
+export class VersionHistory {
+  private readonly byKey = new Map<string, KeyVersions>();
+  private readonly offers = new WeakMap<InlineChange, ChangeOffer>();
+  private readonly offeredBytes = new OfferedBytes();
 
-  function note(change: VersionedValue): void {
-    forgetUnknown();
-    const versions = byKey.get(change.key);
+  /** Takes note of a version that is committed. */
+  note(change: VersionedValue): void {
+    this.offeredBytes.forgetMissing();
+    const versions = this.byKey.get(change.key);
     if (!versions) {
-      byKey.set(change.key, { list: [change], newest: change, messages: new Map() });
+      this.byKey.set(change.key, { list: [change], newest: change, messages: new Map() });
       return;
     }
     versions.list.push(change);
-    if (versions.list.length > KEPT_VERSIONS) versions.list.shift();
-  }
-
-  /** Forgets which sums could not be given: the versions that they need may be known from now on. */
-  function forgetUnknown(): void {
-    for (const [sum, bytes] of offered) if (bytes === undefined) offered.delete(sum);
-  }
-
-  /** The version of a number, under the place that a node knows it by: a later owner may have committed it anew. */
-  function versionAt(versions: Versions, place: Version | undefined): VersionedValue | undefined {
-    if (!place) return undefined;
-    function isAt(version: VersionedValue): boolean {
-      return version.number === place!.number;
-    }
-    const version = versions.list.findLast(isAt);
-    return version && { ...version, ...versionOf(place) };
-  }
-
-  function makeMessage(versions: Versions, change: VersionedValue, held?: Version): InlineChange {
-    const delta = makeDelta(versionAt(versions, held), change);
-    return delta ? deltaMessage(delta) : fullChangeMessage(change);
-  }
-
-  function inlineFor(versions: Versions, change: VersionedValue, held?: Version): InlineChange {
-    if (versions.newest !== change) {
-      versions.newest = change;
-      versions.messages.clear();
-    }
-    const version = versionAt(versions, held);
-    const name = version ? `${version.epoch} ${version.by} ${version.number}` : '';
-    const known = versions.messages.get(name);
-    if (known) return known;
-    const message = makeMessage(versions, change, held);
-    versions.messages.set(name, message);
-    return message;
+    if (versions.list.length > MAX_VERSIONS) versions.list.shift();
   }
 
-  function messageFor(
+  /** The message that brings a node from the version that it holds to `change`; only a node that fetches chunks is offered what is long. */
+  messageFor(
     change: VersionedValue,
     held: Version | undefined,
-    pieces: boolean,
+    fetchesChunks: boolean,
   ): ChangeMessage {
-    if (!byKey.has(change.key)) note(change);
-    const versions = byKey.get(change.key)!;
-    const message = inlineFor(versions, change, held);
-    if (!pieces) return withoutCompressedDelta(message, versions, change, held);
-    return offerWhereLong(message);
+    if (!this.byKey.has(change.key)) this.note(change);
+    const versions = this.byKey.get(change.key)!;
+    const message = inlineMessageFor(versions, change, held);
+    return fetchesChunks
+      ? this.offerIfLong(message)
+      : withoutCompressedDelta(message, versions, change, held);
   }
 
-  /** The message for a node of an earlier release, which knows no compressed differences. */
-  function withoutCompressedDelta(
-    message: InlineChange,
-    versions: Versions,
-    change: VersionedValue,
-    held: Version | undefined,
-  ): InlineChange {
-    if (message.kind !== 'compressed-delta') return message;
-    const delta = makeDelta(versionAt(versions, held), change);
-    return delta ? { kind: 'delta', delta } : fullChangeMessage(change);
+  /** One chunk of an offered change; nothing where its versions are not known here any more, or gave other bytes. */
+  chunk(request: ChunkRequest): Uint8Array | undefined {
+    const { sum, start } = request;
+    const bytes = this.offeredBytes.has(sum)
+      ? this.offeredBytes.get(sum)
+      : this.remakeOffered(request);
+    this.offeredBytes.keep(sum, bytes);
+    return bytes && new Uint8Array(bytes.subarray(start, start + CHUNK_BYTES));
   }
 
-  function offerWhereLong(message: InlineChange): ChangeMessage {
+  private offerIfLong(message: InlineChange): ChangeMessage {
     if (message.kind === 'whole' || message.kind === 'delta') return message;
     if (message.bytes.length <= CHUNK_BYTES) return message;
-    const offer = offers.get(message) ?? offerOf(message);
-    offers.set(message, offer);
-    keep(offer.sum, message.bytes);
+    const offer = this.offers.get(message) ?? offerOf(message);
+    this.offers.set(message, offer);
+    this.offeredBytes.keep(offer.sum, message.bytes);
     return offer;
   }
 
-  function keep(newest: string, bytes: Uint8Array | undefined): void {
-    offered.delete(newest);
-    offered.set(newest, bytes);
-    for (const sum of offered.keys()) {
-      if (offered.size <= KEPT_OFFERS) return;
-      offered.delete(sum);
-    }
+  /** Makes the bytes of a change that another controller offered, from the versions that are known here. */
+  private remakeOffered(request: ChunkRequest): Uint8Array | undefined {
+    const versions = this.byKey.get(request.key);
+    const change = versions && versionAt(versions, request.place);
+    if (!change || (request.base && !versionAt(versions, request.base))) return undefined;
+    this.offerIfLong(makeMessage(versions, change, request.base));
+    return this.offeredBytes.get(request.sum);
   }
+}
 
-  /** Makes the bytes of a change that another controller offered, from the versions that are known here. */
-  function makeOffered(ask: ChunkRequest): Uint8Array | undefined {
-    const versions = byKey.get(ask.key);
-    const change = versions && versionAt(versions, ask.place);
-    if (!change || (ask.base && !versionAt(versions, ask.base))) return undefined;
-    offerWhereLong(makeMessage(versions, change, ask.base));
-    return offered.get(ask.sum);
+/** The version of a number, under the version that a node knows it by: a later owner may have committed it anew. */
+function versionAt(versions: KeyVersions, held: Version | undefined): VersionedValue | undefined {
+  if (!held) return undefined;
+  const { number } = held;
+  function isAt(version: VersionedValue): boolean {
+    return version.number === number;
   }
+  const version = versions.list.findLast(isAt);
+  return version && { ...version, ...versionOf(held) };
+}
+
+function makeMessage(versions: KeyVersions, change: VersionedValue, held?: Version): InlineChange {
+  const delta = makeDelta(versionAt(versions, held), change);
+  return delta ? deltaMessage(delta) : fullChangeMessage(change);
+}
 
-  function piece(ask: ChunkRequest): Uint8Array | undefined {
-    const bytes = offered.has(ask.sum) ? offered.get(ask.sum) : makeOffered(ask);
-    keep(ask.sum, bytes);
-    return bytes && new Uint8Array(bytes.subarray(ask.start, ask.start + CHUNK_BYTES));
+/** The message to the newest version, made once for all nodes that hold the same version. */
+function inlineMessageFor(
+  versions: KeyVersions,
+  change: VersionedValue,
+  held?: Version,
+): InlineChange {
+  if (versions.newest !== change) {
+    versions.newest = change;
+    versions.messages.clear();
   }
+  const version = versionAt(versions, held);
+  const name = version ? `${version.epoch} ${version.by} ${version.number}` : '';
+  const known = versions.messages.get(name);
+  if (known) return known;
+  const message = makeMessage(versions, change, held);
+  versions.messages.set(name, message);
+  return message;
+}
 
-  return { note, messageFor, chunk: piece };
+/** The message for a node of an earlier release, which knows no compressed differences. */
+function withoutCompressedDelta(
+  message: InlineChange,
+  versions: KeyVersions,
+  change: VersionedValue,
+  held: Version | undefined,
+): InlineChange {
+  if (message.kind !== 'compressed-delta') return message;
+  const delta = makeDelta(versionAt(versions, held), change);
+  return delta ? { kind: 'delta', delta } : fullChangeMessage(change);
+}
+
+/** Makes a history that is empty. */
+export function makeVersionHistory(): VersionHistory {
+  return new VersionHistory();
 }
