--- a/test/control/rollout.test.ts
+++ b/test/control/weights-rollout.test.ts
@@ -1,4 +1,4 @@
-import { conflicts, makeRollOutDesk, OrderedEngine, RollOutDesk } from './rolloutdesk';
+import { conflicts, makeRollOutDesk, OrderedEngine, RollOutDesk } from './rolloutrig';
 
 function allAt(d: RollOutDesk, weights: number): () => boolean {
   function has(e: OrderedEngine): boolean {
--- a/tools/compatibility/scenarios.ts
+++ b/tools/compatibility/scenarios.ts
@@ -2,7 +2,7 @@
  * The runs whose messages are recorded. All are in virtual time and give the same messages each time.
  */
 
-import { makeRollOutDesk } from '../../test/control/rolloutdesk';
+import { makeRollOutDesk } from '../../test/control/rolloutrig';
 import { Indexers, reachIndexers } from '../../src/data/gateway/indexers';
 import { Loads } from '../../src/data/gateway/loads';
 import { timeLimitsOf } from '../../src/shared/settings/time-limits';
