--- a/src/control/leases/change-sender.ts
+++ b/src/control/leases/change-sender.ts
@@ -28,7 +28,7 @@
   /** How far the follower has applied each key, as far as is known here. */
   applied: AppliedVersions;
   newest: (key: string) => VersionedValue | undefined;
-  messageFor: (change: VersionedValue, held: Version | undefined) => ChangeMessage;
+  messageFor: (change: VersionedValue, followerVersion: Version | undefined) => ChangeMessage;
   /** Called when more is known to be applied. */
   onApplied: () => void;
 }
@@ -91,9 +91,9 @@
   }
 
   private messageFor(change: VersionedValue): ChangeMessage {
-    const held = this.dependencies.applied.get(change.key);
-    const message = this.dependencies.messageFor(change, held);
-    if (message.kind === 'offer') this.offeredTo.set(change.key, held);
+    const followerVersion = this.dependencies.applied.get(change.key);
+    const message = this.dependencies.messageFor(change, followerVersion);
+    if (message.kind === 'offer') this.offeredTo.set(change.key, followerVersion);
     return message;
   }
 
@@ -127,9 +127,9 @@
     bases: Map<string, Version | undefined>,
   ): void {
     const { applied } = this.dependencies;
-    const held = { epoch, by, number };
-    if (isAtLeast(bases.get(key), held)) applied.delete(key);
-    else applied.set(key, held);
+    const followerVersion = { epoch, by, number };
+    if (isAtLeast(bases.get(key), followerVersion)) applied.delete(key);
+    else applied.set(key, followerVersion);
     this.pending.add(key);
   }
 
--- a/src/control/leases/follower-lag.ts
+++ b/src/control/leases/follower-lag.ts
@@ -12,7 +12,7 @@
   /** Takes note of a version as it is learned. */
   note: (change: VersionedValue) => void;
   /** For how long a follower has lacked a later version than the one that it holds, in ms. */
-  lagMs: (key: string, held: Version | undefined) => number;
+  lagMs: (key: string, followerVersion: Version | undefined) => number;
 }
 
 /** A version's number and when it was learned, in ms of the clock. */
@@ -33,9 +33,9 @@
     if (versions.length > MAX_VERSIONS) versions.shift();
   }
 
-  function lagMs(key: string, held: Version | undefined): number {
+  function lagMs(key: string, followerVersion: Version | undefined): number {
     function isLater(version: LearnedAt): boolean {
-      return version.number > (held?.number ?? 0);
+      return version.number > (followerVersion?.number ?? 0);
     }
     const firstLacked = byKey.get(key)?.find(isLater);
     return firstLacked ? now() - firstLacked.at : 0;
--- a/src/control/leases/learned-changes.ts
+++ b/src/control/leases/learned-changes.ts
@@ -73,23 +73,23 @@
   }
 
   /** For how long a follower has lacked a later version of a key than the one that it holds, in ms. */
-  lagMs(key: string, held: Version | undefined): number {
-    return this.lag.lagMs(key, held);
+  lagMs(key: string, followerVersion: Version | undefined): number {
+    return this.lag.lagMs(key, followerVersion);
   }
 
   /** The message that brings a follower from the version that it holds to a change. */
   messageFor(
     change: VersionedValue,
-    held: Version | undefined,
+    followerVersion: Version | undefined,
     fetchesChunks: boolean,
   ): ChangeMessage {
-    return this.history.messageFor(change, held, fetchesChunks);
+    return this.history.messageFor(change, followerVersion, fetchesChunks);
   }
 
   /** The messages that bring a follower to the newest versions, of those keys that it is behind in. */
-  messagesAfter(held: readonly AppliedEntry[], fetchesChunks: boolean): ChangeMessage[] {
+  messagesAfter(applied: readonly AppliedEntry[], fetchesChunks: boolean): ChangeMessage[] {
     const messages: ChangeMessage[] = [];
-    for (const [key, epoch, by, number] of held) {
+    for (const [key, epoch, by, number] of applied) {
       const version: Version = { epoch, by, number };
       const newest = this.newest(key);
       if (newest && !isAtLeast(version, newest))
--- a/src/control/leases/lease-registry.ts
+++ b/src/control/leases/lease-registry.ts
@@ -183,8 +183,11 @@
     applied: AppliedVersions,
   ): ChangeSender {
     const { changes } = this;
-    function messageFor(change: VersionedValue, held: Version | undefined): ChangeMessage {
-      return changes.messageFor(change, held, request.pieces === true);
+    function messageFor(
+      change: VersionedValue,
+      followerVersion: Version | undefined,
+    ): ChangeMessage {
+      return changes.messageFor(change, followerVersion, request.pieces === true);
     }
     return makeChangeSender({
       channel,
--- a/src/control/leases/version-history.ts
+++ b/src/control/leases/version-history.ts
@@ -47,15 +47,15 @@
   /** The message that brings a node from the version that it holds to `change`; only a node that fetches chunks is offered what is long. */
   messageFor(
     change: VersionedValue,
-    held: Version | undefined,
+    followerVersion: Version | undefined,
     fetchesChunks: boolean,
   ): ChangeMessage {
     if (!this.byKey.has(change.key)) this.note(change);
     const versions = this.byKey.get(change.key)!;
-    const message = inlineMessageFor(versions, change, held);
+    const message = inlineMessageFor(versions, change, followerVersion);
     return fetchesChunks
       ? this.offerIfLong(message)
-      : withoutCompressedDelta(message, versions, change, held);
+      : withoutCompressedDelta(message, versions, change, followerVersion);
   }
 
   /** One chunk of an offered change; nothing where its versions are not known here any more, or gave other bytes. */
@@ -88,18 +88,25 @@
 }
 
 /** The version of a number, under the version that a node knows it by: a later owner may have committed it anew. */
-function versionAt(versions: KeyVersions, held: Version | undefined): VersionedValue | undefined {
-  if (!held) return undefined;
-  const { number } = held;
+function versionAt(
+  versions: KeyVersions,
+  followerVersion: Version | undefined,
+): VersionedValue | undefined {
+  if (!followerVersion) return undefined;
+  const { number } = followerVersion;
   function isAt(version: VersionedValue): boolean {
     return version.number === number;
   }
   const version = versions.list.findLast(isAt);
-  return version && { ...version, ...versionOf(held) };
+  return version && { ...version, ...versionOf(followerVersion) };
 }
 
-function makeMessage(versions: KeyVersions, change: VersionedValue, held?: Version): InlineChange {
-  const delta = makeDelta(versionAt(versions, held), change);
+function makeMessage(
+  versions: KeyVersions,
+  change: VersionedValue,
+  followerVersion?: Version,
+): InlineChange {
+  const delta = makeDelta(versionAt(versions, followerVersion), change);
   return delta ? deltaMessage(delta) : fullChangeMessage(change);
 }
 
@@ -107,17 +114,17 @@
 function inlineMessageFor(
   versions: KeyVersions,
   change: VersionedValue,
-  held?: Version,
+  followerVersion?: Version,
 ): InlineChange {
   if (versions.newest !== change) {
     versions.newest = change;
     versions.messages.clear();
   }
-  const version = versionAt(versions, held);
+  const version = versionAt(versions, followerVersion);
   const name = version ? `${version.epoch} ${version.by} ${version.number}` : '';
   const known = versions.messages.get(name);
   if (known) return known;
-  const message = makeMessage(versions, change, held);
+  const message = makeMessage(versions, change, followerVersion);
   versions.messages.set(name, message);
   return message;
 }
@@ -127,10 +134,10 @@
   message: InlineChange,
   versions: KeyVersions,
   change: VersionedValue,
-  held: Version | undefined,
+  followerVersion: Version | undefined,
 ): InlineChange {
   if (message.kind !== 'compressed-delta') return message;
-  const delta = makeDelta(versionAt(versions, held), change);
+  const delta = makeDelta(versionAt(versions, followerVersion), change);
   return delta ? { kind: 'delta', delta } : fullChangeMessage(change);
 }
 
