--- a/test/control/rolloutrig.ts
+++ b/test/control/rolloutrig.ts
@@ -1,353 +1,319 @@
+/**
+ * Three controllers in a simulated world that bring engines to weights, with faults at will.
+ */
+
 import { platform } from '../../platform/dialect';
 import { Controller, startController } from '../../src/control/controller';
 import { runWeightsRollout } from '../../src/control/singletons/weights-rollout';
-import { sendJson, readJsonBody } from '../../src/shared/transport/http-handlers';
 import { errorOrValue } from '../../src/shared/errors/errors';
-import { IncomingRequest } from '../../src/shared/ports/network';
-import { Ports } from '../../src/shared/ports/ports';
 import { defaultSettings, Settings } from '../../src/shared/settings/settings';
 import { Engine } from '../../src/shared/state/engines';
 import { makeNet, SimNet } from '../../tools/sim/simwire';
 import { makeWorld, Proc, World } from '../../tools/sim/simworld';
+import { EngineServer, JudgedOrder, OrderedEngine } from './rolloutengine';
 
-export const LEASE = 3000;
-export const THAW = 300;
-export const BOUND = 8000;
-const LOAD = 400;
-const REPORT_AGE = 150;
-const LIST_AGE = 800;
+/** The lease of the rollout's role, in ms. */
+const LEASE_MS = 3000;
+/** For how long after a wake or a heal an order counts as late, in ms. */
+const THAW_MS = 300;
+const WEIGHTS_BOUND_MS = 8000;
+/** How old the platform's list is when the controllers see it, in ms. */
+const LIST_AGE_MS = 800;
+/** How long the controllers have to start, in ms. */
+const START_MS = 6000;
+const CONTROLLERS = ['core-1', 'core-2', 'core-3'];
 
 /** One order as an engine took note of it. */
-export interface Noted {
+export interface RecordedOrder extends JudgedOrder {
   at: number;
-  engine: string;
-  from: string;
-  holder: string;
-  fence: number;
-  weights: number;
-  status: number;
   /** Whether its sender woke, or a link was healed, just before. */
   late: boolean;
 }
 
-/** An engine that takes orders as the platform's do. */
-export interface OrderedEngine {
-  id: string;
-  weights: number;
-  doneAt?: number;
-  /** Takes orders, and answers none of them. */
-  mute: boolean;
-  /** Ms that its runs last when an order comes. */
-  runs: number;
-  busy: boolean;
-  calls: number;
-  fence: number;
-  leaving: boolean;
+function wireOf(name: string): string {
+  return `127.20.1.${name.slice(-1)}:7000`;
 }
 
-/** Three controllers and engines in a simulated world. */
-export interface RollOutDesk {
-  w: World;
-  net: SimNet;
-  engines: OrderedEngine[];
-  orders: Noted[];
-  reports: { n: number };
-  controllers: Map<string, Controller>;
-  proc: (name: string) => Proc;
-  start: (name: string) => void;
-  kill: (name: string, downMs: number) => void;
-  freeze: (name: string, ms: number) => void;
-  cut: (a: string, b: string, ms: number) => void;
-  name: (weights: number) => Promise<void>;
-  holder: () => string | undefined;
-  at: (ms: number) => Promise<void>;
-  until: (test: () => boolean, most: number) => Promise<number>;
+function engineAddress(number: number): string {
+  return `127.20.2.${number}:8000`;
 }
 
-/** Builds the desk; engines load slower while more than `limit` of them do. */
-export async function makeRollOutDesk(
-  seed: number,
-  count: number,
-  limit: number,
-  method: (p: { list: Engine[] }) => void = nothing,
-): Promise<RollOutDesk> {
-  const w = makeWorld(seed, false);
-  const net = makeNet(w);
-  const cores = ['core-1', 'core-2', 'core-3'];
-  const orders: Noted[] = [];
-  const reports = { n: 0 };
-  const engines: OrderedEngine[] = [];
-  const controllers = new Map<string, Controller>();
-  const procs = new Map<string, Proc>();
-  const calm = { at: -Infinity };
-  const listing: { at: number; list: Engine[] }[] = [];
-  const desk: RollOutDesk = {
-    w,
-    net,
-    engines,
-    orders,
-    reports,
-    controllers,
-    proc,
-    start,
-    kill,
-    freeze,
-    cut,
+function ipOf(address: string): string {
+  return address.split(':')[0];
+}
+
+function settingsOf(name: string): Settings {
+  return {
+    ...defaultSettings(),
     name,
-    holder,
-    at,
-    until,
+    zone: 'z',
+    wire: wireOf(name),
+    http: wireOf(name).replace('7000', '8000'),
+    seeds: CONTROLLERS.map(wireOf),
+    founders: CONTROLLERS.map(wireOf),
+    weightsBoundMs: WEIGHTS_BOUND_MS,
+    leaseMs: LEASE_MS,
   };
+}
 
-  function proc(n: string): Proc {
-    return procs.get(n)!;
-  }
+function isBusy(engine: OrderedEngine): boolean {
+  return engine.busy;
+}
 
-  function wireOf(n: string): string {
-    return `127.20.1.${n.slice(-1)}:7000`;
-  }
+function listed(engine: OrderedEngine, index: number): Engine {
+  const weights = String(engine.weights);
+  return {
+    id: engine.id,
+    at: engineAddress(index + 1),
+    zone: 'z',
+    model: 'm',
+    weights,
+    leaving: engine.leaving,
+    models: [{ name: 'm', weights }],
+  };
+}
 
-  function settings(n: string): Settings {
-    return {
-      ...defaultSettings(),
-      name: n,
-      zone: 'z',
-      wire: wireOf(n),
-      http: wireOf(n).replace('7000', '8000'),
-      seeds: cores.map(wireOf),
-      founders: cores.map(wireOf),
-      weightsBoundMs: BOUND,
-      leaseMs: LEASE,
-    };
-  }
+/** Three controllers and engines in a simulated world. */
+export class RolloutRig {
+  readonly world: World;
+  readonly net: SimNet;
+  readonly engines: OrderedEngine[] = [];
+  readonly orders: RecordedOrder[] = [];
+  private readonly controllers = new Map<string, Controller>();
+  private readonly processes = new Map<string, Proc>();
+  private readonly lists: { at: number; list: Engine[] }[] = [];
+  private lastFaultEndedAt = -Infinity;
+  private ranUntil = 0;
 
-  function start(n: string): void {
-    void go();
-    async function go(): Promise<void> {
-      const ports = net.ports(proc(n));
-      const [f, c] = errorOrValue(await startController(ports, settings(n)));
-      if (f) return;
-      controllers.set(n, c);
-      void runWeightsRollout(c, ports, platform.engines);
+  /** Engines load slower while more than `fastLoads` of them do. */
+  constructor(
+    seed: number,
+    engineCount: number,
+    private readonly fastLoads: number,
+  ) {
+    this.world = makeWorld(seed, false);
+    this.net = makeNet(this.world);
+    for (const name of CONTROLLERS) {
+      this.processes.set(name, this.world.proc(name, ipOf(wireOf(name))));
+      this.start(name);
     }
+    for (let number = 1; number <= engineCount; number++) this.addEngine(number);
+    this.publishList();
   }
 
-  function kill(n: string, downMs: number): void {
-    w.kill(proc(n), false);
-    controllers.delete(n);
-    w.after(downMs, back);
-    function back(): void {
-      w.revive(proc(n));
-      start(n);
-    }
+  /** The process of a controller or an engine. */
+  process(name: string): Proc {
+    return this.processes.get(name)!;
   }
 
-  function freeze(n: string, ms: number): void {
-    w.freeze(proc(n));
-    w.after(ms, wake);
-    function wake(): void {
-      if (!proc(n).frozen) return;
-      w.wake(proc(n));
-      calm.at = w.now();
-    }
+  /** Kills a controller, and starts it again after so many ms. */
+  kill(name: string, downMs: number): void {
+    this.world.kill(this.process(name), false);
+    this.controllers.delete(name);
+    this.world.after(downMs, this.revive.bind(this, name));
   }
 
-  function cut(a: string, b: string, ms: number): void {
-    w.cut(proc(a).ip, proc(b).ip, true);
-    w.after(ms, heal);
-    function heal(): void {
-      w.cut(proc(a).ip, proc(b).ip, false);
-      calm.at = w.now();
-    }
+  /** Freezes a controller for so many ms. */
+  freeze(name: string, ms: number): void {
+    this.world.freeze(this.process(name));
+    this.world.after(ms, this.wake.bind(this, name));
   }
 
-  function serve(e: OrderedEngine, ports: Ports, at: string): void {
-    let shown = { at: 0, weights: e.weights, busy: false, calls: 0 };
-    let next = shown;
-    function look(): void {
-      shown = next;
-      next = { at: w.now(), weights: e.weights, busy: e.busy, calls: e.calls };
-      w.after(REPORT_AGE / 2, look);
+  /** Cuts the link from one controller to another for so many ms. */
+  cut(from: string, to: string, ms: number): void {
+    this.world.cut(this.process(from).ip, this.process(to).ip, true);
+    this.world.after(ms, this.heal.bind(this, from, to));
+  }
+
+  /** Names weights as an operator does: again and again, at any controller, until one says that they are named. */
+  async name(weights: number): Promise<void> {
+    const { world } = this;
+    let isNamed = false;
+    const attempt = this.attemptNaming.bind(this, weights, noteResult);
+    again();
+    await this.until(isDone, 60000);
+    function again(): void {
+      attempt();
+      if (!isNamed) world.after(500, again);
     }
-    look();
-    void ports.network.serveHttp(at, take);
-    async function take(call: IncomingRequest): Promise<void> {
-      if (call.path === '/api/report') {
-        reports.n++;
-        return sendJson(call, 200, {
-          models: [{ name: 'm', revision: shown.weights }],
-          busy: shown.busy,
-          callCount: shown.calls,
-        });
-      }
-      const b = (await readJsonBody(call, 1e4)) as {
-        model: string;
-        revision: number;
-        holder: string;
-        fenceToken: number;
-        expectedCount?: number;
-      };
-      const status = judge(b);
-      orders.push({
-        at: w.now(),
-        engine: e.id,
-        from: call.peer,
-        holder: b.holder,
-        fence: b.fenceToken,
-        weights: b.revision,
-        status,
-        late: w.now() - calm.at < THAW,
-      });
-      if (!e.mute) sendJson(call, status, {});
+    function noteResult(result: { isRight: () => boolean }): void {
+      isNamed ||= result.isRight();
     }
-    function judge(b: { revision: number; fenceToken: number; expectedCount?: number }): number {
-      if (b.fenceToken < e.fence) return 412;
-      e.fence = b.fenceToken;
-      if (e.busy || (b.expectedCount !== undefined && b.expectedCount !== e.calls)) return 409;
-      if (e.weights === b.revision) return 200;
-      e.busy = true;
-      e.calls++;
-      w.after(e.runs, load);
-      return 202;
-      function load(): void {
-        const many = engines.filter(isBusy).length;
-        w.after(LOAD * Math.max(1, many / limit), done);
-      }
-      function done(): void {
-        e.busy = false;
-        e.weights = b.revision;
-        e.doneAt = w.now();
-      }
+    function isDone(): boolean {
+      return isNamed;
     }
   }
 
-  function isBusy(e: OrderedEngine): boolean {
-    return e.busy;
+  /** The controller that gave the last order. */
+  holder(): string | undefined {
+    return this.orders.at(-1)?.holder.split('.')[0];
   }
 
-  function atOf(i: number): string {
-    return `127.20.2.${i}:8000`;
+  /** Runs the world until a time, in ms. */
+  async runUntil(ms: number): Promise<void> {
+    this.ranUntil = Math.max(this.ranUntil, ms);
+    await this.world.run(this.ranUntil);
   }
 
-  function listed(e: OrderedEngine, i: number): Engine {
-    return {
-      id: e.id,
-      at: atOf(i + 1),
-      zone: 'z',
-      model: 'm',
-      weights: String(e.weights),
-      leaving: e.leaving,
-      models: [{ name: 'm', weights: String(e.weights) }],
-    };
+  /** Runs the world until a condition holds, for `timeoutMs` at most; gives how long that took. */
+  async until(isMet: () => boolean, timeoutMs: number): Promise<number> {
+    const { world } = this;
+    const from = world.now();
+    while (!isMet() && world.now() - from < timeoutMs) await this.runUntil(world.now() + 20);
+    return world.now() - from;
   }
 
-  /** The platform's list reaches the core as it was some time ago. */
-  function tellList(): void {
-    listing.push({ at: w.now(), list: engines.map(listed) });
-    while (listing.length > 1 && listing[1].at <= w.now() - LIST_AGE) listing.shift();
-    method(listing[0]);
-    const c = [...controllers.values()].find(fit);
-    const key = JSON.stringify(listing[0].list);
-    if (c && JSON.stringify(c.committedValue('engines')?.value) !== key)
-      void c.change({ kind: 'engines', engines: listing[0].list });
-    w.after(LIST_AGE / 2, tellList);
-    function fit(x: Controller): boolean {
-      return !proc(x.name).frozen && x.hasQuorum();
-    }
+  private start(name: string): void {
+    void this.startController(name);
   }
 
-  /** Names weights as an operator does: again and again, at any controller, until one says that they are named. */
-  async function name(weights: number): Promise<void> {
-    let done = false;
-    void again();
-    await until(isDone, 60000);
-    async function again(): Promise<void> {
-      const fit = [...controllers.values()].filter(awake);
-      const c = fit[Math.floor(w.dice.next() * fit.length)];
-      if (c) void c.change({ kind: 'weights', model: 'm', weights: String(weights) }).then(told);
-      if (!done) w.after(500, again);
-    }
-    function awake(x: Controller): boolean {
-      return !proc(x.name).frozen && proc(x.name).alive;
-    }
-    function told(o: { isRight: () => boolean }): void {
-      done ||= o.isRight();
-    }
-    function isDone(): boolean {
-      return done;
-    }
+  private async startController(name: string): Promise<void> {
+    const ports = this.net.ports(this.process(name));
+    const [error, controller] = errorOrValue(await startController(ports, settingsOf(name)));
+    if (error) return;
+    this.controllers.set(name, controller);
+    void runWeightsRollout(controller, ports, platform.engines);
   }
 
-  function holder(): string | undefined {
-    return orders.at(-1)?.holder.split('.')[0];
+  private revive(name: string): void {
+    this.world.revive(this.process(name));
+    this.start(name);
   }
 
-  let upTo = 0;
-  async function at(ms: number): Promise<void> {
-    upTo = Math.max(upTo, ms);
-    await w.run(upTo);
+  private wake(name: string): void {
+    if (!this.process(name).frozen) return;
+    this.world.wake(this.process(name));
+    this.lastFaultEndedAt = this.world.now();
   }
 
-  async function until(test: () => boolean, most: number): Promise<number> {
-    const from = w.now();
-    while (!test() && w.now() - from < most) await at(w.now() + 20);
-    return w.now() - from;
+  private heal(from: string, to: string): void {
+    this.world.cut(this.process(from).ip, this.process(to).ip, false);
+    this.lastFaultEndedAt = this.world.now();
   }
 
-  for (const n of cores) {
-    procs.set(n, w.proc(n, wireOf(n).split(':')[0]));
-    start(n);
-  }
-  for (let i = 1; i <= count; i++) {
-    const p = w.proc(`engine-${i}`, atOf(i).split(':')[0]);
-    procs.set(p.name, p);
-    const e: OrderedEngine = {
-      id: `i-${i}`,
+  private addEngine(number: number): void {
+    const { world } = this;
+    const address = engineAddress(number);
+    const process = world.proc(`engine-${number}`, ipOf(address));
+    this.processes.set(process.name, process);
+    const engine: OrderedEngine = {
+      id: `i-${number}`,
       weights: 1,
       mute: false,
-      runs: 200 + w.dice.next() * 500,
+      runsMs: 200 + world.dice.next() * 500,
       busy: false,
       calls: 0,
       fence: 0,
       leaving: false,
     };
-    engines.push(e);
-    serve(e, net.ports(p), atOf(i));
+    this.engines.push(engine);
+    const loadFactor = this.loadFactor.bind(this);
+    const server = new EngineServer({ world, engine, loadFactor, onOrder: this.record.bind(this) });
+    server.serve(this.net.ports(process), address);
+  }
+
+  private loadFactor(): number {
+    return Math.max(1, this.engines.filter(isBusy).length / this.fastLoads);
+  }
+
+  private record(order: JudgedOrder): void {
+    const at = this.world.now();
+    this.orders.push({ ...order, at, late: at - this.lastFaultEndedAt < THAW_MS });
+  }
+
+  /** Has a controller commit the platform's list as it was some time ago. */
+  private publishList(): void {
+    const { world, lists } = this;
+    lists.push({ at: world.now(), list: this.engines.map(listed) });
+    while (lists.length > 1 && lists[1].at <= world.now() - LIST_AGE_MS) lists.shift();
+    const engines = lists[0].list;
+    const controller = [...this.controllers.values()].find(this.isAvailable.bind(this));
+    const committed = controller?.committedValue('engines')?.value;
+    if (controller && JSON.stringify(committed) !== JSON.stringify(engines))
+      void controller.change({ kind: 'engines', engines });
+    world.after(LIST_AGE_MS / 2, this.publishList.bind(this));
+  }
+
+  private isAvailable(controller: Controller): boolean {
+    return !this.process(controller.name).frozen && controller.hasQuorum();
+  }
+
+  private isAwake(controller: Controller): boolean {
+    const { frozen, alive } = this.process(controller.name);
+    return !frozen && alive;
+  }
+
+  private attemptNaming(
+    weights: number,
+    onResult: (result: { isRight: () => boolean }) => void,
+  ): void {
+    const awake = [...this.controllers.values()].filter(this.isAwake.bind(this));
+    const controller: Controller | undefined =
+      awake[Math.floor(this.world.dice.next() * awake.length)];
+    if (!controller) return;
+    const operation = { kind: 'weights', model: 'm', weights: String(weights) } as const;
+    void controller.change(operation).then(onResult);
   }
-  tellList();
-  await at(6000);
-  return desk;
 }
 
-function nothing(): void {}
+/** Makes the rig, and runs it until the controllers have started. */
+export async function makeRolloutRig(
+  seed: number,
+  engineCount: number,
+  fastLoads: number,
+): Promise<RolloutRig> {
+  const rig = new RolloutRig(seed, engineCount, fastLoads);
+  await rig.runUntil(START_MS);
+  return rig;
+}
 
 /** What breaks the rule that one holder at a time gives orders. */
-export function conflicts(orders: readonly Noted[]): string[] {
-  const out: string[] = [];
-  const owners = new Map<number, string>();
-  for (const o of orders) {
-    const owner = owners.get(o.fence) ?? o.holder;
-    if (owner !== o.holder)
-      out.push(`${o.at}: fence ${o.fence} of ${owner} is used by ${o.holder}`);
-    owners.set(o.fence, owner);
+export function conflicts(orders: readonly RecordedOrder[]): string[] {
+  const prompt = orders.filter(isPrompt);
+  return [...sharedFences(orders), ...engineConflicts(prompt), ...leaseConflicts(prompt)];
+}
+
+function isPrompt(order: RecordedOrder): boolean {
+  return !order.late;
+}
+
+/** Fencing tokens that two holders used, also in late orders. */
+function sharedFences(orders: readonly RecordedOrder[]): string[] {
+  const found: string[] = [];
+  const holders = new Map<number, string>();
+  for (const { at, fence, holder } of orders) {
+    const other = holders.get(fence) ?? holder;
+    if (other !== holder) found.push(`${at}: fence ${fence} of ${other} is used by ${holder}`);
+    holders.set(fence, other);
   }
-  const last = new Map<string, Noted>();
-  for (const o of orders) {
-    if (o.late) continue;
-    const l = last.get(o.engine);
-    if (l && o.fence < l.fence)
-      out.push(`${o.at}: fence ${o.fence} after ${l.fence} at ${o.engine}`);
-    if (l && l.holder !== o.holder && o.at - l.at < LEASE)
-      out.push(`${o.at}: ${o.holder} ${o.at - l.at} ms after ${l.holder} at ${o.engine}`);
-    last.set(o.engine, o);
+  return found;
+}
+
+/** Orders at one engine under a lower token, or of another holder within a lease. */
+function engineConflicts(orders: readonly RecordedOrder[]): string[] {
+  const found: string[] = [];
+  const lastAt = new Map<string, RecordedOrder>();
+  for (const order of orders) {
+    const { at, engine, fence, holder } = order;
+    const last = lastAt.get(engine);
+    if (last && fence < last.fence)
+      found.push(`${at}: fence ${fence} after ${last.fence} at ${engine}`);
+    if (last && last.holder !== holder && at - last.at < LEASE_MS)
+      found.push(`${at}: ${holder} ${at - last.at} ms after ${last.holder} at ${engine}`);
+    lastAt.set(engine, order);
   }
-  const holders = new Map<string, number>();
-  for (const o of orders) {
-    if (o.late) continue;
-    for (const [h, at] of holders)
-      if (h !== o.holder && o.at - at < LEASE)
-        out.push(`${o.at}: ${o.holder} ${o.at - at} ms after ${h}`);
-    holders.set(o.holder, o.at);
+  return found;
+}
+
+/** Orders of two holders within a lease, at whatever engines. */
+function leaseConflicts(orders: readonly RecordedOrder[]): string[] {
+  const found: string[] = [];
+  const lastOrderAt = new Map<string, number>();
+  for (const { at, holder } of orders) {
+    for (const [other, otherAt] of lastOrderAt)
+      if (other !== holder && at - otherAt < LEASE_MS)
+        found.push(`${at}: ${holder} ${at - otherAt} ms after ${other}`);
+    lastOrderAt.set(holder, at);
   }
-  return out;
+  return found;
 }
--- a/test/control/weights-rollout.test.ts
+++ b/test/control/weights-rollout.test.ts
@@ -1,33 +1,31 @@
-import { conflicts, makeRollOutDesk, OrderedEngine, RollOutDesk } from './rolloutrig';
+import { OrderedEngine } from './rolloutengine';
+import { conflicts, makeRolloutRig, RolloutRig } from './rolloutrig';
 
-function allAt(d: RollOutDesk, weights: number): () => boolean {
-  function has(e: OrderedEngine): boolean {
-    return e.leaving || e.weights >= weights;
+function allAt(rig: RolloutRig, weights: number): () => boolean {
+  function isDone(engine: OrderedEngine): boolean {
+    return engine.leaving || engine.weights >= weights;
   }
-  function test(): boolean {
-    return d.engines.every(has);
+  function areAllDone(): boolean {
+    return rig.engines.every(isDone);
   }
-  return test;
+  return areAllDone;
 }
 
-function perEngine(d: RollOutDesk, weights: number): number[] {
-  function of(e: OrderedEngine): number {
-    return d.orders.filter(mine).length;
-    function mine(o: { engine: string; weights: number }): boolean {
-      return o.engine === e.id && o.weights === weights;
+function ordersPerEngine(rig: RolloutRig, weights: number): number[] {
+  function ordersOf(engine: OrderedEngine): number {
+    function isOfEngine(order: { engine: string; weights: number }): boolean {
+      return order.engine === engine.id && order.weights === weights;
     }
+    return rig.orders.filter(isOfEngine).length;
   }
-  return d.engines.map(of);
+  return rig.engines.map(ordersOf);
 }
 
-function most(d: RollOutDesk): number {
-  return Math.max(...d.engines.map(busyNow));
-  function busyNow(): number {
-    return d.engines.filter(isBusy).length;
-  }
-  function isBusy(e: OrderedEngine): boolean {
-    return e.busy;
+function busyEngines(rig: RolloutRig): number {
+  function isBusy(engine: OrderedEngine): boolean {
+    return engine.busy;
   }
+  return rig.engines.filter(isBusy).length;
 }
 
 async function calm(): Promise<void> {
@@ -37,205 +35,213 @@
     [40, 11],
     [1, 1],
   ]) {
-    const d = await makeRollOutDesk(count, count, limit);
-    let high = 0;
-    await d.name(2);
-    const took = await d.until(watched, 8000);
+    const rig = await makeRolloutRig(count, count, limit);
+    let mostBusy = 0;
+    await rig.name(2);
+    const took = await rig.until(watched, 8000);
     function watched(): boolean {
-      high = Math.max(high, most(d));
-      return allAt(d, 2)();
+      mostBusy = Math.max(mostBusy, busyEngines(rig));
+      return allAt(rig, 2)();
     }
-    await d.at(d.w.now() + 4000);
-    expect({ count, once: perEngine(d, 2).every(isOne), conflicts: conflicts(d.orders) }).toEqual({
+    await rig.runUntil(rig.world.now() + 4000);
+    expect({
+      count,
+      once: ordersPerEngine(rig, 2).every(isOne),
+      conflicts: conflicts(rig.orders),
+    }).toEqual({
       count,
       once: true,
       conflicts: [],
     });
     expect(took).toBeLessThan(6000);
-    expect(high).toBeLessThanOrEqual(Math.max(1, Math.ceil(count * 0.4)));
+    expect(mostBusy).toBeLessThanOrEqual(Math.max(1, Math.ceil(count * 0.4)));
   }
 }
 
-function isOne(n: number): boolean {
-  return n === 1;
+function isOne(count: number): boolean {
+  return count === 1;
 }
 
-function isHolder(d: RollOutDesk): () => boolean {
-  function test(): boolean {
-    return d.orders.length >= 3;
+function hasBegun(rig: RolloutRig): () => boolean {
+  function areOrdersGiven(): boolean {
+    return rig.orders.length >= 3;
   }
-  return test;
+  return areOrdersGiven;
 }
 
-/** Names weights, strikes the holder once it has given some orders, and waits for all; the trouble lasts `ms`. */
-async function struck(
+/** Names weights, has a fault strike the holder once it has given some orders, and waits for all engines, `maxMs` at most. */
+async function runWithFault(
   seed: number,
-  strike: (d: RollOutDesk, holder: string) => void,
-  most: number,
-): Promise<RollOutDesk> {
-  const d = await makeRollOutDesk(seed, 13, 3);
-  await d.name(2);
-  await d.until(isHolder(d), 3000);
-  strike(d, d.holder()!);
-  const took = await d.until(allAt(d, 2), 30000);
-  await d.at(d.w.now() + 6000);
-  expect({ seed, conflicts: conflicts(d.orders) }).toEqual({ seed, conflicts: [] });
-  expect(took).toBeLessThan(most);
-  return d;
+  strike: (rig: RolloutRig, holder: string) => void,
+  maxMs: number,
+): Promise<RolloutRig> {
+  const rig = await makeRolloutRig(seed, 13, 3);
+  await rig.name(2);
+  await rig.until(hasBegun(rig), 3000);
+  strike(rig, rig.holder()!);
+  const took = await rig.until(allAt(rig, 2), 30000);
+  await rig.runUntil(rig.world.now() + 6000);
+  expect({ seed, conflicts: conflicts(rig.orders) }).toEqual({ seed, conflicts: [] });
+  expect(took).toBeLessThan(maxMs);
+  return rig;
 }
 
-function holders(d: RollOutDesk): number {
-  function holderOf(o: { holder: string }): string {
-    return o.holder;
+function holders(rig: RolloutRig): number {
+  function holderOf(order: { holder: string }): string {
+    return order.holder;
   }
-  return new Set(d.orders.map(holderOf)).size;
+  return new Set(rig.orders.map(holderOf)).size;
 }
 
 async function killed(): Promise<void> {
-  for (const seed of [1, 2, 3, 4]) expect(holders(await struck(seed, kill, 9000))).toBe(2);
-  function kill(d: RollOutDesk, who: string): void {
-    d.kill(who, 700 * d.orders.length);
+  for (const seed of [1, 2, 3, 4]) expect(holders(await runWithFault(seed, kill, 9000))).toBe(2);
+  function kill(rig: RolloutRig, controller: string): void {
+    rig.kill(controller, 700 * rig.orders.length);
   }
 }
 
 async function takenUpLate(): Promise<void> {
   for (const seed of [1, 2, 3, 4]) {
-    const d = await makeRollOutDesk(seed, 8, 2);
-    await d.at(d.w.now() + 5000);
-    await d.name(2);
-    const named = d.w.now();
-    await d.until(begun, 3000);
-    d.kill(d.holder()!, 1500);
-    let high = 0;
-    await d.until(watched, 12000);
-    expect({ seed, conflicts: conflicts(d.orders), holders: holders(d) }).toEqual({
+    const rig = await makeRolloutRig(seed, 8, 2);
+    await rig.runUntil(rig.world.now() + 5000);
+    await rig.name(2);
+    const named = rig.world.now();
+    await rig.until(begun, 3000);
+    rig.kill(rig.holder()!, 1500);
+    let mostBusy = 0;
+    await rig.until(watched, 12000);
+    expect({ seed, conflicts: conflicts(rig.orders), holders: holders(rig) }).toEqual({
       seed,
       conflicts: [],
       holders: 2,
     });
-    expect(high).toBeLessThanOrEqual(4);
-    expect(d.w.now() - named).toBeLessThan(8000);
+    expect(mostBusy).toBeLessThanOrEqual(4);
+    expect(rig.world.now() - named).toBeLessThan(8000);
     function begun(): boolean {
-      return d.orders.length >= 2;
+      return rig.orders.length >= 2;
     }
     function watched(): boolean {
-      high = Math.max(high, most(d));
-      return allAt(d, 2)();
+      mostBusy = Math.max(mostBusy, busyEngines(rig));
+      return allAt(rig, 2)();
     }
   }
 }
 
 async function frozen(): Promise<void> {
-  for (const seed of [1, 2, 3, 4, 5, 6]) await struck(seed, freeze, 10000);
-  function freeze(d: RollOutDesk, who: string): void {
-    d.freeze(who, 400 + d.w.dice.next() * 6000);
+  for (const seed of [1, 2, 3, 4, 5, 6]) await runWithFault(seed, freeze, 10000);
+  function freeze(rig: RolloutRig, controller: string): void {
+    rig.freeze(controller, 400 + rig.world.dice.next() * 6000);
   }
 }
 
 async function halfCut(): Promise<void> {
-  for (const seed of [1, 2, 3, 4, 5, 6]) await struck(seed, cut, 12000);
-  function cut(d: RollOutDesk, who: string): void {
-    const other = `core-${1 + (Number(who.slice(-1)) % 3)}`;
-    d.cut(seedOdd(d) ? who : other, seedOdd(d) ? other : who, 5000);
+  for (const seed of [1, 2, 3, 4, 5, 6]) await runWithFault(seed, cut, 12000);
+  function cut(rig: RolloutRig, controller: string): void {
+    const other = `core-${1 + (Number(controller.slice(-1)) % 3)}`;
+    rig.cut(
+      isOrderCountOdd(rig) ? controller : other,
+      isOrderCountOdd(rig) ? other : controller,
+      5000,
+    );
   }
-  function seedOdd(d: RollOutDesk): boolean {
-    return d.orders.length % 2 === 1;
+  function isOrderCountOdd(rig: RolloutRig): boolean {
+    return rig.orders.length % 2 === 1;
   }
 }
 
 async function allKilled(): Promise<void> {
-  await struck(7, kill, 12000);
-  function kill(d: RollOutDesk): void {
-    for (const n of ['core-1', 'core-2', 'core-3']) d.kill(n, 600);
+  await runWithFault(7, kill, 12000);
+  function kill(rig: RolloutRig): void {
+    for (const controller of ['core-1', 'core-2', 'core-3']) rig.kill(controller, 600);
   }
 }
 
 async function unanswered(): Promise<void> {
-  const d = await makeRollOutDesk(5, 8, 2);
-  d.engines[2].mute = true;
-  d.engines[5].mute = true;
-  await d.name(2);
-  const took = await d.until(allAt(d, 2), 9000);
-  await d.at(d.w.now() + 4000);
-  expect(perEngine(d, 2)).toEqual([1, 1, 1, 1, 1, 1, 1, 1]);
+  const rig = await makeRolloutRig(5, 8, 2);
+  rig.engines[2].mute = true;
+  rig.engines[5].mute = true;
+  await rig.name(2);
+  const took = await rig.until(allAt(rig, 2), 9000);
+  await rig.runUntil(rig.world.now() + 4000);
+  expect(ordersPerEngine(rig, 2)).toEqual([1, 1, 1, 1, 1, 1, 1, 1]);
   expect(took).toBeLessThan(7000);
 }
 
 async function lostOrder(): Promise<void> {
-  const d = await makeRollOutDesk(6, 8, 2);
-  const p = d.proc('engine-3');
-  d.w.freeze(p);
-  await d.name(2);
-  await d.at(d.w.now() + 2500);
-  d.w.kill(p, false);
-  d.w.revive(p);
-  d.engines[2].leaving = true;
-  await d.until(allAt(d, 2), 9000);
-  await d.at(d.w.now() + 3000);
-  const n = d.orders.length;
-  await d.at(d.w.now() + 3000);
-  expect(d.orders.length).toBe(n);
+  const rig = await makeRolloutRig(6, 8, 2);
+  const engine = rig.process('engine-3');
+  rig.world.freeze(engine);
+  await rig.name(2);
+  await rig.runUntil(rig.world.now() + 2500);
+  rig.world.kill(engine, false);
+  rig.world.revive(engine);
+  rig.engines[2].leaving = true;
+  await rig.until(allAt(rig, 2), 9000);
+  await rig.runUntil(rig.world.now() + 3000);
+  const orderCount = rig.orders.length;
+  await rig.runUntil(rig.world.now() + 3000);
+  expect(rig.orders.length).toBe(orderCount);
 }
 
 async function busyWithAnother(): Promise<void> {
-  const d = await makeRollOutDesk(9, 8, 2);
-  d.engines[0].busy = true;
-  d.engines[0].calls = 1;
+  const rig = await makeRolloutRig(9, 8, 2);
+  rig.engines[0].busy = true;
+  rig.engines[0].calls = 1;
   function ends(): void {
-    d.engines[0].busy = false;
+    rig.engines[0].busy = false;
   }
-  d.w.after(2500, ends);
-  await d.name(2);
-  const took = await d.until(allAt(d, 2), 12000);
+  rig.world.after(2500, ends);
+  await rig.name(2);
+  const took = await rig.until(allAt(rig, 2), 12000);
   expect(took).toBeLessThan(9000);
-  expect(perEngine(d, 2).slice(1)).toEqual([1, 1, 1, 1, 1, 1, 1]);
-  expect(perEngine(d, 2)[0]).toBeLessThanOrEqual(4);
+  expect(ordersPerEngine(rig, 2).slice(1)).toEqual([1, 1, 1, 1, 1, 1, 1]);
+  expect(ordersPerEngine(rig, 2)[0]).toBeLessThanOrEqual(4);
 }
 
 async function oneAfterAnother(): Promise<void> {
-  const d = await makeRollOutDesk(11, 13, 3);
-  await d.name(2);
-  await d.until(isHolder(d), 3000);
-  await d.name(3);
-  const took = await d.until(allAt(d, 3), 9000);
-  await d.at(d.w.now() + 4000);
+  const rig = await makeRolloutRig(11, 13, 3);
+  await rig.name(2);
+  await rig.until(hasBegun(rig), 3000);
+  await rig.name(3);
+  const took = await rig.until(allAt(rig, 3), 9000);
+  await rig.runUntil(rig.world.now() + 4000);
   expect(took).toBeLessThan(7000);
-  expect(conflicts(d.orders)).toEqual([]);
-  expect(perEngine(d, 3).every(isOne)).toBe(true);
-  expect(d.orders.length).toBeLessThan(13 + 8);
+  expect(conflicts(rig.orders)).toEqual([]);
+  expect(ordersPerEngine(rig, 3).every(isOne)).toBe(true);
+  expect(rig.orders.length).toBeLessThan(13 + 8);
 }
 
 /** Strikes controllers and engines at random while weights roll out, and names newer ones on every other seed. */
 async function swept(seed: number): Promise<void> {
-  const d = await makeRollOutDesk(seed, 13, 3);
-  const { dice } = d.w;
-  await d.name(2);
-  for (let k = 0; k < 4; k++) {
-    await d.at(d.w.now() + 100 + dice.next() * 1800);
-    const who =
-      dice.next() < 0.6 ? (d.holder() ?? 'core-1') : `core-${1 + Math.floor(dice.next() * 3)}`;
-    if (d.proc(who).alive && !d.proc(who).frozen)
-      strikeOne(d, who, Math.floor(dice.next() * 5), 300 + dice.next() * 4500);
+  const rig = await makeRolloutRig(seed, 13, 3);
+  const { dice } = rig.world;
+  await rig.name(2);
+  for (let faults = 0; faults < 4; faults++) {
+    await rig.runUntil(rig.world.now() + 100 + dice.next() * 1800);
+    const controller =
+      dice.next() < 0.6 ? (rig.holder() ?? 'core-1') : `core-${1 + Math.floor(dice.next() * 3)}`;
+    if (rig.process(controller).alive && !rig.process(controller).frozen)
+      strikeOne(rig, controller, Math.floor(dice.next() * 5), 300 + dice.next() * 4500);
   }
   const goal = seed % 2 === 0 ? 3 : 2;
-  if (goal === 3) await d.name(3);
-  const took = await d.until(allAt(d, goal), 30000);
-  await d.at(d.w.now() + 5000);
-  expect({ seed, conflicts: conflicts(d.orders) }).toEqual({ seed, conflicts: [] });
+  if (goal === 3) await rig.name(3);
+  const took = await rig.until(allAt(rig, goal), 30000);
+  await rig.runUntil(rig.world.now() + 5000);
+  expect({ seed, conflicts: conflicts(rig.orders) }).toEqual({ seed, conflicts: [] });
   expect(took).toBeLessThan(13000);
 }
 
-function strikeOne(d: RollOutDesk, who: string, kind: number, ms: number): void {
-  const other = `core-${1 + (Number(who.slice(-1)) % 3)}`;
-  const e = d.engines[Math.floor(ms) % d.engines.length];
-  if (kind === 0) d.kill(who, ms);
-  if (kind === 1) d.freeze(who, ms);
-  if (kind === 2 || kind === 3) d.cut(who, other, ms);
-  if (kind === 3) d.cut(other, who, ms);
-  if (kind === 4) e.mute = true;
-  if (kind === 4) d.w.after(ms, speaks);
+function strikeOne(rig: RolloutRig, controller: string, kind: number, ms: number): void {
+  const other = `core-${1 + (Number(controller.slice(-1)) % 3)}`;
+  const engine = rig.engines[Math.floor(ms) % rig.engines.length];
+  if (kind === 0) rig.kill(controller, ms);
+  if (kind === 1) rig.freeze(controller, ms);
+  if (kind === 2 || kind === 3) rig.cut(controller, other, ms);
+  if (kind === 3) rig.cut(other, controller, ms);
+  if (kind === 4) engine.mute = true;
+  if (kind === 4) rig.world.after(ms, speaks);
   function speaks(): void {
-    e.mute = false;
+    engine.mute = false;
   }
 }
 
--- a/tools/compatibility/scenarios.ts
+++ b/tools/compatibility/scenarios.ts
@@ -2,7 +2,7 @@
  * The runs whose messages are recorded. All are in virtual time and give the same messages each time.
  */
 
-import { makeRollOutDesk } from '../../test/control/rolloutrig';
+import { makeRolloutRig } from '../../test/control/rolloutrig';
 import { Indexers, reachIndexers } from '../../src/data/gateway/indexers';
 import { Loads } from '../../src/data/gateway/loads';
 import { timeLimitsOf } from '../../src/shared/settings/time-limits';
@@ -119,10 +119,10 @@
 
 /** Weights that are brought to engines, with a node that hears of it. */
 async function rollOut(recorder: Recorder): Promise<void> {
-  const desk = await makeRollOutDesk(3, 4, 2);
-  desk.net.links = recorder.links();
+  const rig = await makeRolloutRig(3, 4, 2);
+  rig.net.links = recorder.links();
   const ip = '127.20.3.1';
-  const { ports, hello } = makeProbe(desk.w, desk.net, ip);
+  const { ports, hello } = makeProbe(rig.world, rig.net, ip);
   const seeds: string[] = [];
   for (const controller of ['1', '2', '3']) seeds.push(`127.20.1.${controller}:7000`);
   const member: Member = { ...hello, http: '', life: 'a' };
@@ -132,10 +132,10 @@
     openChannel(ports, connection, edges);
   }
   await ports.network.listen(hello.at, taken);
-  desk.engines[3].mute = true;
-  await desk.until(follower.hasLease, 20000);
-  await desk.name(2);
-  await desk.at(desk.w.now() + 15000);
+  rig.engines[3].mute = true;
+  await rig.until(follower.hasLease, 20000);
+  await rig.name(2);
+  await rig.runUntil(rig.world.now() + 15000);
 }
 
 /** A configuration that is fetched in pieces. */
