--- a/test/control/lease-renewal.test.ts
+++ b/test/control/lease-renewal.test.ts
@@ -3,7 +3,7 @@
 import { LeaseRegistry } from '../../src/control/leases/lease-registry';
 import { PeerHandlers } from '../../src/control/peer-handlers';
 import { ControlStore } from '../../src/control/storage/control-store';
-import { ChangeMessage } from '../../src/shared/replication/change-message';
+import { AppliedEntry, ChangeMessage } from '../../src/shared/replication/change-message';
 import { PeerChannel } from '../../src/shared/transport/connections';
 import { errorOrValue } from '../../src/shared/errors/errors';
 import { FollowerHandlers } from '../../src/shared/replication/follower-handlers';
@@ -15,7 +15,7 @@
 import { VersionedValue } from '../../src/shared/state/versions';
 import { VoterSet } from '../../src/shared/state/voter-set';
 
-interface Answer {
+interface Reply {
   granted: boolean;
   missing: VersionedValue[];
   voters?: VoterSet;
@@ -32,19 +32,22 @@
   return { name, role: 'router', at: '', http: '', zone: 'z', life: 'one' };
 }
 
-/** Leases over made-up slots and a clock that stands until it is moved. */
-function rig(keys: number): {
+/** Leases over a store that is made up, and a clock that stands until it is moved. */
+function makeRig(keys: number): {
   leases: LeaseRegistry;
-  slots: ControlStore;
-  learn: (n: VersionedValue) => void;
+  store: ControlStore;
+  learn: (change: VersionedValue) => void;
   move: (ms: number) => void;
-  ask: (m: Partial<LeaseRequest> & { member: Member }, ex: PeerChannel) => Promise<Answer>;
+  ask: (
+    request: Partial<LeaseRequest> & { member: Member },
+    channel: PeerChannel,
+  ) => Promise<Reply>;
 } {
-  const learned = makeKeyJournal();
-  const slots = {
+  const learnedKeys = makeKeyJournal();
+  const store = {
     diskId: 'd',
     registers: new Map(),
-    learnedKeys: learned,
+    learnedKeys,
   } as unknown as ControlStore;
   let now = 0;
   function clockNow(): number {
@@ -53,9 +56,9 @@
   function move(ms: number): void {
     now += ms;
   }
-  function learn(n: VersionedValue): void {
-    slots.registers.set(n.key, { promised: { epoch: 1, by: 'core' }, learned: n });
-    learned.add(n.key);
+  function learn(change: VersionedValue): void {
+    store.registers.set(change.key, { promised: { epoch: 1, by: 'core' }, learned: change });
+    learnedKeys.add(change.key);
   }
   for (let i = 0; i < keys; i++) learn(numbered(`k${i}`, 1));
   const voters: VoterSet = { now: [{ disk: 'd', at: 'a' }] };
@@ -63,52 +66,57 @@
     return voters;
   }
   const leases = new LeaseRegistry(
-    slots,
+    store,
     { clock: { now: clockNow }, logger: { warn: clockNow } } as unknown as Ports,
     timeLimitsOf(defaultSettings()),
     votersOf,
   );
   async function ask(
-    m: Partial<LeaseRequest> & { member: Member },
-    ex: PeerChannel,
-  ): Promise<Answer> {
-    const [, a] = errorOrValue(await leases.lease(m, ex));
-    return a as Answer;
+    request: Partial<LeaseRequest> & { member: Member },
+    channel: PeerChannel,
+  ): Promise<Reply> {
+    const [, reply] = errorOrValue(await leases.lease(request, channel));
+    return reply as Reply;
   }
-  return { leases, slots, learn, move, ask };
+  return { leases, store, learn, move, ask };
 }
 
-function exchange(): PeerChannel {
+function makeChannel(): PeerChannel {
   return {} as PeerChannel;
 }
 
-function hasOf(n: VersionedValue): [string, number, string, number] {
-  return [n.key, n.epoch, n.by, n.number];
+function appliedEntry(change: VersionedValue): AppliedEntry {
+  return [change.key, change.epoch, change.by, change.number];
 }
 
 async function namesWhatChanged(): Promise<void> {
-  const r = rig(2);
-  const ex = exchange();
+  const rig = makeRig(2);
+  const channel = makeChannel();
   const member = memberOf('edge-1');
   expect(
-    await r.ask({ member, has: [hasOf(numbered('k0', 1)), hasOf(numbered('k1', 1))] }, ex),
+    await rig.ask(
+      { member, has: [appliedEntry(numbered('k0', 1)), appliedEntry(numbered('k1', 1))] },
+      channel,
+    ),
   ).toMatchObject({ granted: true, members: [member] });
-  expect(await r.ask({ member, deltas: true }, ex)).toEqual({
+  expect(await rig.ask({ member, deltas: true }, channel)).toEqual({
     granted: true,
     disk: 'd',
     missing: [],
   });
-  r.learn(numbered('k1', 2));
-  expect(await r.ask({ member, deltas: true }, ex)).toMatchObject({
+  rig.learn(numbered('k1', 2));
+  expect(await rig.ask({ member, deltas: true }, channel)).toMatchObject({
     granted: false,
     missing: [numbered('k1', 2)],
   });
-  expect(await r.ask({ member, deltas: true, changed: [hasOf(numbered('k1', 2))] }, ex)).toEqual({
+  expect(
+    await rig.ask({ member, deltas: true, changed: [appliedEntry(numbered('k1', 2))] }, channel),
+  ).toEqual({
     granted: true,
     disk: 'd',
     missing: [],
   });
-  expect(await r.ask({ member, deltas: true }, ex)).toEqual({
+  expect(await rig.ask({ member, deltas: true }, channel)).toEqual({
     granted: true,
     disk: 'd',
     missing: [],
@@ -116,71 +124,75 @@
 }
 
 async function checksAllAfterLong(): Promise<void> {
-  const r = rig(1);
-  const ex = exchange();
+  const rig = makeRig(1);
+  const channel = makeChannel();
   const member = memberOf('edge-1');
-  await r.ask({ member, has: [hasOf(numbered('k0', 1))] }, ex);
-  r.learn(numbered('lost', 1));
-  for (let i = 0; i < 20000; i++) r.learn(numbered('k0', 1));
-  expect(await r.ask({ member, deltas: true }, ex)).toMatchObject({
+  await rig.ask({ member, has: [appliedEntry(numbered('k0', 1))] }, channel);
+  rig.learn(numbered('lost', 1));
+  for (let i = 0; i < 20000; i++) rig.learn(numbered('k0', 1));
+  expect(await rig.ask({ member, deltas: true }, channel)).toMatchObject({
     granted: false,
     missing: [numbered('lost', 1)],
   });
 }
 
-async function tellsWhoJoinedAndLeft(): Promise<void> {
-  const r = rig(0);
-  const ex = exchange();
-  const other = exchange();
-  const old = exchange();
+async function sendsMembershipDeltas(): Promise<void> {
+  const rig = makeRig(0);
+  const channel = makeChannel();
+  const other = makeChannel();
+  const third = makeChannel();
   const [a, b, c] = [memberOf('a'), memberOf('b'), memberOf('c')];
-  await r.ask({ member: a, has: [] }, ex);
-  await r.ask({ member: b, has: [] }, other);
-  expect(await r.ask({ member: { ...a }, deltas: true }, ex)).toEqual({
+  await rig.ask({ member: a, has: [] }, channel);
+  await rig.ask({ member: b, has: [] }, other);
+  expect(await rig.ask({ member: { ...a }, deltas: true }, channel)).toEqual({
     granted: true,
     disk: 'd',
     missing: [],
     joined: [b],
     left: [],
   });
-  await r.ask({ member: c, has: [] }, old);
-  expect(await r.ask({ member: { ...a }, deltas: true }, ex)).toMatchObject({
+  await rig.ask({ member: c, has: [] }, third);
+  expect(await rig.ask({ member: { ...a }, deltas: true }, channel)).toMatchObject({
     joined: [c],
     left: [],
   });
-  expect(await r.ask({ member: { ...c } }, old)).toEqual({ granted: true, disk: 'd', missing: [] });
-  await r.leases.leave({ member: b });
-  expect(await r.ask({ member: { ...a }, deltas: true }, ex)).toMatchObject({
+  expect(await rig.ask({ member: { ...c } }, third)).toEqual({
+    granted: true,
+    disk: 'd',
+    missing: [],
+  });
+  await rig.leases.leave({ member: b });
+  expect(await rig.ask({ member: { ...a }, deltas: true }, channel)).toMatchObject({
     joined: [],
     left: ['b one'],
   });
-  expect(await r.ask({ member: { ...c } }, old)).toMatchObject({ members: [a, c] });
-  r.move(timeLimitsOf(defaultSettings()).leaseExpiryMs - 1);
-  await r.ask({ member: { ...a }, deltas: true }, ex);
-  r.move(2);
-  expect(await r.ask({ member: { ...a }, deltas: true }, ex)).toMatchObject({
+  expect(await rig.ask({ member: { ...c } }, third)).toMatchObject({ members: [a, c] });
+  rig.move(timeLimitsOf(defaultSettings()).leaseExpiryMs - 1);
+  await rig.ask({ member: { ...a }, deltas: true }, channel);
+  rig.move(2);
+  expect(await rig.ask({ member: { ...a }, deltas: true }, channel)).toMatchObject({
     joined: [],
     left: ['c one'],
   });
-  expect(r.leases.members()).toEqual([a]);
+  expect(rig.leases.members()).toEqual([a]);
 }
 
-async function wholeOnAnotherStream(): Promise<void> {
-  const r = rig(0);
+async function completeOnAnotherChannel(): Promise<void> {
+  const rig = makeRig(0);
   const member = memberOf('a');
-  await r.ask({ member, has: [] }, exchange());
-  const [f] = errorOrValue(await r.leases.lease({ member, deltas: true }, exchange()));
-  expect(f?.code).toBe('tell-all');
+  await rig.ask({ member, has: [] }, makeChannel());
+  const [error] = errorOrValue(await rig.leases.lease({ member, deltas: true }, makeChannel()));
+  expect(error?.code).toBe('tell-all');
 }
 
 async function learnedAfter(): Promise<void> {
-  const r = rig(3);
+  const rig = makeRig(3);
   function unused(): never {
     throw new Error('not asked here');
   }
-  const edge = new PeerHandlers({
+  const handlers = new PeerHandlers({
     ownerId: 'life-1',
-    store: r.slots,
+    store: rig.store,
     mayBootstrap: false,
     voters: unused,
     changeAsOwner: unused,
@@ -190,25 +202,25 @@
     isUp: unused,
     wake: unused,
   });
-  const first = (await edge.learnedAfter({ life: '', count: 0 })).extract() as {
+  const first = (await handlers.learnedAfter({ life: '', count: 0 })).extract() as {
     life: string;
     count: number;
   };
   expect(first).toEqual({ life: 'life-1', count: 3, has: undefined });
-  expect(await edge.learnedAfter(first)).toEqual(Right({ life: 'life-1', count: 3, has: [] }));
-  r.learn(numbered('k1', 2));
-  r.learn(numbered('k1', 3));
-  expect(await edge.learnedAfter(first)).toEqual(
-    Right({ life: 'life-1', count: 5, has: [hasOf(numbered('k1', 3))] }),
+  expect(await handlers.learnedAfter(first)).toEqual(Right({ life: 'life-1', count: 3, has: [] }));
+  rig.learn(numbered('k1', 2));
+  rig.learn(numbered('k1', 3));
+  expect(await handlers.learnedAfter(first)).toEqual(
+    Right({ life: 'life-1', count: 5, has: [appliedEntry(numbered('k1', 3))] }),
   );
-  expect(await edge.committed(['k1', 'none'])).toEqual(Right([numbered('k1', 3)]));
+  expect(await handlers.committed(['k1', 'none'])).toEqual(Right([numbered('k1', 3)]));
 }
 
-async function newsThatIsThere(): Promise<void> {
+async function knownDifference(): Promise<void> {
   const held = numbered('k0', 3);
-  const took: VersionedValue[] = [];
-  function take(list: VersionedValue[]): boolean {
-    took.push(...list);
+  const applied: VersionedValue[] = [];
+  function apply(list: VersionedValue[]): boolean {
+    applied.push(...list);
     return true;
   }
   function none(): undefined {
@@ -217,8 +229,8 @@
   function heldOf(): VersionedValue {
     return held;
   }
-  const edge = new FollowerHandlers({
-    apply: take,
+  const handlers = new FollowerHandlers({
+    apply,
     appliedVersion: heldOf,
     fetchOffer: none,
     coreLocation: none,
@@ -234,47 +246,50 @@
     patch: { put: 'k0 3' },
     sum: '',
   };
-  expect(await edge.changes([{ kind: 'delta', delta }], exchange())).toEqual(
+  expect(await handlers.changes([{ kind: 'delta', delta }], makeChannel())).toEqual(
     Right({ lacking: [] }),
   );
   const later = { ...delta, number: 5, base: { epoch: 1, by: 'core', number: 4 } };
-  expect(await edge.changes([{ kind: 'delta', delta: later }], exchange())).toEqual(
-    Right({ lacking: [hasOf(held)] }),
+  expect(await handlers.changes([{ kind: 'delta', delta: later }], makeChannel())).toEqual(
+    Right({ lacking: [appliedEntry(held)] }),
   );
-  expect(took).toEqual([]);
+  expect(applied).toEqual([]);
 }
 
 test(
-  'a difference that another controller has brought already is not asked for whole',
-  newsThatIsThere,
+  'a difference that another controller has brought already is not asked for in full',
+  knownDifference,
 );
 test('a renewal names and checks only what changed', namesWhatChanged);
-test('a node that was told of too long ago is checked whole', checksAllAfterLong);
+test('a node whose last request is too long ago is checked in full', checksAllAfterLong);
 test(
-  'members are told as who joined and who left, and whole to one that asks as before',
-  tellsWhoJoinedAndLeft,
+  'members are sent as who joined and who left, and in full to one that asks as before',
+  sendsMembershipDeltas,
 );
-test('a renewal in short on another connection is asked to tell all', wholeOnAnotherStream);
-test('controllers tell what they learned after a count of their life', learnedAfter);
+test(
+  'a renewal in short on another channel is refused: it must name all versions',
+  completeOnAnotherChannel,
+);
+test('controllers list what they learned after a count of their incarnation', learnedAfter);
 
-/** A follower that can't read a difference is sent the whole next, and no further message. */
-async function unreadableIsSentWhole(): Promise<void> {
-  const r = rig(0);
+/** A follower that can't read a difference is sent the full value next, and no further message. */
+async function unreadableIsSentInFull(): Promise<void> {
+  const rig = makeRig(0);
   const kinds: string[] = [];
   const base = largeValue(1);
   async function ask(type: string, body: unknown): Promise<unknown> {
     if (type !== 'changes') return Right(true);
     const [message] = body as ChangeMessage[];
     kinds.push(message.kind);
-    return Right({ lacking: message.kind === 'delta' ? [hasOf(base)] : [] });
+    return Right({ lacking: message.kind === 'delta' ? [appliedEntry(base)] : [] });
   }
-  const ex = { request: ask } as unknown as PeerChannel;
-  r.learn(base);
-  r.leases.publish(base);
-  await r.ask({ member: memberOf('edge-1'), has: [hasOf(base)] }, ex);
+  const channel = { request: ask } as unknown as PeerChannel;
+  rig.learn(base);
+  rig.leases.publish(base);
+  await rig.ask({ member: memberOf('edge-1'), has: [appliedEntry(base)] }, channel);
   const later = largeValue(2);
-  r.learn(later);
-  r.leases.publish(later);
+  rig.learn(later);
+  rig.leases.publish(later);
   for (let i = 0; i < 50; i++) await Promise.resolve();
   expect(kinds).toEqual(['delta', 'compressed']);
 }
@@ -287,4 +302,7 @@
   return { ...numbered('large', number), value: items };
 }
 
-test('a difference that a follower can not read is followed by the whole', unreadableIsSentWhole);
+test(
+  'a difference that a follower can not read is followed by the full value',
+  unreadableIsSentInFull,
+);
