--- a/test/control/change-forwarding.test.ts
+++ b/test/control/change-forwarding.test.ts
@@ -26,11 +26,11 @@
 /** Hands an order of so many routes over to an owner that does not answer by itself. */
 function handed(routes: number, isAlive: boolean): FakeOwner {
   const fake: FakeOwner = { make, silentMs: 0, withinMs: 0, outcome: undefined as never };
-  let answer: (o: Result<unknown>) => void;
+  let answer: (reply: Result<unknown>) => void;
   function make(): void {
     answer(Right(MADE));
   }
-  function onAnswer(done: (o: Result<unknown>) => void): void {
+  function onAnswer(done: (reply: Result<unknown>) => void): void {
     answer = done;
   }
   const change = new Promise<Result<unknown>>(onAnswer);
--- a/test/control/deployment.test.ts
+++ b/test/control/deployment.test.ts
@@ -1,22 +1,34 @@
-import { computeDeployment } from '../../src/control/configuration/deployment-change';
+import {
+  computeDeployment,
+  DeploymentOperation,
+} from '../../src/control/configuration/deployment-change';
 import { applyNamedChange } from '../../src/control/configuration/named-change';
+import { errorOrValue } from '../../src/shared/errors/errors';
 import { DeploymentValue } from '../../src/shared/state/deployment';
+import { VersionedValue } from '../../src/shared/state/versions';
 import { platform } from '../../platform/dialect';
 import { CoreRig, documentOf, Heard, makeCore, PATHS } from './deploymentrig';
 
-function codeOf(base: number, doc: unknown, stands?: DeploymentValue): string {
-  const now = stands && { key: 'deployment', epoch: 1, by: 'a', number: 1, value: stands };
-  const o = computeDeployment({ kind: 'deployment', base, doc }, now, platform);
-  return o.isLeft() ? String((o.extract() as { code?: string }).code) : 'taken';
+function committed(value: DeploymentValue | undefined): VersionedValue | undefined {
+  return value && { key: 'deployment', epoch: 1, by: 'a', number: 1, value };
 }
 
-function changeCode(base: number, change: unknown, stands?: DeploymentValue): string {
-  const now = stands && { key: 'deployment', epoch: 1, by: 'a', number: 1, value: stands };
-  const o = computeDeployment({ kind: 'deployment', base, change }, now, platform);
-  return o.isLeft() ? String((o.extract() as { code?: string }).code) : 'taken';
+/** The code of the error of an order, or that it is accepted. */
+function verdictOn(order: Omit<DeploymentOperation, 'kind'>, before?: DeploymentValue): string {
+  const operation: DeploymentOperation = { kind: 'deployment', ...order };
+  const [error] = errorOrValue(computeDeployment(operation, committed(before), platform));
+  return error ? String(error.code) : 'accepted';
 }
 
-function taken(doc: Record<string, unknown>): DeploymentValue {
+function codeOf(base: number, doc: unknown, before?: DeploymentValue): string {
+  return verdictOn({ base, doc }, before);
+}
+
+function changeCode(base: number, change: unknown, before?: DeploymentValue): string {
+  return verdictOn({ base, change }, before);
+}
+
+function accepted(doc: Record<string, unknown>): DeploymentValue {
   return computeDeployment(
     { kind: 'deployment', base: 0, doc },
     undefined,
@@ -25,8 +37,8 @@
 }
 
 function withRoute(more: object): Record<string, unknown> {
-  const d = documentOf(7, ['/a/']) as { routes: object[] };
-  return { ...d, routes: [{ ...d.routes[0], ...more }] };
+  const document = documentOf(7, ['/a/']) as { routes: object[] };
+  return { ...document, routes: [{ ...document.routes[0], ...more }] };
 }
 
 function invalid(): void {
@@ -64,34 +76,34 @@
     },
     'key is a number': { ...documentOf(7, ['/a/']), tenants: [{ name: 't1', apiKeys: [3] }] },
   };
-  const stands = taken(documentOf(5, ['/a/']));
+  const before = accepted(documentOf(5, ['/a/']));
   for (const [name, doc] of Object.entries(bad))
-    expect([name, codeOf(5, doc, stands)]).toEqual([name, 'bad-deployment']);
-  expect(codeOf(5, documentOf(7, ['/a/', '/b/']), stands)).toBe('taken');
+    expect([name, codeOf(5, doc, before)]).toEqual([name, 'bad-deployment']);
+  expect(codeOf(5, documentOf(7, ['/a/', '/b/']), before)).toBe('accepted');
 }
 
-function firstRoute(d: Record<string, unknown>): object {
-  return (d.routes as object[])[0];
+function firstRoute(document: Record<string, unknown>): object {
+  return (document.routes as object[])[0];
 }
 
 function bases(): void {
   const first = documentOf(5, ['/a/']);
-  const stands = taken(first);
-  expect(codeOf(0, first, stands)).toBe('stands');
-  expect(codeOf(0, documentOf(6, ['/b/']), stands)).toBe('conflict');
-  expect(codeOf(4, documentOf(6, ['/b/']), stands)).toBe('conflict');
-  expect(codeOf(0, documentOf(5, ['/b/']), stands)).toBe('conflict');
+  const before = accepted(first);
+  expect(codeOf(0, first, before)).toBe('stands');
+  expect(codeOf(0, documentOf(6, ['/b/']), before)).toBe('conflict');
+  expect(codeOf(4, documentOf(6, ['/b/']), before)).toBe('conflict');
+  expect(codeOf(0, documentOf(5, ['/b/']), before)).toBe('conflict');
   const change = {
     revision: 9,
     upsert: { routes: [(documentOf(9, ['/b/']) as { routes: object[] }).routes[0]] },
     remove: { routes: ['r-a-'] },
   };
-  const o = computeDeployment(
+  const result = computeDeployment(
     { kind: 'deployment', base: 5, change },
-    { key: 'deployment', epoch: 1, by: 'a', number: 1, value: stands },
+    committed(before),
     platform,
   );
-  const next = o.extract() as DeploymentValue;
+  const next = result.extract() as DeploymentValue;
   expect(next.doc).toEqual(documentOf(9, ['/b/']));
   expect(changeCode(5, change, next)).toBe('stands');
   expect(codeOf(0, first, next)).toBe('stands');
@@ -106,12 +118,12 @@
     services: [{ name: 's' }],
     limits: { x: 1 },
   };
-  const out = applyNamedChange(doc, {
+  const changed = applyNamedChange(doc, {
     revision: 2,
     upsert: { routes: [{ name: 'd' }, { name: 'a' }], tenants: [{ name: 't' }] },
     remove: { routes: ['b', 'none'] },
   });
-  expect(out).toEqual({
+  expect(changed).toEqual({
     revision: 2,
     routes: [{ name: 'a' }, { name: 'c' }, { name: 'd' }],
     services: [{ name: 's' }],
@@ -121,57 +133,64 @@
 }
 
 async function ask(
-  f: CoreRig,
-  i: number,
+  rig: CoreRig,
+  controller: number,
   path: string,
   base: number | undefined,
   body: unknown,
 ): Promise<Heard> {
-  return (await f.settled(
-    f.call(f.core[i], body === undefined ? 'GET' : 'POST', path, base, body),
+  return (await rig.settled(
+    rig.call(rig.core[controller], body === undefined ? 'GET' : 'POST', path, base, body),
   ))!;
 }
 
 async function spoken(): Promise<void> {
-  const f = makeCore(11);
+  const rig = makeCore(11);
   const first = documentOf(3, ['/a/']);
-  const begun = f.w.now();
-  expect((await f.settled(f.insist(0, PATHS.replace, 0, first, 9000)))?.status).toBe(200);
-  expect(f.w.now() - begun).toBeLessThan(2000);
-  expect((await ask(f, 1, PATHS.replace, 0, first)).status).toBe(200);
-  expect((await ask(f, 2, PATHS.replace, 0, documentOf(4, ['/b/']))).status).toBe(412);
-  expect((await ask(f, 0, PATHS.replace, 3, documentOf(4, ['/b']))).status).toBe(400);
+  const beganAt = rig.w.now();
+  expect((await rig.settled(rig.insist(0, PATHS.replace, 0, first, 9000)))?.status).toBe(200);
+  expect(rig.w.now() - beganAt).toBeLessThan(2000);
+  expect((await ask(rig, 1, PATHS.replace, 0, first)).status).toBe(200);
+  expect((await ask(rig, 2, PATHS.replace, 0, documentOf(4, ['/b/']))).status).toBe(412);
+  expect((await ask(rig, 0, PATHS.replace, 3, documentOf(4, ['/b']))).status).toBe(400);
   expect(
-    (await ask(f, 0, PATHS.replace, 3, JSON.stringify(documentOf(4, ['/b/'])).slice(0, -9))).status,
+    (await ask(rig, 0, PATHS.replace, 3, JSON.stringify(documentOf(4, ['/b/'])).slice(0, -9)))
+      .status,
   ).toBe(400);
-  expect((await ask(f, 0, PATHS.replace, undefined, documentOf(4, ['/b/']))).status).toBe(400);
+  expect((await ask(rig, 0, PATHS.replace, undefined, documentOf(4, ['/b/']))).status).toBe(400);
   expect(
-    (await ask(f, 1, PATHS.update, 3, { revision: 8, remove: { routes: ['r-a-'] } })).status,
+    (await ask(rig, 1, PATHS.update, 3, { revision: 8, remove: { routes: ['r-a-'] } })).status,
   ).toBe(200);
   expect(
-    (await ask(f, 2, PATHS.update, 3, { revision: 8, remove: { routes: ['r-a-'] } })).status,
+    (await ask(rig, 2, PATHS.update, 3, { revision: 8, remove: { routes: ['r-a-'] } })).status,
   ).toBe(200);
-  for (const i of [0, 1, 2])
-    expect((await ask(f, i, PATHS.describe, undefined, undefined)).body).toEqual(documentOf(8, []));
-  for (const [i, revision] of [
+  for (const controller of [0, 1, 2])
+    expect((await ask(rig, controller, PATHS.describe, undefined, undefined)).body).toEqual(
+      documentOf(8, []),
+    );
+  for (const [controller, revision] of [
     [0, 2],
     [1, 2],
     [2, 1],
     [0, 3],
   ])
-    expect((await ask(f, i, PATHS.weights, undefined, { model: 'm', revision })).status).toBe(200);
-  for (const c of f.controllers.values())
-    expect(c.committedValue<{ weights: string; rank: number }>('weights/m')?.value).toMatchObject({
+    expect(
+      (await ask(rig, controller, PATHS.weights, undefined, { model: 'm', revision })).status,
+    ).toBe(200);
+  for (const controller of rig.controllers.values())
+    expect(
+      controller.committedValue<{ weights: string; rank: number }>('weights/m')?.value,
+    ).toMatchObject({
       weights: '3',
       rank: 3,
     });
-  expect((await ask(f, 0, PATHS.weights, undefined, { model: 'm' })).status).toBe(400);
-  expect((await ask(f, 0, '/v1/fleet', undefined, undefined)).status).toBe(200);
+  expect((await ask(rig, 0, PATHS.weights, undefined, { model: 'm' })).status).toBe(400);
+  expect((await ask(rig, 0, '/v1/fleet', undefined, undefined)).status).toBe(200);
 }
 
 test('an invalid document is told by what it is checked for', invalid);
 test(
-  'a change goes on top of the revision that stands; one that was taken already is known',
+  'a change goes on top of the committed revision; one that was accepted already is known',
   bases,
 );
 test('a named change sets and drops items by name', named);
--- a/test/control/engine-orders.test.ts
+++ b/test/control/engine-orders.test.ts
@@ -4,7 +4,7 @@
 const { order, report } = platform.engines;
 
 function words(): void {
-  const w = order.ask({
+  const request = order.ask({
     instance: 'i-1',
     model: 'm',
     weights: '12',
@@ -12,12 +12,12 @@
     holder: 'core-1.ab',
     fence: 41,
   });
-  expect(w).toMatchObject({
+  expect(request).toMatchObject({
     method: 'POST',
     target: '/api/order',
     headers: ['plumhollow-expect-instance', 'i-1'],
   });
-  expect(JSON.parse(w.body as string)).toEqual({
+  expect(JSON.parse(request.body as string)).toEqual({
     operation: 'revision',
     model: 'm',
     revision: 12,
