--- a/tools/sim/without.ts
+++ b/tools/sim/without.ts
@@ -1,7 +1,8 @@
 import { Right } from 'purify-ts';
 import * as leases from '../../src/control/leases/lease-registry';
 import type { Controller } from '../../src/control/controller';
-import * as duties from '../../src/control/singletons/background-tasks';
+import * as backgroundTasks from '../../src/control/singletons/background-tasks';
+import * as oldWeights from '../../src/control/singletons/old-weights-retirement';
 import * as slots from '../../src/control/storage/control-store';
 import { CallerApi } from '../../src/data/api';
 import * as engines from '../../src/data/engines';
@@ -21,7 +22,8 @@
 import { Settings } from '../../src/shared/settings/settings';
 import { Engine } from '../../src/shared/state/engines';
 import { Intents } from '../../src/shared/state/intents';
-import * as operations from '../../src/control/configuration/operations';
+import * as nextValue from '../../src/control/configuration/next-value';
+import { Operation } from '../../src/control/configuration/operations';
 
 type Patch = Record<string, (...x: never[]) => unknown>;
 
@@ -41,8 +43,8 @@
 }
 
 function noEffect(): void {
-  async function atOnce(this: { slots: { disk: string } }): Promise<Result<unknown>> {
-    return Right({ disk: this.slots.disk });
+  async function atOnce(this: { store: { diskId: string } }): Promise<Result<unknown>> {
+    return Right({ disk: this.store.diskId });
   }
   (leases.LeaseRegistry.prototype as unknown as Patch).effect = atOnce;
 }
@@ -56,8 +58,8 @@
 }
 
 function noSalts(): void {
-  const real = operations.computeNextValue;
-  function same(...x: Parameters<typeof operations.computeNextValue>): Result<unknown> {
+  const real = nextValue.computeNextValue;
+  function same(...x: Parameters<typeof nextValue.computeNextValue>): Result<unknown> {
     function flatten(v: unknown): unknown {
       const i = v as { doc?: Intents; salts?: Record<string, string> };
       for (const t of Object.keys(i?.salts ?? {})) i.salts![t] = 'one';
@@ -65,7 +67,7 @@
     }
     return real(...x).map(flatten);
   }
-  (operations as unknown as Patch).computeNextValue = same;
+  (nextValue as unknown as Patch).computeNextValue = same;
 }
 
 function noWeightsEnd(): void {
@@ -75,7 +77,7 @@
   }
   async function nothing(): Promise<void> {}
   (bounds as unknown as Patch).timeLimitsOf = endless;
-  (duties as unknown as Patch).retireOldWeights = nothing;
+  (oldWeights as unknown as Patch).retireOldWeights = nothing;
 }
 
 function noLeaving(): void {
@@ -240,12 +242,12 @@
 }
 
 function noFence(): void {
-  const real = duties.startBackgroundTasks;
+  const real = backgroundTasks.startBackgroundTasks;
   function loose(c: Controller, ports: Ports): void {
     function chosen(key: string): boolean {
       return key.startsWith('duty/') || c.isPreferredOwner(key);
     }
-    async function change(op: operations.Operation): ReturnType<Controller['change']> {
+    async function change(op: Operation): ReturnType<Controller['change']> {
       return op.kind === 'duty'
         ? Right({
             place: { epoch: 1, by: c.ownerId, number: 1 },
@@ -256,7 +258,7 @@
     }
     real({ ...c, isPreferredOwner: chosen, change }, ports);
   }
-  (duties as unknown as Patch).startBackgroundTasks = loose;
+  (backgroundTasks as unknown as Patch).startBackgroundTasks = loose;
 }
 
 /** A router that lets an attempt run on after it told the caller that it refused. */
