--- a/test/control/deployment.test.ts
+++ b/test/control/deployment.test.ts
@@ -6,7 +6,7 @@
 import { errorOrValue } from '../../src/shared/errors/errors';
 import { DeploymentValue } from '../../src/shared/state/deployment';
 import { VersionedValue } from '../../src/shared/state/versions';
-import { platform } from '../../platform/dialect';
+import { usersPlatform } from '../../platform/adapter';
 import { CoreRig, documentOf, Heard, makeCore, PATHS } from './deploymentrig';
 
 function committed(value: DeploymentValue | undefined): VersionedValue | undefined {
@@ -16,7 +16,7 @@
 /** The code of the error of an order, or that it is accepted. */
 function verdictOn(order: Omit<DeploymentOperation, 'kind'>, before?: DeploymentValue): string {
   const operation: DeploymentOperation = { kind: 'deployment', ...order };
-  const [error] = errorOrValue(computeDeployment(operation, committed(before), platform));
+  const [error] = errorOrValue(computeDeployment(operation, committed(before), usersPlatform));
   return error ? String(error.code) : 'accepted';
 }
 
@@ -101,7 +101,7 @@
   const result = computeDeployment(
     { kind: 'deployment', base: 5, change },
     committed(before),
-    platform,
+    usersPlatform,
   );
   const next = result.extract() as DeploymentValue;
   expect(next.doc).toEqual(documentOf(9, ['/b/']));
@@ -194,4 +194,4 @@
   bases,
 );
 test('a named change sets and drops items by name', named);
-test('operators are answered by any controller, as the platform speaks', spoken);
+test('operators are answered by any controller, as the usersPlatform speaks', spoken);
--- a/test/control/full-disk-controller.test.ts
+++ b/test/control/full-disk-controller.test.ts
@@ -1,5 +1,5 @@
 import { Controller } from '../../src/control/controller';
-import { Proc } from '../../tools/sim/simworld';
+import { Proc } from '../../tools/sim/process';
 import { CoreRig, documentOf, makeCore, PATHS } from './deploymentrig';
 
 /** An operator goes on to another controller after this silence, in ms. */
--- a/test/control/rolloutrig.ts
+++ b/test/control/rolloutrig.ts
@@ -2,14 +2,15 @@
  * Three controllers in a simulated world that bring engines to weights, with faults at will.
  */
 
-import { platform } from '../../platform/dialect';
+import { usersPlatform } from '../../platform/adapter';
 import { Controller, startController } from '../../src/control/controller';
 import { runWeightsRollout } from '../../src/control/singletons/weights-rollout';
 import { errorOrValue } from '../../src/shared/errors/errors';
 import { defaultSettings, Settings } from '../../src/shared/settings/settings';
 import { Engine } from '../../src/shared/state/engines';
 import { makeNet, SimNet } from '../../tools/sim/simwire';
-import { makeWorld, Proc, World } from '../../tools/sim/simworld';
+import { Proc } from '../../tools/sim/process';
+import { makeWorld, World } from '../../tools/sim/simworld';
 import { EngineServer, JudgedOrder, OrderedEngine } from './rolloutengine';
 
 /** The lease of the rollout's role, in ms. */
@@ -172,7 +173,7 @@
     const [error, controller] = errorOrValue(await startController(ports, settingsOf(name)));
     if (error) return;
     this.controllers.set(name, controller);
-    void runWeightsRollout(controller, ports, platform.engines);
+    void runWeightsRollout(controller, ports, usersPlatform.engines);
   }
 
   private revive(name: string): void {
