--- a/src/control/consensus/acceptor.ts
+++ b/src/control/consensus/acceptor.ts
@@ -92,27 +92,27 @@
 /** The part of a register that each voter's disk plays. */
 export class Acceptor {
   constructor(
-    private readonly slots: ControlStore,
-    private readonly reach: VoterTransport,
+    private readonly store: ControlStore,
+    private readonly transport: VoterTransport,
     private readonly ports: Ports,
   ) {}
 
-  private votes(): boolean {
-    return isVoter(this.reach.voters(), this.slots.diskId);
+  private isVoting(): boolean {
+    return isVoter(this.transport.voters(), this.store.diskId);
   }
 
   /** Promises to take nothing of a lower epoch; an epoch that was promised already is not promised again. */
   @messageHandler('prepare', PrepareRequest)
   async prepare(m: PrepareRequest): HandlerResult {
-    const later = newerVoterSet(this.slots, m.voters);
-    const seen = this.slots.registers.get(m.key)?.promised ?? { epoch: 0, by: '' };
+    const later = newerVoterSet(this.store, m.voters);
+    const seen = this.store.registers.get(m.key)?.promised ?? { epoch: 0, by: '' };
     if (later) return Right({ ok: false, seen, voters: later });
-    if (!this.votes())
-      return failure('prepare', this.slots.diskId, 'not a voter', 'refused', 'no-voter');
+    if (!this.isVoting())
+      return failure('prepare', this.store.diskId, 'not a voter', 'refused', 'no-voter');
     if (m.epoch <= seen.epoch) return Right({ ok: false, seen });
     const promised = { epoch: m.epoch, by: m.by };
-    const accepted = newestAccepted(this.slots.registers.get(m.key));
-    const [f] = errorOrValue(await this.slots.put({ key: m.key, promised }));
+    const accepted = newestAccepted(this.store.registers.get(m.key));
+    const [f] = errorOrValue(await this.store.put({ key: m.key, promised }));
     if (f) return Left(f);
     return Right({ ok: true, seen: promised, accepted });
   }
@@ -120,22 +120,22 @@
   /** Takes a change unless a higher epoch was promised. */
   @messageHandler('accept', AcceptRequest)
   accept(m: AcceptRequest): HandlerResult {
-    return this.take(m);
+    return this.acceptChange(m);
   }
 
-  private async take(m: AcceptRequest, delta?: Delta): HandlerResult {
-    const later = newerVoterSet(this.slots, m.voters);
+  private async acceptChange(m: AcceptRequest, delta?: Delta): HandlerResult {
+    const later = newerVoterSet(this.store, m.voters);
     const c = m.change;
-    const cell = this.slots.registers.get(c.key);
+    const cell = this.store.registers.get(c.key);
     const seen = cell?.promised ?? { epoch: 0, by: '' };
     if (later) return Right({ ok: false, seen, voters: later });
-    if (!this.votes())
-      return failure('accept', this.slots.diskId, 'not a voter', 'refused', 'no-voter');
+    if (!this.isVoting())
+      return failure('accept', this.store.diskId, 'not a voter', 'refused', 'no-voter');
     if (compareEpochs(c, seen) < 0) return Right({ ok: false, seen });
     if (cell?.accepted && compareVersions(c, cell.accepted) < 0) return Right({ ok: false, seen });
     const promised = { epoch: c.epoch, by: c.by };
     const accepted = delta ? c : { ...c, value: shareUnchanged(cell?.learned?.value, c.value) };
-    const [f] = errorOrValue(await this.slots.put({ key: c.key, promised, accepted }, delta));
+    const [f] = errorOrValue(await this.store.put({ key: c.key, promised, accepted }, delta));
     if (f) return Left(f);
     return Right({ ok: true, seen: promised });
   }
@@ -143,45 +143,45 @@
   /** Takes a change told as the difference to what is learned here. */
   @messageHandler('accept-delta', AcceptDeltaRequest)
   async acceptDelta(m: AcceptDeltaRequest): HandlerResult {
-    const change = readDelta(this.slots.registers.get(m.delta.key)?.learned, m.delta);
+    const change = readDelta(this.store.registers.get(m.delta.key)?.learned, m.delta);
     return change
-      ? this.take({ change, voters: m.voters }, m.delta)
-      : failure('accept', this.slots.diskId, 'not the base here', 'refused', 'whole');
+      ? this.acceptChange({ change, voters: m.voters }, m.delta)
+      : failure('accept', this.store.diskId, 'not the base here', 'refused', 'whole');
   }
 
   /** Keeps as committed what was accepted at a place. */
   @messageHandler('learn-accepted', LearnAcceptedRequest)
   async learnAccepted(m: LearnAcceptedRequest): HandlerResult {
-    const change = this.slots.registers.get(m.place.key)?.accepted;
+    const change = this.store.registers.get(m.place.key)?.accepted;
     return change && compareVersions(change, m.place) === 0
       ? this.learn({ change })
-      : failure('learn', this.slots.diskId, 'not accepted here', 'refused', 'whole');
+      : failure('learn', this.store.diskId, 'not accepted here', 'refused', 'whole');
   }
 
   /** Keeps what is committed, and carries it to the followers. */
   @messageHandler('learn', LearnRequest)
   async learn(m: LearnRequest): HandlerResult {
     const c = m.change;
-    const cell = this.slots.registers.get(c.key);
+    const cell = this.store.registers.get(c.key);
     const before = cell?.learned;
     const fresh = !before || compareVersions(c, before) > 0;
     const same = cell?.accepted && compareVersions(cell.accepted, c) === 0;
     const [f] = errorOrValue(
-      await (fresh ? this.slots.put({ key: c.key, learned: same ? true : c }) : this.slots.flush()),
+      await (fresh ? this.store.put({ key: c.key, learned: same ? true : c }) : this.store.flush()),
     );
     if (f) return Left(f);
-    if (fresh) this.reach.onLearned(c, before);
+    if (fresh) this.transport.onLearned(c, before);
     this.ports.logger.info({ step: 'learn', peer: c.by }, `${c.key} ${c.epoch}.${c.number}`);
-    return Right({ disk: this.slots.diskId });
+    return Right({ disk: this.store.diskId });
   }
 
   /** Tells how far this disk has a key: what it has accepted, or learned as accepted by a majority. It waits for no write: memory is never behind the disk. */
   @messageHandler('held-place')
-  async heldPlace(m: { key: string; voters?: Version }): HandlerResult {
+  async acceptedVersion(m: { key: string; voters?: Version }): HandlerResult {
     return Right({
-      disk: this.slots.diskId,
-      accepted: placeOnly(newestAccepted(this.slots.registers.get(m.key))),
-      voters: newerVoterSet(this.slots, m.voters),
+      disk: this.store.diskId,
+      accepted: placeOnly(newestAccepted(this.store.registers.get(m.key))),
+      voters: newerVoterSet(this.store, m.voters),
     });
   }
 }
--- a/src/control/consensus/key-maintenance.ts
+++ b/src/control/consensus/key-maintenance.ts
@@ -51,7 +51,7 @@
 }
 
 /** Keys that are taken over at once; their writes share syncs. */
-const OWN_AT_ONCE = 64;
+const MAX_KEYS_ACQUIRED_AT_ONCE = 64;
 
 /** Makes the keeper; each of its rounds costs by what changed, not by how many keys there are. */
 export function makeKeyMaintenance(p: KeyMaintenanceDependencies): KeyMaintenance {
@@ -146,8 +146,8 @@
     }
     for (const key of p.keyOwner.ownedKeys()) if (!tended.mine.has(key)) p.keyOwner.release(key);
     const wanted = [...tended.mine].filter(notOwned);
-    for (let i = 0; i < wanted.length; i += OWN_AT_ONCE)
-      await Promise.all(wanted.slice(i, i + OWN_AT_ONCE).map(p.keyOwner.acquire));
+    for (let i = 0; i < wanted.length; i += MAX_KEYS_ACQUIRED_AT_ONCE)
+      await Promise.all(wanted.slice(i, i + MAX_KEYS_ACQUIRED_AT_ONCE).map(p.keyOwner.acquire));
   }
 
   function disownAll(): void {
--- a/src/control/consensus/linearizable-read.ts
+++ b/src/control/consensus/linearizable-read.ts
@@ -10,7 +10,7 @@
 import { ControlStore } from '../storage/control-store';
 
 /** Polls of one read: a second one where the first shows that the voters are others by now. */
-const POLLS = 2;
+const MAX_POLLS = 2;
 
 /** What a read needs of its controller; `ofOwner` asks the key's owner, wherever it is. */
 export interface ReadDependencies {
@@ -25,12 +25,12 @@
 
 /** What controllers ask one another for a read. */
 export class ReadHandlers {
-  constructor(private readonly r: ReadDependencies) {}
+  constructor(private readonly dependencies: ReadDependencies) {}
 
   /** Takes a key anew, as its owner, from what a majority holds: what was accepted is committed. */
   @messageHandler('settle')
-  async settle(m: { key: string }): HandlerResult {
-    return this.r.keyOwner.reacquire(m.key);
+  async reacquire(m: { key: string }): HandlerResult {
+    return this.dependencies.keyOwner.reacquire(m.key);
   }
 }
 
@@ -39,7 +39,7 @@
   r: ReadDependencies,
   key: string,
 ): Promise<Result<VersionedValue | undefined>> {
-  const [f, held] = errorOrValue(await readPlaces(r, key));
+  const [f, held] = errorOrValue(await pollVersions(r, key));
   if (f) return Left(f);
   const mine = r.store.registers.get(key)?.learned;
   if (!hasNewerAccepted(held, mine)) return Right(mine);
@@ -51,7 +51,7 @@
   r: ReadDependencies,
   key: string,
 ): Promise<Result<VersionedValue | undefined>> {
-  const [f, held] = errorOrValue(await readPlaces(r, key));
+  const [f, held] = errorOrValue(await pollVersions(r, key));
   if (f) return Left(f);
   const mine = r.store.registers.get(key)?.learned;
   return hasNewerAccepted(held, mine)
@@ -59,10 +59,10 @@
     : Right(mine);
 }
 
-async function readPlaces(
+async function pollVersions(
   r: ReadDependencies,
   key: string,
-  polls = POLLS,
+  polls = MAX_POLLS,
 ): Promise<Result<AcceptedVersionReply[]>> {
   const known = r.store.registers.get(CONTROL_KEYS.voters)?.learned;
   const { accepted: held, newerVoterSet: laterVoters } = await pollAcceptedVersions(
@@ -73,7 +73,7 @@
   );
   if (laterVoters) {
     void r.learnLocally(laterVoters);
-    if (held.isLeft() && polls > 1) return readPlaces(r, key, polls - 1);
+    if (held.isLeft() && polls > 1) return pollVersions(r, key, polls - 1);
   }
   return held;
 }
--- a/src/control/consensus/replica-sync.ts
+++ b/src/control/consensus/replica-sync.ts
@@ -10,45 +10,45 @@
 import { learnedValues } from '../storage/register-state';
 
 /** Keys that one message asks about at the most. */
-const KEYS_AT_ONCE = 256;
+const MAX_KEYS_PER_REQUEST = 256;
 /** Rounds in which voters are brought up to date at the most. */
-const ROUNDS = 8;
+const MAX_SYNC_ROUNDS = 8;
 /** Values that are on their way to a voter at once. */
-const VALUES_AT_ONCE = 16;
+const MAX_VALUES_IN_FLIGHT = 16;
 
 /** Where a key stands. */
-interface KeyPlace extends Version {
+interface KeyVersion extends Version {
   key: string;
 }
 
-class LackingRequest {
-  @bodyField('list') places!: KeyPlace[];
+class VersionsRequest {
+  @bodyField('list') places!: KeyVersion[];
 }
 
 /** Which of the places that it was asked about a disk has not learned. */
-export interface LackingReply {
+export interface MissingKeysReply {
   disk: string;
   lacking: string[];
 }
 
 /** Answers how far this disk has learned what is committed. */
 export class ReplicaHandlers {
-  constructor(private readonly slots: ControlStore) {}
+  constructor(private readonly store: ControlStore) {}
 
   /** Tells which of these places this disk has not learned; what it has learned is synced before it answers. */
-  @messageHandler('lacking', LackingRequest)
-  async lacking(m: LackingRequest): HandlerResult {
+  @messageHandler('lacking', VersionsRequest)
+  async missingKeys(m: VersionsRequest): HandlerResult {
     const lacking: string[] = [];
     for (const place of m.places)
-      if (!isAtLeast(this.slots.registers.get(place.key)?.learned, place)) lacking.push(place.key);
-    const [f] = errorOrValue(await this.slots.flush());
-    return f ? Left(f) : Right({ disk: this.slots.diskId, lacking });
+      if (!isAtLeast(this.store.registers.get(place.key)?.learned, place)) lacking.push(place.key);
+    const [f] = errorOrValue(await this.store.flush());
+    return f ? Left(f) : Right({ disk: this.store.diskId, lacking });
   }
 
   /** Tells how many changes before these places what this disk has learned is. */
-  @messageHandler('progress', LackingRequest)
-  async progress(m: LackingRequest): HandlerResult {
-    const { registers: cells } = this.slots;
+  @messageHandler('progress', VersionsRequest)
+  async progress(m: VersionsRequest): HandlerResult {
+    const { registers: cells } = this.store;
     let behind = 0;
     for (const place of m.places) {
       const learned = cells.get(place.key)?.learned;
@@ -79,8 +79,10 @@
 export async function syncReplica(p: ReplicaSyncDependencies, to: Voter): Promise<Result<number>> {
   const committed = learnedValues(p.store.registers);
   let lacked = 0;
-  for (let i = 0; i < committed.length; i += KEYS_AT_ONCE) {
-    const [f, count] = errorOrValue(await bringBatch(p, to, committed.slice(i, i + KEYS_AT_ONCE)));
+  for (let i = 0; i < committed.length; i += MAX_KEYS_PER_REQUEST) {
+    const [f, count] = errorOrValue(
+      await syncBatch(p, to, committed.slice(i, i + MAX_KEYS_PER_REQUEST)),
+    );
     if (f) return Left(f);
     lacked += count;
   }
@@ -94,8 +96,8 @@
 ): Promise<Result<ReplicaProgress>> {
   const committed = learnedValues(p.store.registers);
   const whole: ReplicaProgress = { epoch: 0, behind: 0 };
-  for (let i = 0; i < committed.length; i += KEYS_AT_ONCE) {
-    const places = committed.slice(i, i + KEYS_AT_ONCE).map(placeOf);
+  for (let i = 0; i < committed.length; i += MAX_KEYS_PER_REQUEST) {
+    const places = committed.slice(i, i + MAX_KEYS_PER_REQUEST).map(keyVersionOf);
     const [f, part] = errorOrValue(await p.requestVoter(of, 'progress', { places }));
     if (f) return Left(f);
     whole.epoch = (part as ReplicaProgress).epoch;
@@ -104,31 +106,33 @@
   return Right(whole);
 }
 
-async function bringBatch(
+async function syncBatch(
   p: ReplicaSyncDependencies,
   to: Voter,
   batch: readonly VersionedValue[],
 ): Promise<Result<number>> {
-  const [f, missing] = errorOrValue(await lackingOf(p, to, batch));
+  const [f, missing] = errorOrValue(await missingOf(p, to, batch));
   if (f) return Left(f);
   if (missing.length === 0) return Right(0);
   const [g] = errorOrValue(await sendValues(p, to, missing));
   if (g) return Left(g);
-  const [h, still] = errorOrValue(await lackingOf(p, to, missing));
+  const [h, still] = errorOrValue(await missingOf(p, to, missing));
   if (h) return Left(h);
   return still.length === 0
     ? Right(missing.length)
     : failure('replicate', to.at, `still lacks ${still[0].key}`, 'unknown', 'pending');
 }
 
-async function lackingOf(
+async function missingOf(
   p: ReplicaSyncDependencies,
   to: Voter,
   list: readonly VersionedValue[],
 ): Promise<Result<VersionedValue[]>> {
-  const [f, r] = errorOrValue(await p.requestVoter(to, 'lacking', { places: list.map(placeOf) }));
+  const [f, r] = errorOrValue(
+    await p.requestVoter(to, 'lacking', { places: list.map(keyVersionOf) }),
+  );
   if (f) return Left(atStep(f));
-  const { disk, lacking } = r as LackingReply;
+  const { disk, lacking } = r as MissingKeysReply;
   if (disk !== to.disk)
     return failure('replicate', to.at, 'another disk answers', 'refused', 'no-voter');
   const keys = new Set(lacking);
@@ -146,8 +150,8 @@
   function send(change: VersionedValue): Promise<Result<unknown>> {
     return p.requestVoter(to, 'learn', { change });
   }
-  for (let i = 0; i < list.length; i += VALUES_AT_ONCE) {
-    for (const sent of await Promise.all(list.slice(i, i + VALUES_AT_ONCE).map(send))) {
+  for (let i = 0; i < list.length; i += MAX_VALUES_IN_FLIGHT) {
+    for (const sent of await Promise.all(list.slice(i, i + MAX_VALUES_IN_FLIGHT).map(send))) {
       const [f] = errorOrValue(sent);
       if (f) return Left(atStep(f));
     }
@@ -155,7 +159,7 @@
   return Right(undefined);
 }
 
-function placeOf({ key, epoch, by, number }: VersionedValue): KeyPlace {
+function keyVersionOf({ key, epoch, by, number }: VersionedValue): KeyVersion {
   return { key, epoch, by, number };
 }
 
@@ -167,7 +171,7 @@
 export async function syncReplicas(
   p: ReplicaSyncDependencies,
   voters: readonly Voter[],
-  rounds = ROUNDS,
+  rounds = MAX_SYNC_ROUNDS,
 ): Promise<Result<void>> {
   let lacked = 0;
   for (const voter of voters) {
--- a/src/control/consensus/voter-request.ts
+++ b/src/control/consensus/voter-request.ts
@@ -5,7 +5,7 @@
 import { Voter } from '../../shared/state/voter-set';
 
 /** What may carry whole values or long differences. */
-const LONG_ASKS = new Set(['accept', 'accept-delta', 'learn']);
+const COMPRESSED_TYPES = new Set(['accept', 'accept-delta', 'learn']);
 
 /** Asks another voter over its connection; what is long goes compressed. */
 export async function requestOtherVoter(
@@ -16,7 +16,7 @@
   within: number,
 ): Promise<Result<unknown>> {
   if (!exchange) return Left(notConnected(type, voter.at));
-  return LONG_ASKS.has(type)
+  return COMPRESSED_TYPES.has(type)
     ? requestCompressed(exchange, type, body as object, within)
     : exchange.request(type, body, within);
 }
--- a/src/control/storage/control-store.ts
+++ b/src/control/storage/control-store.ts
@@ -7,7 +7,7 @@
   applyLogEntry,
   RegisterState,
   copyRegisters,
-  isDifference,
+  hasDelta,
   LogEntry,
   decodeRegister,
   decodeLogEntry,
@@ -217,7 +217,7 @@
       }
       logBytes += bytes.length;
     }
-    for (const x of batch) if (x.line && isDifference(x.stored as StoredLogEntry)) differences++;
+    for (const x of batch) if (x.line && hasDelta(x.stored as StoredLogEntry)) differences++;
     return Right(undefined);
   }
 
--- a/src/control/storage/frames.ts
+++ b/src/control/storage/frames.ts
@@ -3,8 +3,8 @@
 import { errorOrValue } from '../../shared/errors/errors';
 import { tryCatch } from '../../shared/util/try-catch';
 
-const HEAD = 12;
-const OLD_HEAD = 8;
+const HEADER_BYTES = 12;
+const LEGACY_HEADER_BYTES = 8;
 
 /**
  * The most that is written before it is synced, in bytes. A longer write reaches the file in several calls, which
@@ -13,7 +13,7 @@
 export const MAX_UNSYNCED_BYTES = 256 * 1024;
 
 /** A part of a packed value that is too long for one frame; the last one completes it. */
-interface ValuePart {
+interface ValueChunk {
   part: Uint8Array;
   isLast: boolean;
 }
@@ -25,7 +25,7 @@
   const frames: Uint8Array[] = [];
   for (let at = 0; at < body.length; at += MAX_UNSYNCED_BYTES) {
     const end = Math.min(at + MAX_UNSYNCED_BYTES, body.length);
-    const part: ValuePart = { part: body.subarray(at, end), isLast: end === body.length };
+    const part: ValueChunk = { part: body.subarray(at, end), isLast: end === body.length };
     frames.push(encodeFrame(part));
   }
   return frames;
@@ -37,11 +37,11 @@
 }
 
 function frameBody(body: Uint8Array): Uint8Array {
-  const out = Buffer.alloc(HEAD + body.length);
+  const out = Buffer.alloc(HEADER_BYTES + body.length);
   out.writeUInt32BE(body.length, 0);
   out.writeUInt32BE(crc32(body), 4);
   out.writeUInt32BE(crc32(out.subarray(0, 8)), 8);
-  out.set(body, HEAD);
+  out.set(body, HEADER_BYTES);
   return out;
 }
 
@@ -53,19 +53,19 @@
   isCorrupt: boolean;
 }
 
-function isPart(v: unknown): v is ValuePart {
+function isChunk(v: unknown): v is ValueChunk {
   return typeof v === 'object' && v !== null && 'part' in v && 'isLast' in v;
 }
 
 /** Joins the parts of long values; one that was never completed is torn at the end, and spoilt before it. */
-function joinParts(read: DecodedFrames): DecodedFrames {
+function joinChunks(read: DecodedFrames): DecodedFrames {
   const values: unknown[] = [];
   let parts: Uint8Array[] = [];
   for (const v of read.values) {
-    if (!isPart(v) && parts.length > 0) return { values, isTorn: false, isCorrupt: true };
-    if (!isPart(v)) values.push(v);
+    if (!isChunk(v) && parts.length > 0) return { values, isTorn: false, isCorrupt: true };
+    if (!isChunk(v)) values.push(v);
     else parts.push(v.part);
-    if (!isPart(v) || !v.isLast) continue;
+    if (!isChunk(v) || !v.isLast) continue;
     values.push(unpack(Buffer.concat(parts)));
     parts = [];
   }
@@ -74,21 +74,21 @@
 
 /** Reads the values of a file up to the first that is not whole: missing or zero bytes at the end are torn, all else is spoilt. */
 export function decodeFrames(bytes: Uint8Array | undefined): DecodedFrames {
-  return joinParts(unframeAll(bytes));
+  return joinChunks(readFrames(bytes));
 }
 
-function unframeAll(bytes: Uint8Array | undefined): DecodedFrames {
+function readFrames(bytes: Uint8Array | undefined): DecodedFrames {
   const b = bytes ? Buffer.from(bytes.buffer, bytes.byteOffset, bytes.length) : Buffer.alloc(0);
   const values: unknown[] = [];
-  const old = unframeOld(b);
+  const old = readLegacyFrames(b);
   if (old.length > 0) return { values: old, isLegacy: true, isTorn: false, isCorrupt: false };
   let at = 0;
   while (at < b.length) {
-    const headed = at + HEAD <= b.length;
-    const end = headed ? at + HEAD + b.readUInt32BE(at) : Infinity;
+    const headed = at + HEADER_BYTES <= b.length;
+    const end = headed ? at + HEADER_BYTES + b.readUInt32BE(at) : Infinity;
     const sound = headed && crc32(b.subarray(at, at + 8)) === b.readUInt32BE(at + 8);
     if (!headed || (sound && end > b.length)) return { values, isTorn: true, isCorrupt: false };
-    const body = b.subarray(at + HEAD, end);
+    const body = b.subarray(at + HEADER_BYTES, end);
     const [f, v] = errorOrValue(tryCatch('unpack', 'disk', read));
     function read(): unknown {
       return sound && crc32(body) === b.readUInt32BE(at + 4) ? unpack(body) : undefined;
@@ -104,11 +104,11 @@
 }
 
 /** Reads the frames of version 0.1: a length, a checksum, and one line each. */
-function unframeOld(b: Buffer): unknown[] {
+function readLegacyFrames(b: Buffer): unknown[] {
   const values: unknown[] = [];
-  for (let at = 0; at + OLD_HEAD <= b.length;) {
-    const end = at + OLD_HEAD + b.readUInt32BE(at);
-    const body = b.subarray(at + OLD_HEAD, end);
+  for (let at = 0; at + LEGACY_HEADER_BYTES <= b.length;) {
+    const end = at + LEGACY_HEADER_BYTES + b.readUInt32BE(at);
+    const body = b.subarray(at + LEGACY_HEADER_BYTES, end);
     if (end > b.length || body.length === 0 || crc32(body) !== b.readUInt32BE(at + 4)) break;
     values.push(unpack(body));
     at = end;
--- a/src/control/storage/idempotency-votes.ts
+++ b/src/control/storage/idempotency-votes.ts
@@ -11,22 +11,22 @@
 import { encodeFrame, encodeFrames } from './frames';
 import { GroupCommit, makeGroupCommit, awaitFirstWrite } from './group-commit';
 import { ControlStore } from './control-store';
-import { RunState, Vote, FILES, StoredVotes, asLine } from './vote-files';
+import { RunState, Vote, VOTE_FILE_INDEXES, StoredVotes, toVoteEntry } from './vote-files';
 
 class VoteRequest {
   @bodyField('string') key!: string;
   @bodyField('string') run!: string;
 }
 
-class HeldVotesRequest {
+class ListVotesRequest {
   @bodyField('string') begins!: string;
   @bodyField('boolean', false) some?: boolean;
 }
 
 /** Votes that one message carries well. */
-const PILE = 500;
+const MAX_VOTES_PER_REPLY = 500;
 
-class RunNotice {
+class RunStateNotice {
   @bodyField('string') key!: string;
   @bodyField('string') run!: string;
   @bodyField('string') state!: RunState | 'released';
@@ -86,9 +86,9 @@
   private async turn(carried: Map<string, Vote>): Promise<Result<void>> {
     const synced = (await this.syncRead?.()) ?? Right(undefined);
     if (synced.isLeft()) return synced;
-    const to = (this.file + 1) % FILES.length;
+    const to = (this.file + 1) % VOTE_FILE_INDEXES.length;
     const head = encodeFrame({ gen: this.gen + 1, disk: this.slots.diskId });
-    const [first, ...rest] = encodeFrames([...carried.values()].map(asLine));
+    const [first, ...rest] = encodeFrames([...carried.values()].map(toVoteEntry));
     let written = await this.ports.disk.write(`votes-${to}`, Buffer.concat([head, first]));
     for (const bytes of rest)
       if (written.isRight()) written = await this.ports.disk.append(`votes-${to}`, bytes);
@@ -146,8 +146,8 @@
   }
 
   /** Takes what became of a run; one that certainly never ran gives its key back. */
-  @messageHandler('run', RunNotice)
-  async run(m: RunNotice): HandlerResult {
+  @messageHandler('run', RunStateNotice)
+  async recordRunState(m: RunStateNotice): HandlerResult {
     const have = this.find(m.key);
     if (have && have.run !== m.run) return Right({ disk: this.slots.diskId });
     if (m.state === 'released') {
@@ -168,14 +168,14 @@
   }
 
   /** Gives a pile of what a disk that is to become a voter must hold: the votes whose key begins so, and the names of the control keys; an asker who wants some only is told where there are more. */
-  @messageHandler('held', HeldVotesRequest)
-  async held(m: HeldVotesRequest): HandlerResult {
+  @messageHandler('held', ListVotesRequest)
+  async listVotes(m: ListVotesRequest): HandlerResult {
     const votes: Vote[] = [];
     for (const kept of [this.before, this.now])
       for (const v of kept.values()) if (v.key.startsWith(m.begins)) votes.push(v);
     const keys = [...this.slots.registers.keys()];
     return Right(
-      m.some && votes.length > PILE
+      m.some && votes.length > MAX_VOTES_PER_REPLY
         ? { disk: this.slots.diskId, votes: [], keys, more: true }
         : { disk: this.slots.diskId, votes, keys },
     );
@@ -183,7 +183,7 @@
 
   /** Takes votes that the old set had given; those that stand here stay. */
   @messageHandler('copy')
-  async copy(votes: Vote[]): HandlerResult {
+  async copyVotes(votes: Vote[]): HandlerResult {
     const writes: Promise<Result<void>>[] = [];
     for (const v of votes) {
       if (this.find(v.key)) continue;
--- a/src/control/storage/register-state.ts
+++ b/src/control/storage/register-state.ts
@@ -80,7 +80,7 @@
 }
 
 /** Whether a stored line needs what its key has learned before. */
-export function isDifference(s: StoredLogEntry): boolean {
+export function hasDelta(s: StoredLogEntry): boolean {
   return s.acceptedDelta !== undefined || s.learnedDelta !== undefined;
 }
 
--- a/src/control/storage/vote-files.ts
+++ b/src/control/storage/vote-files.ts
@@ -19,9 +19,9 @@
 }
 
 /** The files of votes, which are written in turn. */
-export const FILES = [0, 1, 2];
+export const VOTE_FILE_INDEXES = [0, 1, 2];
 
-interface VoteLine {
+interface StoredVoteEntry {
   vote?: Vote;
   gone?: string;
 }
@@ -43,22 +43,22 @@
   index: number;
   gen: number;
   disk: string;
-  batches: VoteLine[][];
+  batches: StoredVoteEntry[][];
 }
 
 /** Reads a file; none where it was never written whole, so that the files before it still hold all votes. */
 function fileOf(index: number, u: DecodedFrames): VotesFile | undefined {
   const head = u.values[0] as { gen: number; disk: string } | undefined;
-  const batches = (u.isLegacy ? [u.values.slice(1)] : u.values.slice(1)) as VoteLine[][];
+  const batches = (u.isLegacy ? [u.values.slice(1)] : u.values.slice(1)) as StoredVoteEntry[][];
   return head && batches.length > 0 ? { index, ...head, batches } : undefined;
 }
 
-function byGen(a: { gen: number }, b: { gen: number }): number {
+function byGeneration(a: { gen: number }, b: { gen: number }): number {
   return a.gen - b.gen;
 }
 
 /** The log entry that stores a vote. */
-export function asLine(vote: Vote): VoteLine {
+export function toVoteEntry(vote: Vote): StoredVoteEntry {
   return { vote };
 }
 
@@ -68,7 +68,7 @@
   const reader = makeSyncedReader(ports.disk);
   let spoilt = false;
   let begunBy: string | undefined;
-  for (const index of FILES) {
+  for (const index of VOTE_FILE_INDEXES) {
     const [f, bytes] = errorOrValue(await reader.read(`votes-${index}`));
     if (f) return Left(f);
     const u = decodeFrames(bytes);
@@ -77,7 +77,7 @@
     const file = fileOf(index, u);
     if (file) found.push(file);
   }
-  found.sort(byGen);
+  found.sort(byGeneration);
   const votes = new Map<string, Vote>();
   for (const x of found) {
     for (const l of x.batches.flat()) {
--- a/test/compatibility/stored.test.ts
+++ b/test/compatibility/stored.test.ts
@@ -98,7 +98,7 @@
   expect(controller.store.diskId).toBe(state.disk);
   expect(controller.store.isCorrupt).toBe(state.spoilt);
   expect(learnedOf(cellsOf(controller.store))).toEqual(learnedOf(state.cells));
-  const held = (await controller.votes.held({ begins: '' })).extract() as { votes: unknown };
+  const held = (await controller.votes.listVotes({ begins: '' })).extract() as { votes: unknown };
   expect(held.votes).toEqual(state.votes);
 }
 
--- a/test/control/disk-spoilt.test.ts
+++ b/test/control/storage-corruption.test.ts
@@ -4,14 +4,21 @@
 import { StoredVotes, readStoredVotes } from '../../src/control/storage/vote-files';
 import { IdempotencyVotes } from '../../src/control/storage/idempotency-votes';
 import { errorOrValue } from '../../src/shared/errors/errors';
-import { acceptedLine, Files, numberOf, opened, portsOn, spoils } from './diskrig';
+import {
+  acceptedEntry,
+  DiskFiles,
+  acceptedNumber,
+  openStore,
+  portsWithFiles,
+  corruptedCopies,
+} from './storage-fixture';
 
 async function everyCut(): Promise<void> {
-  const files: Files = new Map();
-  const s = await opened(files);
+  const files: DiskFiles = new Map();
+  const s = await openStore(files);
   const ends: { log: number; number: number }[] = [{ log: files.get('log-1')!.length, number: 0 }];
   for (let n = 1; n <= 6; n++) {
-    await s.put(acceptedLine(n));
+    await s.put(acceptedEntry(n));
     ends.push({ log: files.get('log-1')!.length, number: n });
   }
   const log = files.get('log-1')!;
@@ -21,10 +28,10 @@
       return e.log <= cut;
     }
     for (const hole of [0, 700]) {
-      const torn: Files = new Map(files);
+      const torn: DiskFiles = new Map(files);
       torn.set('log-1', Buffer.concat([log.subarray(0, cut), Buffer.alloc(hole)]));
-      const again = await opened(torn, 9);
-      expect({ cut, hole, number: numberOf(again), disk: again.diskId }).toEqual({
+      const again = await openStore(torn, 9);
+      expect({ cut, hole, number: acceptedNumber(again), disk: again.diskId }).toEqual({
         cut,
         hole,
         number: want,
@@ -35,26 +42,26 @@
 }
 
 async function everySpoiltByte(): Promise<void> {
-  const files: Files = new Map();
-  const first = await opened(files);
-  await first.put(acceptedLine(1));
-  const s = await opened(files);
-  for (let n = 2; n <= 4; n++) await s.put(acceptedLine(n));
+  const files: DiskFiles = new Map();
+  const first = await openStore(files);
+  await first.put(acceptedEntry(1));
+  const s = await openStore(files);
+  for (let n = 2; n <= 4; n++) await s.put(acceptedEntry(n));
   let kept = 0;
-  for (const x of spoils(files)) {
-    const again = await opened(x.files, 9);
+  for (const x of corruptedCopies(files)) {
+    const again = await openStore(x.files, 9);
     const same = again.diskId === first.diskId;
     if (same) kept++;
     expect({
       what: x.what,
-      forgot: same && numberOf(again) !== 4,
+      forgot: same && acceptedNumber(again) !== 4,
       spoilt: again.isCorrupt,
     }).toEqual({
       what: x.what,
       forgot: false,
       spoilt: !same,
     });
-    const later = await opened(x.files, 10);
+    const later = await openStore(x.files, 10);
     expect({ what: x.what, disk: later.diskId, spoilt: later.isCorrupt }).toEqual({
       what: x.what,
       disk: again.diskId,
@@ -82,7 +89,7 @@
 async function oldFolder(): Promise<void> {
   const one = { key: 'k', epoch: 1, by: 'a', number: 1, value: 1 };
   const vote = { key: 'x', run: 'r1', state: 'done' };
-  const files: Files = new Map([
+  const files: DiskFiles = new Map([
     ['slot-1', oldFrame({ gen: 1, disk: 'd', cells: [] })],
     [
       'slot-0',
@@ -93,23 +100,23 @@
       }),
     ],
     ['log-1', Buffer.alloc(0)],
-    ['log-0', Buffer.concat([oldFrame(acceptedLine(5)), oldFrame({ key: 'k', learned: true })])],
+    ['log-0', Buffer.concat([oldFrame(acceptedEntry(5)), oldFrame({ key: 'k', learned: true })])],
     ['votes-1', Buffer.concat([oldFrame({ gen: 4 }), oldFrame({ vote })])],
     ['votes-0', oldFrame({ gen: 3 })],
   ]);
   for (let i = 0; i < 4; i++) {
-    const kept = (await readStoredVotes(portsOn(files))).extract() as StoredVotes;
-    const [, s] = errorOrValue(await openControlStore(portsOn(files), 1 << 20, kept));
+    const kept = (await readStoredVotes(portsWithFiles(files))).extract() as StoredVotes;
+    const [, s] = errorOrValue(await openControlStore(portsWithFiles(files), 1 << 20, kept));
     expect({
       i,
       disk: s!.diskId,
       spoilt: s!.isCorrupt,
-      number: numberOf(s!),
+      number: acceptedNumber(s!),
       learned: s!.registers.get('k')?.learned?.number,
     }).toEqual({ i, disk: 'd', spoilt: false, number: 5, learned: 5 });
-    const votes = new IdempotencyVotes(s!, portsOn(files), nobody, 1000);
+    const votes = new IdempotencyVotes(s!, portsWithFiles(files), nobody, 1000);
     await votes.start(kept);
-    expect((await votes.held({ begins: 'x' })).extract()).toMatchObject({ votes: [vote] });
+    expect((await votes.listVotes({ begins: 'x' })).extract()).toMatchObject({ votes: [vote] });
   }
   function nobody(): undefined {
     return undefined;
@@ -117,12 +124,15 @@
 }
 
 async function noVotes(): Promise<void> {
-  const files: Files = new Map();
-  const s = await opened(files);
-  await s.put(acceptedLine(1));
+  const files: DiskFiles = new Map();
+  const s = await openStore(files);
+  await s.put(acceptedEntry(1));
   for (const disk of [s.diskId, '']) {
     const [, again] = errorOrValue(
-      await openControlStore(portsOn(new Map(files), 9), 1 << 20, { disk, isCorrupt: false }),
+      await openControlStore(portsWithFiles(new Map(files), 9), 1 << 20, {
+        disk,
+        isCorrupt: false,
+      }),
     );
     expect(again!.diskId === s.diskId).toBe(disk === s.diskId);
   }
--- a/test/control/disk.test.ts
+++ b/test/control/storage-durability.test.ts
@@ -6,34 +6,43 @@
 import { dispatch } from '../../src/shared/transport/message-handlers';
 import { failure, errorOrValue, Result } from '../../src/shared/errors/errors';
 import { Ports } from '../../src/shared/ports/ports';
-import { Files, opened, portsOn, spoils, three, value } from './diskrig';
+import {
+  DiskFiles,
+  openStore,
+  portsWithFiles,
+  corruptedCopies,
+  makeThreeVoters,
+  returningValue,
+} from './storage-fixture';
 
 async function inPlace(): Promise<void> {
-  const t = await three();
+  const t = await makeThreeVoters();
   let cut = false;
   function passes(to: number): boolean {
     return !cut || to !== 1;
   }
   const owner = await t.node(0, 'a.1', passes);
-  expect((await owner.change('k', value('before'))).isRight()).toBe(true);
+  expect((await owner.change('k', returningValue('before'))).isRight()).toBe(true);
   await t.replace(2);
   cut = true;
-  expect((await owner.change('k', value('at one of the old set'))).isLeft()).toBe(true);
+  expect((await owner.change('k', returningValue('at one of the old set'))).isLeft()).toBe(true);
 }
 
 async function oneEpoch(): Promise<void> {
-  const t = await three();
+  const t = await makeThreeVoters();
   function first(to: number, type: string): boolean {
     return type === 'prepare' ? to !== 0 : to === 1 && type === 'accept';
   }
   function second(to: number, type: string): boolean {
     return to !== 1 || type.startsWith('learn');
   }
-  expect((await (await t.node(0, 'a.1', first)).change('k', value('lost'))).isLeft()).toBe(true);
+  expect((await (await t.node(0, 'a.1', first)).change('k', returningValue('lost'))).isLeft()).toBe(
+    true,
+  );
   await t.lose(0);
   const again = await t.node(0, 'a.2', second);
   for (let i = 0; i < 3; i++) await again.acquire('k');
-  expect((await again.change('k', value('acknowledged'))).isRight()).toBe(true);
+  expect((await again.change('k', returningValue('acknowledged'))).isRight()).toBe(true);
   expect([0, 1, 2].map(t.cell)).toEqual(['acknowledged', 'acknowledged', 'acknowledged']);
 }
 
@@ -52,8 +61,8 @@
 }
 
 async function toldWhenSynced(): Promise<void> {
-  const files: Files = new Map();
-  const ports = portsOn(files);
+  const files: DiskFiles = new Map();
+  const ports = portsWithFiles(files);
   let fails = false;
   let held: (() => void)[] | undefined = [];
   async function append(name: string, bytes: Uint8Array): Promise<Result<void>> {
@@ -133,27 +142,27 @@
       type,
       kept: true,
     });
-  const after = await opened(files);
+  const after = await openStore(files);
   expect(after.registers.get('k')?.learned).toEqual(change);
 }
 
 async function voteKept(): Promise<void> {
-  const files: Files = new Map();
-  const disk = await opened(files);
+  const files: DiskFiles = new Map();
+  const disk = await openStore(files);
   const voters = { now: [{ disk: disk.diskId, at: '127.10.1.1:7000' }] };
   function set(): typeof voters {
     return voters;
   }
   async function votesOn(): Promise<IdempotencyVotes> {
-    const v = new IdempotencyVotes(disk, portsOn(files), set, 1000);
-    await v.start((await readStoredVotes(portsOn(files))).extract() as StoredVotes);
+    const v = new IdempotencyVotes(disk, portsWithFiles(files), set, 1000);
+    await v.start((await readStoredVotes(portsWithFiles(files))).extract() as StoredVotes);
     return v;
   }
   const one = await votesOn();
   expect((await one.vote({ key: 'a', run: 'r1' })).extract()).toMatchObject({ run: 'r1' });
-  await one.run({ key: 'a', run: 'r1', state: 'done' });
+  await one.recordRunState({ key: 'a', run: 'r1', state: 'done' });
   await one.vote({ key: 'b', run: 'r2' });
-  await one.run({ key: 'b', run: 'r2', state: 'released' });
+  await one.recordRunState({ key: 'b', run: 'r2', state: 'released' });
   for (let i = 0; i < 4; i++) {
     const again = await votesOn();
     expect((await again.vote({ key: 'a', run: 'r3' })).extract()).toMatchObject({
@@ -166,7 +175,7 @@
   const held = [];
   for (const begins of ['a', 'b', 'c'])
     held.push(
-      ((await one.held({ begins })).extract() as { votes: { key: string }[] }).votes
+      ((await one.listVotes({ begins })).extract() as { votes: { key: string }[] }).votes
         .map(keyOf)
         .join(),
     );
@@ -178,11 +187,11 @@
   function isVotes(x: [string, unknown]): boolean {
     return x[0].startsWith('votes');
   }
-  for (const x of spoils(votesOnly)) {
+  for (const x of corruptedCopies(votesOnly)) {
     if (/emptied|gone/.test(x.what)) continue;
     expect({
       what: x.what,
-      spoilt: ((await readStoredVotes(portsOn(x.files))).extract() as StoredVotes).isCorrupt,
+      spoilt: ((await readStoredVotes(portsWithFiles(x.files))).extract() as StoredVotes).isCorrupt,
     }).toEqual({ what: x.what, spoilt: true });
   }
 }
--- a/test/control/diskrig.ts
+++ b/test/control/storage-fixture.ts
@@ -15,10 +15,10 @@
 import { makeWorld } from '../../tools/sim/simworld';
 
 /** The files of a disk, by name. */
-export type Files = Map<string, Uint8Array>;
+export type DiskFiles = Map<string, Uint8Array>;
 
 /** Ports whose disk holds these files. */
-export function portsOn(files: Files, seed = 3): Ports {
+export function portsWithFiles(files: DiskFiles, seed = 3): Ports {
   const w = makeWorld(1, false);
   const base = makeNet(w).ports(w.proc('node', '127.10.1.1'));
   async function read(name: string): Promise<Result<Uint8Array | undefined>> {
@@ -36,14 +36,14 @@
 }
 
 /** Opens the slots on these files. */
-export async function opened(files: Files, seed = 3): Promise<ControlStore> {
-  const [f, s] = errorOrValue(await openControlStore(portsOn(files, seed), 1 << 20));
+export async function openStore(files: DiskFiles, seed = 3): Promise<ControlStore> {
+  const [f, s] = errorOrValue(await openControlStore(portsWithFiles(files, seed), 1 << 20));
   expect(f).toBeUndefined();
   return s!;
 }
 
 /** Three voters on files of their own; messages pass only where `passes` says so. */
-export async function three(): Promise<{
+export async function makeThreeVoters(): Promise<{
   node: (
     i: number,
     life: string,
@@ -53,12 +53,12 @@
   lose: (i: number) => Promise<void>;
   replace: (i: number) => Promise<void>;
 }> {
-  const files: Files[] = [new Map(), new Map(), new Map()];
+  const files: DiskFiles[] = [new Map(), new Map(), new Map()];
   const slots: ControlStore[] = [];
   const acceptors: Acceptor[] = [];
   const set: Voter[] = [];
   for (const [i, x] of files.entries()) {
-    slots.push(await opened(x, i));
+    slots.push(await openStore(x, i));
     set.push({ disk: slots[i].diskId, at: String(i) });
   }
   const kept = files.map(copyOf);
@@ -87,7 +87,8 @@
       if (!passes(Number(v.at), type)) return failure(type, v.at, 'cut', 'unknown', 'timeout');
       return dispatch([acceptors[Number(v.at)]], type, body, undefined, v.at);
     }
-    for (const [k, s] of slots.entries()) acceptors[k] = new Acceptor(s, reach, portsOn(files[k]));
+    for (const [k, s] of slots.entries())
+      acceptors[k] = new Acceptor(s, reach, portsWithFiles(files[k]));
     return makeKeyOwner(slots[i], reach);
   }
   function cell(i: number): unknown {
@@ -95,22 +96,22 @@
   }
   async function lose(i: number): Promise<void> {
     files[i] = copyOf(kept[i]);
-    slots[i] = await opened(files[i], i);
+    slots[i] = await openStore(files[i], i);
   }
   async function replace(i: number): Promise<void> {
     files[i] = new Map();
-    slots[i] = await opened(files[i], i + 20);
+    slots[i] = await openStore(files[i], i + 20);
     next = set.with(i, { disk: slots[i].diskId, at: String(i) });
   }
   return { node, cell, lose, replace };
 }
 
-function copyOf(f: Files): Files {
+function copyOf(f: DiskFiles): DiskFiles {
   return new Map(f);
 }
 
 /** An operation that succeeds with this value. */
-export function value(v: string): () => Result<unknown> {
+export function returningValue(v: string): () => Result<unknown> {
   function make(): Result<unknown> {
     return Right(v);
   }
@@ -118,12 +119,12 @@
 }
 
 /** The number of the value that was learned or accepted last. */
-export function numberOf(s: ControlStore): number {
+export function acceptedNumber(s: ControlStore): number {
   return s.registers.get('k')?.accepted?.number ?? 0;
 }
 
 /** A log entry that accepts this number. */
-export function acceptedLine(n: number): Parameters<ControlStore['put']>[0] {
+export function acceptedEntry(n: number): Parameters<ControlStore['put']>[0] {
   return {
     key: 'k',
     promised: { epoch: 1, by: 'a' },
@@ -132,7 +133,7 @@
 }
 
 /** Files with one byte changed, and with one of them emptied or gone, for every file and byte. */
-export function* spoils(files: Files): Generator<{ what: string; files: Files }> {
+export function* corruptedCopies(files: DiskFiles): Generator<{ what: string; files: DiskFiles }> {
   for (const [name, bytes] of files) {
     for (let at = 0; at < bytes.length; at++) {
       const bent = Uint8Array.from(bytes);
--- a/test/control/full-disk.test.ts
+++ b/test/control/storage-full-disk.test.ts
@@ -124,7 +124,7 @@
   if (whole && !isDeepStrictEqual(whole, accepted(number, long)))
     faults.push(`holds another value at ${number}`);
   if (number < acked) faults.push(`holds ${number} where ${acked} was acknowledged`);
-  const held = (await settled(copy.w, votes.held({ begins: 'x' })))!;
+  const held = (await settled(copy.w, votes.listVotes({ begins: 'x' })))!;
   const keys = new Set<string>();
   for (const v of (held.extract() as { votes: { key: string }[] }).votes) keys.add(v.key);
   for (const key of voted) if (!keys.has(key)) faults.push(`lost the vote for ${key}`);
--- a/test/control/disk-killed.test.ts
+++ b/test/control/storage-killed-process.test.ts
@@ -9,7 +9,7 @@
 import { errorOrValue } from '../../src/shared/errors/errors';
 import { Ports } from '../../src/shared/ports/ports';
 import { Folder, makeFolder, Remainder } from '../../tools/model/disk';
-import { acceptedLine, numberOf, portsOn } from './diskrig';
+import { acceptedEntry, acceptedNumber, portsWithFiles } from './storage-fixture';
 
 const REMAINDERS: Remainder[] = ['lost', 'empty', 'torn', 'kept'];
 const MOST_SYNCS = 12;
@@ -21,7 +21,7 @@
   function schedule(_label: string, sync: () => void): void {
     if (left-- > 0) sync();
   }
-  return { ...portsOn(new Map(), life), disk: folder.port(schedule) };
+  return { ...portsWithFiles(new Map(), life), disk: folder.port(schedule) };
 }
 
 /** Starts a life as a controller does; undefined where it did not come that far. */
@@ -38,7 +38,7 @@
     const kept = (await readStoredVotes(ports)).extract() as StoredVotes;
     const [, slots] = errorOrValue(await openControlStore(ports, 1 << 20, kept));
     await new IdempotencyVotes(slots!, ports, nobody, KEEP_MS).start(kept);
-    await slots!.put(acceptedLine(life));
+    await slots!.put(acceptedEntry(life));
     return slots!;
   }
   return Promise.race([run(), turnsOf()]);
@@ -72,7 +72,7 @@
         ...what,
         disk: again!.diskId,
         spoilt: again!.isCorrupt,
-        number: numberOf(again!),
+        number: acceptedNumber(again!),
       }).toEqual({
         ...what,
         disk,
--- a/test/control/disk-torn.test.ts
+++ b/test/control/storage-torn-writes.test.ts
@@ -6,7 +6,7 @@
 import { openControlStore, ControlStore } from '../../src/control/storage/control-store';
 import { errorOrValue, Result } from '../../src/shared/errors/errors';
 import { Ports } from '../../src/shared/ports/ports';
-import { Files, numberOf, portsOn } from './diskrig';
+import { DiskFiles, acceptedNumber, portsWithFiles } from './storage-fixture';
 
 /** What becomes of one part of a write that was not synced. */
 type PartFate = 'there' | 'missing' | 'torn';
@@ -46,9 +46,12 @@
 }
 
 /** A disk that takes note of each write, with what all files hold as it begins. */
-function notingPorts(files: Files): { ports: Ports; appends: { append: Append; files: Files }[] } {
-  const ports = portsOn(files);
-  const appends: { append: Append; files: Files }[] = [];
+function notingPorts(files: DiskFiles): {
+  ports: Ports;
+  appends: { append: Append; files: DiskFiles }[];
+} {
+  const ports = portsWithFiles(files);
+  const appends: { append: Append; files: DiskFiles }[] = [];
   function append(name: string, bytes: Uint8Array): Promise<Result<void>> {
     const before = files.get(name) ?? new Uint8Array(0);
     appends.push({
@@ -63,7 +66,7 @@
 const fate = fc.constantFrom<PartFate>('there', 'missing', 'torn');
 
 async function inTheMidst(): Promise<void> {
-  const files: Files = new Map();
+  const files: DiskFiles = new Map();
   const { ports, appends } = notingPorts(files);
   const [, slots] = errorOrValue(await openControlStore(ports, 1 << 20));
   await slots!.put(largeLine(1, 10));
@@ -75,10 +78,10 @@
     const { append, files: found } = appends[at];
     const after = new Map(found);
     after.set(append.name, leftOf(append.before, append.bytes, fates));
-    const [, again] = errorOrValue(await openControlStore(portsOn(after, 9), 1 << 20));
+    const [, again] = errorOrValue(await openControlStore(portsWithFiles(after, 9), 1 << 20));
     const calls = fates.slice(0, Math.ceil(append.bytes.length / PART_BYTES));
     const isWhole = at === appends.length - 1 && calls.every(isThere);
-    expect({ at, fates, disk: again!.diskId, number: numberOf(again!) }).toEqual({
+    expect({ at, fates, disk: again!.diskId, number: acceptedNumber(again!) }).toEqual({
       at,
       fates,
       disk: slots!.diskId,
@@ -92,9 +95,9 @@
 
 /** A slot and the head of its log are written whole, over a file that is emptied first. */
 async function inTheMidstOfSlot(): Promise<void> {
-  const files: Files = new Map();
-  const ports = portsOn(files);
-  const writes: { append: Append; files: Files }[] = [];
+  const files: DiskFiles = new Map();
+  const ports = portsWithFiles(files);
+  const writes: { append: Append; files: DiskFiles }[] = [];
   function write(name: string, bytes: Uint8Array): Promise<Result<void>> {
     const append = { name, before: new Uint8Array(0), bytes: Uint8Array.from(bytes) };
     writes.push({ append, files: new Map(files) });
@@ -112,8 +115,8 @@
     const { append, files: found } = writes[at];
     const after = new Map(found);
     after.set(append.name, leftOf(append.before, append.bytes, fates));
-    const [, again] = errorOrValue(await openControlStore(portsOn(after, 9), 1 << 20));
-    expect({ at, fates, disk: again!.diskId, number: numberOf(again!) }).toEqual({
+    const [, again] = errorOrValue(await openControlStore(portsWithFiles(after, 9), 1 << 20));
+    expect({ at, fates, disk: again!.diskId, number: acceptedNumber(again!) }).toEqual({
       at,
       fates,
       disk: slots!.diskId,
--- a/tools/compatibility/stored-disks.ts
+++ b/tools/compatibility/stored-disks.ts
@@ -78,7 +78,7 @@
       const run = `run-${index}`;
       void controller.votes.vote({ key, run });
       await fleet.w.run(fleet.w.now() + 20);
-      if (state) void controller.votes.run({ key, run, state });
+      if (state) void controller.votes.recordRunState({ key, run, state });
       await fleet.w.run(fleet.w.now() + 20);
     }
 }
--- a/tools/compatibility/write-on.ts
+++ b/tools/compatibility/write-on.ts
@@ -51,14 +51,14 @@
       { key: `written-${round}`, run: 'run-1', state: 'running' },
       { key: `written-${round}-done`, run: 'run-2', state: 'done' },
     ];
-    await votes.copy(added);
+    await votes.copyVotes(added);
     const digests: Record<string, string> = {};
     for (const [name, bytes] of [...files].sort(byName)) digests[name] = digestOfBytes(bytes);
     last = JSON.parse(
       JSON.stringify({
         disk: slots.diskId,
         cells: cellsOf(slots),
-        votes: ((await votes.held({ begins: '' })).extract() as { votes: Vote[] }).votes,
+        votes: ((await votes.listVotes({ begins: '' })).extract() as { votes: Vote[] }).votes,
         digests,
       }),
     );
