--- a/src/control/consensus/accepted-versions.ts
+++ b/src/control/consensus/accepted-versions.ts
@@ -1,54 +1,74 @@
-/** Reads how far the disks of a majority have a key, without a write. */
+/**
+ * Reads which version of a key the disks of a majority have accepted, without a write.
+ */
 
 import { failure, errorOrValue, Result } from '../../shared/errors/errors';
+import { versionOf } from '../../shared/replication/delta';
 import { pollVoters } from '../../shared/transport/quorum-poll';
 import { compareVersions, VersionedValue, Version } from '../../shared/state/versions';
 import { Voter, VoterSet } from '../../shared/state/voter-set';
-import { AcceptedVersionReply, placeOnly } from './acceptor';
+import { AcceptedVersionReply, AcceptedVersionRequest } from './acceptor-messages';
 
-/** Before every place. */
-const NO_PLACE: Version = { epoch: 0, by: '', number: 0 };
+/** Before every version. */
+const NO_VERSION: Version = { epoch: 0, by: '', number: 0 };
 
-/** What the disks of a majority hold, and voters that are later than those that were polled. */
+/** What a poll of the voters gave. */
 export interface PolledVersions {
+  /** The replies of a majority. */
   accepted: Result<AcceptedVersionReply[]>;
+  /** A later voter set than the one that was polled, where a voter told of it. */
   newerVoterSet?: VersionedValue;
 }
 
-/** Polls the voters for the place that each holds of a key; `known` are the committed voters that the asker goes by. */
+/** Sends a request to a voter, under a time-out of the caller's. */
+export type RequestVoter = (voter: Voter, type: string, body: unknown) => Promise<Result<unknown>>;
+
+/**
+ * Polls the voters for the version of a key that each has accepted last. A voter that goes by a later voter set than
+ * `committedVoters` counts for no majority.
+ */
 export async function pollAcceptedVersions(
   voters: VoterSet | undefined,
-  ask: (v: Voter, type: string, body: unknown) => Promise<Result<unknown>>,
+  requestVoter: RequestVoter,
   key: string,
-  known: VersionedValue | undefined,
+  committedVoters: VersionedValue | undefined,
 ): Promise<PolledVersions> {
   if (!voters) return { accepted: failure('read', key, 'not founded', 'refused', 'not-founded') };
-  let told: VersionedValue | undefined;
+  const request: AcceptedVersionRequest = {
+    key,
+    voters: committedVoters && versionOf(committedVoters),
+  };
+  let sentVoters: VersionedValue | undefined;
 
-  async function askOne(v: Voter): Promise<Result<AcceptedVersionReply>> {
-    const body = { key, voters: placeOnly(known) };
-    const reply = (await ask(v, 'held-place', body)) as Result<AcceptedVersionReply>;
-    told = errorOrValue(reply)[1]?.voters ?? told;
-    return reply;
+  async function requestVersion(voter: Voter): Promise<Result<AcceptedVersionReply>> {
+    const result = (await requestVoter(
+      voter,
+      'held-place',
+      request,
+    )) as Result<AcceptedVersionReply>;
+    const [, reply] = errorOrValue(result);
+    sentVoters = reply?.voters ?? sentVoters;
+    return result;
   }
 
-  function counts(place: AcceptedVersionReply, v: Voter): boolean {
-    return place.disk === v.disk && !place.voters;
-  }
+  const accepted = await pollVoters(voters, requestVersion, countsForQuorum);
+  const isNewer =
+    sentVoters !== undefined && compareVersions(sentVoters, committedVoters ?? NO_VERSION) > 0;
+  return { accepted, newerVoterSet: isNewer ? sentVoters : undefined };
+}
 
-  const held = await pollVoters(voters, askOne, counts);
-  const isLater = told !== undefined && compareVersions(told, known ?? NO_PLACE) > 0;
-  return { accepted: held, newerVoterSet: isLater ? told : undefined };
+function countsForQuorum(reply: AcceptedVersionReply, voter: Voter): boolean {
+  return reply.disk === voter.disk && !reply.voters;
 }
 
-/** Whether any disk has accepted a value that is later than one. */
+/** Whether any disk has accepted a later version than the one that is known here; where none is, any accepted one is later. */
 export function hasNewerAccepted(
-  held: readonly AcceptedVersionReply[],
-  value: Version | undefined,
+  replies: readonly AcceptedVersionReply[],
+  known: Version | undefined,
 ): boolean {
-  function isLater(place: AcceptedVersionReply): boolean {
-    if (place.accepted === undefined) return false;
-    return value === undefined || compareVersions(place.accepted, value) > 0;
+  function isNewer(reply: AcceptedVersionReply): boolean {
+    if (reply.accepted === undefined) return false;
+    return known === undefined || compareVersions(reply.accepted, known) > 0;
   }
-  return held.some(isLater);
+  return replies.some(isNewer);
 }
--- a/src/control/consensus/acceptor.ts
+++ b/src/control/consensus/acceptor.ts
@@ -1,10 +1,15 @@
-/** The part of the registers that each voter's disk plays. */
+/**
+ * The acceptor and the learner: the part that each voter's disk plays in the consensus on a control key. Every reply is
+ * sent after what it says is synced.
+ *
+ * Source: L. Lamport, "Paxos Made Simple" (2001). Each key is an instance of its own, and its owner keeps the promise of
+ * one epoch for many values, which it numbers.
+ */
 
 import { Left, Right } from 'purify-ts';
-import { Delta, readDelta, shareUnchanged } from '../../shared/replication/delta';
-import { bodyField } from '../../shared/transport/body-fields';
+import { Delta, readDelta, shareUnchanged, versionOf } from '../../shared/replication/delta';
 import { HandlerResult, messageHandler } from '../../shared/transport/message-handlers';
-import { failure, errorOrValue, Result } from '../../shared/errors/errors';
+import { failure, errorOrValue } from '../../shared/errors/errors';
 import { Ports } from '../../shared/ports/ports';
 import {
   compareEpochs,
@@ -12,84 +17,55 @@
   VersionedValue,
   Version,
 } from '../../shared/state/versions';
-import { isVoter, Voter, VoterSet } from '../../shared/state/voter-set';
+import { isVoter } from '../../shared/state/voter-set';
 import { CONTROL_KEYS } from '../../shared/state/control-keys';
 import { ControlStore } from '../storage/control-store';
-
-/** How the registers reach the other voters; `by` tells this life of this node from every other. */
-export interface VoterTransport {
-  ownerId: string;
-  timeoutMs: number;
-  voters: () => VoterSet | undefined;
-  request: (v: Voter, type: string, body: unknown, within: number) => Promise<Result<unknown>>;
-  onLearned: (n: VersionedValue, before?: VersionedValue) => void;
-  learnLocally: (n: VersionedValue) => Promise<unknown>;
-}
-
-class PrepareRequest {
-  @bodyField('string') key!: string;
-  @bodyField('number') epoch!: number;
-  @bodyField('string') by!: string;
-  @bodyField('object', false) voters?: Version;
-}
-
-class AcceptRequest {
-  @bodyField('object') change!: VersionedValue;
-  @bodyField('object', false) voters?: Version;
-}
-
-class AcceptDeltaRequest {
-  @bodyField('object') delta!: Delta;
-  @bodyField('object', false) voters?: Version;
-}
-
-class LearnAcceptedRequest {
-  @bodyField('object') place!: Version & { key: string };
-}
-
-class LearnRequest {
-  @bodyField('object') change!: VersionedValue;
-}
-
-/** What a voter answers to a prepare or an accept. */
-export interface AcceptorReply {
-  ok: boolean;
-  seen: { epoch: number; by: string };
-  accepted?: VersionedValue;
-  voters?: VersionedValue;
-}
-
-/** How far a disk has a key; `voters` where the asker goes by older ones, so that its majority counts for nothing. */
-export interface AcceptedVersionReply {
-  disk: string;
-  accepted?: Version;
-  voters?: VersionedValue;
-}
-
-/** What a disk knows to be accepted: what it accepted itself, or what it learned, which a majority has accepted. */
+import { RegisterState } from '../storage/register-state';
+import { VoterTransport } from './voter-transport';
+import {
+  AcceptDeltaRequest,
+  AcceptedVersionReply,
+  AcceptedVersionRequest,
+  AcceptorReply,
+  AcceptRequest,
+  LearnAcceptedRequest,
+  LearnRequest,
+  PrepareRequest,
+} from './acceptor-messages';
+
+const NO_PROMISE = { epoch: 0, by: '' };
+
+/**
+ * The newest value that a disk knows to be accepted: what it accepted itself, or what it learned, which a majority has
+ * accepted.
+ */
 export function newestAccepted(
-  c: { accepted?: VersionedValue; learned?: VersionedValue } | undefined,
+  register: Pick<RegisterState, 'accepted' | 'learned'> | undefined,
 ): VersionedValue | undefined {
-  if (!c?.accepted || !c.learned) return c?.accepted ?? c?.learned;
-  return compareVersions(c.learned, c.accepted) > 0 ? c.learned : c.accepted;
+  if (!register?.accepted || !register.learned) return register?.accepted ?? register?.learned;
+  return compareVersions(register.learned, register.accepted) > 0
+    ? register.learned
+    : register.accepted;
 }
 
-/** The voters that are committed here, where they are later than those that another goes by. */
+/** The voter set that is committed here, where it is later than the one that the sender of a request goes by. */
 export function newerVoterSet(
-  slots: ControlStore,
+  store: ControlStore,
   sent: Version | undefined,
 ): VersionedValue | undefined {
-  const mine = slots.registers.get(CONTROL_KEYS.voters)?.learned;
-  if (!mine) return undefined;
-  return !sent || compareVersions(mine, sent) > 0 ? mine : undefined;
+  const committed = store.registers.get(CONTROL_KEYS.voters)?.learned;
+  if (!committed) return undefined;
+  return !sent || compareVersions(committed, sent) > 0 ? committed : undefined;
 }
 
-/** The place of a change without its value. */
-export function placeOnly(n: VersionedValue | undefined): Version | undefined {
-  return n && { epoch: n.epoch, by: n.by, number: n.number };
+/** Whether an acceptor must reject a value: it promised a higher epoch, or accepted a later version. */
+function isOutdated(change: VersionedValue, register: RegisterState | undefined): boolean {
+  if (!register) return false;
+  if (compareEpochs(change, register.promised) < 0) return true;
+  return register.accepted !== undefined && compareVersions(change, register.accepted) < 0;
 }
 
-/** The part of a register that each voter's disk plays. */
+/** One disk's acceptor and learner, for all control keys. */
 export class Acceptor {
   constructor(
     private readonly store: ControlStore,
@@ -101,87 +77,101 @@
     return isVoter(this.transport.voters(), this.store.diskId);
   }
 
-  /** Promises to take nothing of a lower epoch; an epoch that was promised already is not promised again. */
+  /**
+   * Promises to accept nothing of a lower epoch. An epoch that was promised once is not promised again, not even to the
+   * same owner, which may have forgotten what it accepted under it.
+   */
   @messageHandler('prepare', PrepareRequest)
-  async prepare(m: PrepareRequest): HandlerResult {
-    const later = newerVoterSet(this.store, m.voters);
-    const seen = this.store.registers.get(m.key)?.promised ?? { epoch: 0, by: '' };
-    if (later) return Right({ ok: false, seen, voters: later });
+  async prepare(request: PrepareRequest): HandlerResult {
+    const voters = newerVoterSet(this.store, request.voters);
+    const seen = this.store.registers.get(request.key)?.promised ?? NO_PROMISE;
+    if (voters) return Right<AcceptorReply>({ ok: false, seen, voters });
     if (!this.isVoting())
       return failure('prepare', this.store.diskId, 'not a voter', 'refused', 'no-voter');
-    if (m.epoch <= seen.epoch) return Right({ ok: false, seen });
-    const promised = { epoch: m.epoch, by: m.by };
-    const accepted = newestAccepted(this.store.registers.get(m.key));
-    const [f] = errorOrValue(await this.store.put({ key: m.key, promised }));
-    if (f) return Left(f);
-    return Right({ ok: true, seen: promised, accepted });
+    if (request.epoch <= seen.epoch) return Right<AcceptorReply>({ ok: false, seen });
+    const promised = { epoch: request.epoch, by: request.by };
+    const accepted = newestAccepted(this.store.registers.get(request.key));
+    const [error] = errorOrValue(await this.store.put({ key: request.key, promised }));
+    if (error) return Left(error);
+    return Right<AcceptorReply>({ ok: true, seen: promised, accepted });
   }
 
-  /** Takes a change unless a higher epoch was promised. */
+  /** Accepts a value unless a higher epoch was promised. */
   @messageHandler('accept', AcceptRequest)
-  accept(m: AcceptRequest): HandlerResult {
-    return this.acceptChange(m);
+  accept(request: AcceptRequest): HandlerResult {
+    return this.acceptChange(request);
   }
 
-  private async acceptChange(m: AcceptRequest, delta?: Delta): HandlerResult {
-    const later = newerVoterSet(this.store, m.voters);
-    const c = m.change;
-    const cell = this.store.registers.get(c.key);
-    const seen = cell?.promised ?? { epoch: 0, by: '' };
-    if (later) return Right({ ok: false, seen, voters: later });
-    if (!this.isVoting())
-      return failure('accept', this.store.diskId, 'not a voter', 'refused', 'no-voter');
-    if (compareEpochs(c, seen) < 0) return Right({ ok: false, seen });
-    if (cell?.accepted && compareVersions(c, cell.accepted) < 0) return Right({ ok: false, seen });
-    const promised = { epoch: c.epoch, by: c.by };
-    const accepted = delta ? c : { ...c, value: shareUnchanged(cell?.learned?.value, c.value) };
-    const [f] = errorOrValue(await this.store.put({ key: c.key, promised, accepted }, delta));
-    if (f) return Left(f);
-    return Right({ ok: true, seen: promised });
-  }
-
-  /** Takes a change told as the difference to what is learned here. */
+  /** Accepts a value that is sent as the delta to what is learned here; rejects it with the code `whole` where that is not its base. */
   @messageHandler('accept-delta', AcceptDeltaRequest)
-  async acceptDelta(m: AcceptDeltaRequest): HandlerResult {
-    const change = readDelta(this.store.registers.get(m.delta.key)?.learned, m.delta);
+  async acceptDelta(request: AcceptDeltaRequest): HandlerResult {
+    const { delta, voters } = request;
+    const change = readDelta(this.store.registers.get(delta.key)?.learned, delta);
     return change
-      ? this.acceptChange({ change, voters: m.voters }, m.delta)
+      ? this.acceptChange({ change, voters }, delta)
       : failure('accept', this.store.diskId, 'not the base here', 'refused', 'whole');
   }
 
-  /** Keeps as committed what was accepted at a place. */
+  private async acceptChange(request: AcceptRequest, delta?: Delta): HandlerResult {
+    const voters = newerVoterSet(this.store, request.voters);
+    const { change } = request;
+    const register = this.store.registers.get(change.key);
+    const seen = register?.promised ?? NO_PROMISE;
+    if (voters) return Right<AcceptorReply>({ ok: false, seen, voters });
+    if (!this.isVoting())
+      return failure('accept', this.store.diskId, 'not a voter', 'refused', 'no-voter');
+    if (isOutdated(change, register)) return Right<AcceptorReply>({ ok: false, seen });
+    const promised = { epoch: change.epoch, by: change.by };
+    // A value that was read over its base shares with it already.
+    const accepted = delta
+      ? change
+      : { ...change, value: shareUnchanged(register?.learned?.value, change.value) };
+    const entry = { key: change.key, promised, accepted };
+    const [error] = errorOrValue(await this.store.put(entry, delta));
+    if (error) return Left(error);
+    return Right<AcceptorReply>({ ok: true, seen: promised });
+  }
+
+  /** Learns as committed what was accepted here at a version; rejects it with the code `whole` where that is another one. */
   @messageHandler('learn-accepted', LearnAcceptedRequest)
-  async learnAccepted(m: LearnAcceptedRequest): HandlerResult {
-    const change = this.store.registers.get(m.place.key)?.accepted;
-    return change && compareVersions(change, m.place) === 0
+  async learnAccepted(request: LearnAcceptedRequest): HandlerResult {
+    const change = this.store.registers.get(request.place.key)?.accepted;
+    return change && compareVersions(change, request.place) === 0
       ? this.learn({ change })
       : failure('learn', this.store.diskId, 'not accepted here', 'refused', 'whole');
   }
 
-  /** Keeps what is committed, and carries it to the followers. */
+  /** Learns a committed value, and has it published where it is new here. */
   @messageHandler('learn', LearnRequest)
-  async learn(m: LearnRequest): HandlerResult {
-    const c = m.change;
-    const cell = this.store.registers.get(c.key);
-    const before = cell?.learned;
-    const fresh = !before || compareVersions(c, before) > 0;
-    const same = cell?.accepted && compareVersions(cell.accepted, c) === 0;
-    const [f] = errorOrValue(
-      await (fresh ? this.store.put({ key: c.key, learned: same ? true : c }) : this.store.flush()),
+  async learn({ change }: LearnRequest): HandlerResult {
+    const register = this.store.registers.get(change.key);
+    const previous = register?.learned;
+    const isNew = !previous || compareVersions(change, previous) > 0;
+    const isAccepted = register?.accepted && compareVersions(register.accepted, change) === 0;
+    const learned = isAccepted ? true : change;
+    const [error] = errorOrValue(
+      await (isNew ? this.store.put({ key: change.key, learned }) : this.store.flush()),
+    );
+    if (error) return Left(error);
+    if (isNew) this.transport.onLearned(change, previous);
+    this.ports.logger.info(
+      { step: 'learn', peer: change.by },
+      `${change.key} ${change.epoch}.${change.number}`,
     );
-    if (f) return Left(f);
-    if (fresh) this.transport.onLearned(c, before);
-    this.ports.logger.info({ step: 'learn', peer: c.by }, `${c.key} ${c.epoch}.${c.number}`);
     return Right({ disk: this.store.diskId });
   }
 
-  /** Tells how far this disk has a key: what it has accepted, or learned as accepted by a majority. It waits for no write: memory is never behind the disk. */
+  /**
+   * Tells which version of a key this disk has accepted, or learned as accepted by a majority. It waits for no write:
+   * memory is never behind the disk.
+   */
   @messageHandler('held-place')
-  async acceptedVersion(m: { key: string; voters?: Version }): HandlerResult {
-    return Right({
+  async acceptedVersion(request: AcceptedVersionRequest): HandlerResult {
+    const accepted = newestAccepted(this.store.registers.get(request.key));
+    return Right<AcceptedVersionReply>({
       disk: this.store.diskId,
-      accepted: placeOnly(newestAccepted(this.store.registers.get(m.key))),
-      voters: newerVoterSet(this.store, m.voters),
+      accepted: accepted && versionOf(accepted),
+      voters: newerVoterSet(this.store, request.voters),
     });
   }
 }
--- a/src/control/consensus/key-owner.ts
+++ b/src/control/consensus/key-owner.ts
@@ -1,281 +1,248 @@
-/** The owner's side of the registers: who changes a key, under a rising epoch. */
+/**
+ * Ownership of control keys: the owner of a key is the process whose epoch a majority promised last, and it alone
+ * changes the key until another takes it over.
+ */
 
 import { isDeepStrictEqual } from 'node:util';
 import { Left, Right } from 'purify-ts';
-import { Delta, makeDelta } from '../../shared/replication/delta';
-import { failure, errorOrValue, Result } from '../../shared/errors/errors';
-import { pollVoters } from '../../shared/transport/quorum-poll';
-import { compareVersions, VersionedValue } from '../../shared/state/versions';
-import { CONTROL_KEYS } from '../../shared/state/control-keys';
-import { Voter } from '../../shared/state/voter-set';
-import { placeOnly, AcceptorReply, VoterTransport } from './acceptor';
-import { hasNewerAccepted, pollAcceptedVersions } from './accepted-versions';
+import { errorOrValue, OperationError, Result } from '../../shared/errors/errors';
+import { VersionedValue } from '../../shared/state/versions';
 import { ControlStore } from '../storage/control-store';
+import { hasNewerAccepted } from './accepted-versions';
+import { KeyQueue } from './key-queue';
+import { Proposer } from './proposer';
+import { VoterTransport } from './voter-transport';
 
-interface Owned {
-  epoch: number;
-  current?: VersionedValue;
-}
-
-function currentOf(o: Owned): VersionedValue | undefined {
-  return o.current;
-}
+/** Computes the next value of a key from the current one, or an error that leaves the key as it is. */
+export type ComputeValue = (current: VersionedValue | undefined) => Result<unknown>;
 
-/** The owner's side: one turn at a time for each key. */
+/** The owner's side of the control keys. The calls for one key are carried out one after another. */
 export interface KeyOwner {
-  /** Makes a change; where another owner came between, it is made anew up to `tries` times if it certainly did not stand. */
+  /**
+   * Commits the value that `computeValue` gives for the current one, after the key was acquired where it was not owned. An
+   * attempt that failed is made again, up to `maxAttempts` in all, if it certainly was not committed. Errors: what
+   * `computeValue` gives, confirmed to be by the newest value; certainty `refused` where the key can't be acquired;
+   * `unknown` where the value may be committed.
+   */
   change: (
     key: string,
-    make: (now: VersionedValue | undefined) => Result<unknown>,
-    tries?: number,
+    computeValue: ComputeValue,
+    maxAttempts?: number,
   ) => Promise<Result<VersionedValue>>;
+  /** Acquires a key unless it is owned, and gives its current value. */
   acquire: (key: string) => Promise<Result<VersionedValue | undefined>>;
-  /** Takes a key anew; whatever is under way for it before counts for nothing. */
+  /** Acquires a key under a higher epoch, also where it is owned, and gives its current value, committed anew. */
   reacquire: (key: string) => Promise<Result<VersionedValue | undefined>>;
+  /** Whether this process has acquired a key and knows of no later owner. */
   owns: (key: string) => boolean;
+  /** All keys that this process owns. */
   ownedKeys: () => string[];
+  /** Gives a key up; the voters are told nothing. */
   release: (key: string) => void;
-  /** Takes note that another owns the key under an epoch. */
+  /** Notes that another process owns a key under an epoch. */
   noteNewerEpoch: (key: string, epoch: number) => void;
 }
 
-/** Makes the owner's side of the registers. */
-export function makeKeyOwner(slots: ControlStore, reach: VoterTransport): KeyOwner {
-  const owned = new Map<string, Owned>();
-  const turns = new Map<string, Promise<unknown>>();
-  const highest = new Map<string, number>();
-  /** Turns that take a key anew and have not begun. */
-  const nextAnew = new Map<string, Promise<Result<VersionedValue | undefined>>>();
-
-  function inTurn<T>(key: string, run: () => Promise<T>): Promise<T> {
-    const before = turns.get(key) ?? Promise.resolve();
-    const mine = before.then(run);
-    turns.set(key, mine);
-    return mine;
-  }
+/** A key that is owned: under which epoch, and its newest committed value. */
+interface Ownership {
+  readonly epoch: number;
+  current?: VersionedValue;
+}
 
-  function votersPlace(): VersionedValue | undefined {
-    return slots.registers.get(CONTROL_KEYS.voters)?.learned;
-  }
+/** A change as it was asked for. */
+interface ChangeRequest {
+  readonly key: string;
+  readonly computeValue: ComputeValue;
+}
 
-  function isOk(p: AcceptorReply): boolean {
-    return p.ok;
-  }
+/** A value that was proposed, and the error after which it may be committed or not. */
+interface UncertainProposal {
+  readonly number: number;
+  readonly value: unknown;
+  readonly error: OperationError;
+}
 
-  function note(key: string, got: AcceptorReply[]): void {
-    for (const p of got) {
-      if (
-        p.voters &&
-        compareVersions(p.voters, votersPlace() ?? { epoch: 0, by: '', number: 0 }) > 0
-      )
-        void slots.put({ key: CONTROL_KEYS.voters, learned: p.voters });
-      highest.set(key, Math.max(highest.get(key) ?? 0, p.seen.epoch));
-    }
-  }
+/** What became of a proposal of uncertain outcome, by the value that its key has once it is acquired anew. */
+type ProposalOutcome = 'committed' | 'not-committed' | 'superseded';
+
+function outcomeOf(
+  proposal: UncertainProposal,
+  current: VersionedValue | undefined,
+): ProposalOutcome {
+  const currentNumber = current?.number ?? 0;
+  if (currentNumber < proposal.number) return 'not-committed';
+  const isSame =
+    currentNumber === proposal.number && isDeepStrictEqual(current?.value, proposal.value);
+  return isSame ? 'committed' : 'superseded';
+}
 
-  /** Asks a voter in short, and whole where it can't go by that. */
-  async function askShort(
-    v: Voter,
-    type: string,
-    short: object | undefined,
-    wholeType: string,
-    whole: object,
-  ): Promise<Result<unknown>> {
-    if (!short) return reach.request(v, wholeType, whole, reach.timeoutMs);
-    const o = await reach.request(v, type, short, reach.timeoutMs);
-    const [f] = errorOrValue(o);
-    return f?.code === 'whole' || f?.code === 'not-known'
-      ? reach.request(v, wholeType, whole, reach.timeoutMs)
-      : o;
-  }
+function currentOf(ownership: Ownership): VersionedValue | undefined {
+  return ownership.current;
+}
 
-  async function ask(
+/** Owns keys by consensus: it acquires them by a prepare, and commits their values one after another. */
+class ConsensusKeyOwner implements KeyOwner {
+  private readonly ownerships = new Map<string, Ownership>();
+  private readonly queue = new KeyQueue();
+  /** Reacquisitions that are queued and have not begun, by key. */
+  private readonly queuedReacquisitions = new Map<
+    string,
+    Promise<Result<VersionedValue | undefined>>
+  >();
+
+  constructor(
+    private readonly proposer: Proposer,
+    private readonly ownerId: string,
+  ) {}
+
+  change(
     key: string,
-    type: string,
-    body: object,
-    delta?: Delta,
-  ): Promise<Result<AcceptorReply[]>> {
-    const voters = reach.voters();
-    if (!voters) return failure(type, reach.ownerId, 'not founded', 'refused', 'not-founded');
-    const seen: AcceptorReply[] = [];
-    const under = { voters: placeOnly(votersPlace()) };
-    const short = delta && { delta, ...under };
-    const whole = { ...body, ...under };
-    async function one(v: Voter): Promise<Result<AcceptorReply>> {
-      const r = (await askShort(v, 'accept-delta', short, type, whole)) as Result<AcceptorReply>;
-      const [, p] = errorOrValue(r);
-      if (p) seen.push(p);
-      return r;
-    }
-    const o = await pollVoters(voters, one, isOk);
-    note(key, seen);
-    return o;
+    computeValue: ComputeValue,
+    maxAttempts = 1,
+  ): Promise<Result<VersionedValue>> {
+    const attempt = this.attemptChange.bind(this, { key, computeValue }, maxAttempts);
+    return this.queue.run(key, attempt);
   }
 
-  /** Has a higher epoch promised; once more where it was refused for one, or for voters, that were not known here. */
-  async function acquire(key: string, again = true): Promise<Result<Owned>> {
-    const under = votersPlace();
-    const epoch =
-      Math.max(highest.get(key) ?? 0, slots.registers.get(key)?.promised.epoch ?? 0) + 1;
-    const [f, got] = errorOrValue(await ask(key, 'prepare', { key, epoch, by: reach.ownerId }));
-    const isNews = (highest.get(key) ?? 0) >= epoch || votersPlace() !== under;
-    if (f) return again && isNews ? acquire(key, false) : Left(f);
-    let best: VersionedValue | undefined;
-    for (const p of got)
-      if (p.accepted && (!best || compareVersions(p.accepted, best) > 0)) best = p.accepted;
-    const mine: Owned = { epoch };
-    if (best) {
-      const [g, c] = errorOrValue(await commit(key, mine, best.number, best.value));
-      if (g) return Left(g);
-      mine.current = c;
-    }
-    owned.set(key, mine);
-    return Right(mine);
+  acquire(key: string): Promise<Result<VersionedValue | undefined>> {
+    return this.queue.run(key, this.acquireCurrent.bind(this, key));
   }
 
-  async function commit(
-    key: string,
-    o: Owned,
-    number: number,
-    value: unknown,
-  ): Promise<Result<VersionedValue>> {
-    const change: VersionedValue = { key, epoch: o.epoch, by: reach.ownerId, number, value };
-    const [f] = errorOrValue(
-      await ask(key, 'accept', { change }, makeDelta(slots.registers.get(key)?.learned, change)),
-    );
-    if (f) {
-      owned.delete(key);
-      return Left({ ...f, step: `accept ${key}`, certainty: 'unknown' });
-    }
-    const voters = reach.voters()!;
-    void reach.learnLocally(change);
-    const short = { place: { key, ...placeOnly(change) } };
-    const whole = { change };
-    const [g] = errorOrValue(await pollVoters(voters, learn));
-    function learn(v: Voter): Promise<Result<unknown>> {
-      return askShort(v, 'learn-accepted', short, 'learn', whole);
-    }
-    if (g) {
-      owned.delete(key);
-      return Left({ ...g, step: `learn ${key}`, certainty: 'unknown' });
-    }
-    return Right(learnedHere(change) ?? change);
+  /** Callers that come before a queued reacquisition begins share it: what it then finds is not older than their calls. */
+  reacquire(key: string): Promise<Result<VersionedValue | undefined>> {
+    const queued = this.queuedReacquisitions.get(key);
+    if (queued) return queued;
+    const reacquisition = this.queue.run(key, this.reacquireCurrent.bind(this, key));
+    this.queuedReacquisitions.set(key, reacquisition);
+    return reacquisition;
   }
 
-  /** A change as it is kept here, where it shares with earlier versions what did not change. */
-  function learnedHere(change: VersionedValue): VersionedValue | undefined {
-    const learned = slots.registers.get(change.key)?.learned;
-    return learned && compareVersions(learned, change) === 0 ? learned : undefined;
+  owns(key: string): boolean {
+    return this.ownerships.has(key);
   }
 
-  async function ensure(key: string): Promise<Result<Owned>> {
-    const o = owned.get(key);
-    if (o) return Right(o);
-    const [f, v] = errorOrValue(await acquire(key));
-    if (f) return Left({ ...f, step: `own ${key}` });
-    return Right(v);
+  ownedKeys(): string[] {
+    return [...this.ownerships.keys()];
   }
 
-  /**
-   * Whether no disk of a majority has accepted anything later. A verdict that makes no change counts only by what a
-   * majority holds now; it is confirmed by a read, since taking the key anew would cost a majority a write each.
-   */
-  async function isStillNewest(key: string, o: Owned): Promise<boolean> {
-    const { accepted: held } = await pollAcceptedVersions(
-      reach.voters(),
-      askShortly,
-      key,
-      votersPlace(),
-    );
-    return held.isRight() && !hasNewerAccepted(held.extract(), o.current);
+  release(key: string): void {
+    this.ownerships.delete(key);
   }
 
-  function askShortly(v: Voter, type: string, body: unknown): Promise<Result<unknown>> {
-    return reach.request(v, type, body, reach.timeoutMs);
+  noteNewerEpoch(key: string, epoch: number): void {
+    this.proposer.noteEpoch(key, epoch);
+    const ownership = this.ownerships.get(key);
+    if (ownership && ownership.epoch <= epoch) this.release(key);
   }
 
-  function change(
-    key: string,
-    make: (now: VersionedValue | undefined) => Result<unknown>,
-    tries = 1,
-  ): Promise<Result<VersionedValue>> {
-    async function once(left: number): Promise<Result<VersionedValue>> {
-      const held = owned.has(key);
-      const [f, o] = errorOrValue(await ensure(key));
-      if (f) return Left({ ...f, certainty: 'refused' });
-      const [g, value] = errorOrValue(make(o.current));
-      if (g) return held && !(await isStillNewest(key, o)) ? onceAnew(left) : Left(g);
-      const number = (o.current?.number ?? 0) + 1;
-      const [h, c] = errorOrValue(await commit(key, o, number, value));
-      if (!h) {
-        o.current = c;
-        return Right(c);
-      }
-      if (left <= 1) return Left(h);
-      const [i, again] = errorOrValue(await ensure(key));
-      if (i) return Left(h);
-      const stands = again.current;
-      if (stands && stands.number === number && isDeepStrictEqual(stands.value, value))
-        return Right(stands);
-      return (stands?.number ?? 0) < number ? once(left - 1) : Left(h);
-    }
-    /** Another may own the key by now, which nothing would show here: the verdict is given on a value that is acquired for it. */
-    function onceAnew(left: number): Promise<Result<VersionedValue>> {
-      owned.delete(key);
-      return once(left);
-    }
-    function run(): Promise<Result<VersionedValue>> {
-      return once(tries);
-    }
-    return inTurn(key, run);
+  private async acquireCurrent(key: string): Promise<Result<VersionedValue | undefined>> {
+    return (await this.ensureOwnership(key)).map(currentOf);
   }
 
-  function own(key: string): Promise<Result<VersionedValue | undefined>> {
-    async function run(): Promise<Result<VersionedValue | undefined>> {
-      return (await ensure(key)).map(currentOf);
-    }
-    return inTurn(key, run);
+  private async reacquireCurrent(key: string): Promise<Result<VersionedValue | undefined>> {
+    this.queuedReacquisitions.delete(key);
+    this.release(key);
+    return (await this.ensureOwnership(key)).map(currentOf);
   }
 
-  /** Callers that come before a turn begins share it: whatever it then finds is not older than their calls. */
-  function ownAnew(key: string): Promise<Result<VersionedValue | undefined>> {
-    const waiting = nextAnew.get(key);
-    if (waiting) return waiting;
-    const next = inTurn(key, run);
-    nextAnew.set(key, next);
-    return next;
+  private async ensureOwnership(key: string): Promise<Result<Ownership>> {
+    const known = this.ownerships.get(key);
+    if (known) return Right(known);
+    const [error, acquired] = errorOrValue(await this.acquireOwnership(key));
+    return error ? Left({ ...error, step: `own ${key}` }) : Right(acquired);
+  }
 
-    async function run(): Promise<Result<VersionedValue | undefined>> {
-      nextAnew.delete(key);
-      owned.delete(key);
-      return (await ensure(key)).map(currentOf);
+  /** Has a higher epoch promised, and commits anew under it what was accepted before. */
+  private async acquireOwnership(key: string): Promise<Result<Ownership>> {
+    const [prepareError, prepared] = errorOrValue(await this.proposer.prepare(key));
+    if (prepareError) return Left(prepareError);
+    const { epoch, accepted } = prepared;
+    const ownership: Ownership = { epoch };
+    if (accepted) {
+      const { number, value } = accepted;
+      const [commitError, committed] = errorOrValue(await this.commit(key, epoch, number, value));
+      if (commitError) return Left(commitError);
+      ownership.current = committed;
     }
+    this.ownerships.set(key, ownership);
+    return Right(ownership);
   }
 
-  function owns(key: string): boolean {
-    return owned.has(key);
+  /** Commits a value; after an error another may own the key, so it is owned no more. */
+  private async commit(
+    key: string,
+    epoch: number,
+    number: number,
+    value: unknown,
+  ): Promise<Result<VersionedValue>> {
+    const change: VersionedValue = { key, epoch, by: this.ownerId, number, value };
+    const committed = await this.proposer.commit(change);
+    if (committed.isLeft()) this.release(key);
+    return committed;
   }
 
-  function ownedKeys(): string[] {
-    return [...owned.keys()];
+  private async attemptChange(
+    request: ChangeRequest,
+    attemptsLeft: number,
+  ): Promise<Result<VersionedValue>> {
+    const { key } = request;
+    const wasOwned = this.owns(key);
+    const [acquireError, ownership] = errorOrValue(await this.ensureOwnership(key));
+    if (acquireError) return Left({ ...acquireError, certainty: 'refused' });
+    const [rejection, value] = errorOrValue(request.computeValue(ownership.current));
+    if (rejection) {
+      // What was acquired just now is the newest value.
+      if (!wasOwned || (await this.isNewest(key, ownership))) return Left(rejection);
+      this.release(key);
+      return this.attemptChange(request, attemptsLeft);
+    }
+    const number = (ownership.current?.number ?? 0) + 1;
+    const [error, committed] = errorOrValue(await this.commit(key, ownership.epoch, number, value));
+    if (error) return this.resolveUncertain(request, { number, value, error }, attemptsLeft);
+    ownership.current = committed;
+    return Right(committed);
   }
 
-  function disown(key: string): void {
-    owned.delete(key);
+  /**
+   * Whether no disk of a majority has accepted anything later. An error that leaves the key as it is counts only by what a
+   * majority has accepted now. A read confirms that, since reacquiring the key would cost a majority a write each.
+   */
+  private async isNewest(key: string, ownership: Ownership): Promise<boolean> {
+    const [error, versions] = errorOrValue(await this.proposer.acceptedVersions(key));
+    return !error && !hasNewerAccepted(versions, ownership.current);
   }
 
-  function passed(key: string, epoch: number): void {
-    highest.set(key, Math.max(highest.get(key) ?? 0, epoch));
-    if ((owned.get(key)?.epoch ?? Infinity) <= epoch) owned.delete(key);
+  /** Finds out by acquiring the key anew what became of a proposal, and attempts the change again where it was not committed. */
+  private async resolveUncertain(
+    request: ChangeRequest,
+    proposal: UncertainProposal,
+    attemptsLeft: number,
+  ): Promise<Result<VersionedValue>> {
+    if (attemptsLeft <= 1) return Left(proposal.error);
+    const [error, ownership] = errorOrValue(await this.ensureOwnership(request.key));
+    if (error) return Left(proposal.error);
+    const { current } = ownership;
+    switch (outcomeOf(proposal, current)) {
+      case 'committed':
+        return Right(current!);
+      case 'not-committed':
+        return this.attemptChange(request, attemptsLeft - 1);
+      case 'superseded':
+        return Left(proposal.error);
+    }
   }
+}
 
+/** Makes the owner's side of the control keys; its methods may be passed on alone. */
+export function makeKeyOwner(store: ControlStore, transport: VoterTransport): KeyOwner {
+  const owner = new ConsensusKeyOwner(new Proposer(store, transport), transport.ownerId);
   return {
-    change,
-    acquire: own,
-    reacquire: ownAnew,
-    owns,
-    ownedKeys: ownedKeys,
-    release: disown,
-    noteNewerEpoch: passed,
+    change: owner.change.bind(owner),
+    acquire: owner.acquire.bind(owner),
+    reacquire: owner.reacquire.bind(owner),
+    owns: owner.owns.bind(owner),
+    ownedKeys: owner.ownedKeys.bind(owner),
+    release: owner.release.bind(owner),
+    noteNewerEpoch: owner.noteNewerEpoch.bind(owner),
   };
 }
--- a/src/control/consensus/linearizable-read.ts
+++ b/src/control/consensus/linearizable-read.ts
@@ -4,7 +4,7 @@
 import { CONTROL_KEYS } from '../../shared/state/control-keys';
 import { VersionedValue } from '../../shared/state/versions';
 import { Voter, VoterSet } from '../../shared/state/voter-set';
-import { AcceptedVersionReply } from './acceptor';
+import { AcceptedVersionReply } from './acceptor-messages';
 import { hasNewerAccepted, pollAcceptedVersions } from './accepted-versions';
 import { KeyOwner } from './key-owner';
 import { ControlStore } from '../storage/control-store';
--- a/src/control/controller.ts
+++ b/src/control/controller.ts
@@ -39,7 +39,8 @@
   readLinearizable,
   readIfStable,
 } from './consensus/linearizable-read';
-import { Acceptor, VoterTransport } from './consensus/acceptor';
+import { Acceptor } from './consensus/acceptor';
+import { VoterTransport } from './consensus/voter-transport';
 import { makeKeyOwner } from './consensus/key-owner';
 import { ReplicaHandlers } from './consensus/replica-sync';
 import { MembershipRequests } from './membership/membership-requests';
--- a/test/control/storage-fixture.ts
+++ b/test/control/storage-fixture.ts
@@ -3,7 +3,8 @@
  */
 
 import { Right } from 'purify-ts';
-import { Acceptor, VoterTransport } from '../../src/control/consensus/acceptor';
+import { Acceptor } from '../../src/control/consensus/acceptor';
+import { VoterTransport } from '../../src/control/consensus/voter-transport';
 import { makeKeyOwner } from '../../src/control/consensus/key-owner';
 import { openControlStore, ControlStore } from '../../src/control/storage/control-store';
 import { dispatch } from '../../src/shared/transport/message-handlers';
--- a/tools/model/mutations.ts
+++ b/tools/model/mutations.ts
@@ -2,7 +2,7 @@
 import { Right } from 'purify-ts';
 import { ChangeResult } from '../../src/control/configuration/change-coordinator';
 import { ReadDependencies } from '../../src/control/consensus/linearizable-read';
-import { VoterTransport } from '../../src/control/consensus/acceptor';
+import { VoterTransport } from '../../src/control/consensus/voter-transport';
 import { KeyOwner } from '../../src/control/consensus/key-owner';
 import { LogEntry, ControlStore } from '../../src/control/storage/control-store';
 import { OperationError, Result } from '../../src/shared/errors/errors';
--- a/tools/model/node.ts
+++ b/tools/model/node.ts
@@ -13,7 +13,8 @@
   readLinearizable,
   readIfStable,
 } from '../../src/control/consensus/linearizable-read';
-import { Acceptor, VoterTransport } from '../../src/control/consensus/acceptor';
+import { Acceptor } from '../../src/control/consensus/acceptor';
+import { VoterTransport } from '../../src/control/consensus/voter-transport';
 import { makeKeyOwner, KeyOwner } from '../../src/control/consensus/key-owner';
 import { openControlStore, ControlStore } from '../../src/control/storage/control-store';
 import { PeerChannel } from '../../src/shared/transport/connections';
