--- a/src/control/consensus/linearizable-read.ts
+++ b/src/control/consensus/linearizable-read.ts
@@ -1,79 +1,105 @@
+/**
+ * Linearizable reads of control keys, by polling a majority for the versions that it has accepted: what is read is never
+ * older than what was acknowledged before the read began.
+ */
+
 import { Left, Right } from 'purify-ts';
 import { HandlerResult, messageHandler } from '../../shared/transport/message-handlers';
 import { failure, errorOrValue, Result } from '../../shared/errors/errors';
 import { CONTROL_KEYS } from '../../shared/state/control-keys';
 import { VersionedValue } from '../../shared/state/versions';
-import { Voter, VoterSet } from '../../shared/state/voter-set';
+import { VoterSet } from '../../shared/state/voter-set';
+import { ControlStore } from '../storage/control-store';
 import { AcceptedVersionReply } from './acceptor-messages';
-import { hasNewerAccepted, pollAcceptedVersions } from './accepted-versions';
+import { hasNewerAccepted, pollAcceptedVersions, RequestVoter } from './accepted-versions';
 import { KeyOwner } from './key-owner';
-import { ControlStore } from '../storage/control-store';
 
-/** Polls of one read: a second one where the first shows that the voters are others by now. */
+/** How often one read polls the voters: a second time where the first poll shows that they were replaced. */
 const MAX_POLLS = 2;
 
-/** What a read needs of its controller; `ofOwner` asks the key's owner, wherever it is. */
+/** What a read needs of its controller. */
 export interface ReadDependencies {
   store: ControlStore;
   keyOwner: KeyOwner;
   voters: () => VoterSet | undefined;
-  requestVoter: (v: Voter, type: string, body: unknown) => Promise<Result<unknown>>;
+  requestVoter: RequestVoter;
+  /** Sends a request to the owner of a key, wherever that is. */
   requestOwner: (key: string, type: string, body: object) => Promise<Result<unknown>>;
-  /** Keeps here what is committed. */
-  learnLocally: (n: VersionedValue) => Promise<unknown>;
+  /** Learns a committed value in this process. */
+  learnLocally: (committed: VersionedValue) => Promise<unknown>;
+}
+
+/** What is known of a key once a majority was polled. */
+interface PolledKey {
+  /** The value that is learned here. */
+  learned?: VersionedValue;
+  /** Whether a later one was accepted somewhere, so that it may be committed. */
+  mayBeOutdated: boolean;
 }
 
-/** What controllers ask one another for a read. */
+/** Handles what controllers ask one another for a read. */
 export class ReadHandlers {
   constructor(private readonly dependencies: ReadDependencies) {}
 
-  /** Takes a key anew, as its owner, from what a majority holds: what was accepted is committed. */
+  /** Reacquires a key as its owner: what a majority had accepted is committed then. */
   @messageHandler('settle')
-  async reacquire(m: { key: string }): HandlerResult {
-    return this.dependencies.keyOwner.reacquire(m.key);
+  async reacquire(request: { key: string }): HandlerResult {
+    return this.dependencies.keyOwner.reacquire(request.key);
   }
 }
 
-/** Reads the places that a majority's disks hold; where a later one was accepted than is known here as committed, the owner settles it first. So what is read is never older than what was acknowledged. */
+/**
+ * Reads the newest committed value of a key; undefined where it has none. Where a later one may be committed than is
+ * known here, the owner first commits what was accepted.
+ */
 export async function readLinearizable(
-  r: ReadDependencies,
+  dependencies: ReadDependencies,
   key: string,
 ): Promise<Result<VersionedValue | undefined>> {
-  const [f, held] = errorOrValue(await pollVersions(r, key));
-  if (f) return Left(f);
-  const mine = r.store.registers.get(key)?.learned;
-  if (!hasNewerAccepted(held, mine)) return Right(mine);
-  return r.requestOwner(key, 'settle', { key }) as Promise<Result<VersionedValue | undefined>>;
+  const [error, polled] = errorOrValue(await pollKey(dependencies, key));
+  if (error) return Left(error);
+  if (!polled.mayBeOutdated) return Right(polled.learned);
+  const answer = dependencies.requestOwner(key, 'settle', { key });
+  return answer as Promise<Result<VersionedValue | undefined>>;
 }
 
-/** Reads as `readNewest` does, with a fault instead where a later place was accepted than is known here as committed: a change may be under way. */
+/**
+ * Reads as `readLinearizable` does, but gives an error with the code `unsettled` where a later value may be committed than
+ * is known here: a change may be under way.
+ */
 export async function readIfStable(
-  r: ReadDependencies,
+  dependencies: ReadDependencies,
   key: string,
 ): Promise<Result<VersionedValue | undefined>> {
-  const [f, held] = errorOrValue(await pollVersions(r, key));
-  if (f) return Left(f);
-  const mine = r.store.registers.get(key)?.learned;
-  return hasNewerAccepted(held, mine)
+  const [error, polled] = errorOrValue(await pollKey(dependencies, key));
+  if (error) return Left(error);
+  return polled.mayBeOutdated
     ? failure('read', key, 'a later change was accepted', 'unknown', 'unsettled')
-    : Right(mine);
+    : Right(polled.learned);
+}
+
+async function pollKey(dependencies: ReadDependencies, key: string): Promise<Result<PolledKey>> {
+  const [error, replies] = errorOrValue(await pollVersions(dependencies, key, MAX_POLLS));
+  if (error) return Left(error);
+  const learned = dependencies.store.registers.get(key)?.learned;
+  return Right({ learned, mayBeOutdated: hasNewerAccepted(replies, learned) });
 }
 
 async function pollVersions(
-  r: ReadDependencies,
+  dependencies: ReadDependencies,
   key: string,
-  polls = MAX_POLLS,
+  pollsLeft: number,
 ): Promise<Result<AcceptedVersionReply[]>> {
-  const known = r.store.registers.get(CONTROL_KEYS.voters)?.learned;
-  const { accepted: held, newerVoterSet: laterVoters } = await pollAcceptedVersions(
-    r.voters(),
-    r.requestVoter,
+  const { store, voters, requestVoter, learnLocally } = dependencies;
+  const committedVoters = store.registers.get(CONTROL_KEYS.voters)?.learned;
+  const { accepted, newerVoterSet } = await pollAcceptedVersions(
+    voters(),
+    requestVoter,
     key,
-    known,
+    committedVoters,
   );
-  if (laterVoters) {
-    void r.learnLocally(laterVoters);
-    if (held.isLeft() && polls > 1) return pollVersions(r, key, polls - 1);
-  }
-  return held;
+  if (!newerVoterSet) return accepted;
+  void learnLocally(newerVoterSet);
+  const isWorthRepeating = accepted.isLeft() && pollsLeft > 1;
+  return isWorthRepeating ? pollVersions(dependencies, key, pollsLeft - 1) : accepted;
 }
--- a/src/control/consensus/replica-sync.ts
+++ b/src/control/consensus/replica-sync.ts
@@ -1,3 +1,8 @@
+/**
+ * Brings voters up to date: each is told what it has not learned of all that is committed, and it is done once the
+ * voter says that its synced disk has learned that.
+ */
+
 import { Left, Right } from 'purify-ts';
 import { bodyField } from '../../shared/transport/body-fields';
 import { HandlerResult, messageHandler } from '../../shared/transport/message-handlers';
@@ -6,178 +11,200 @@
 import { VersionedValue, Version } from '../../shared/state/versions';
 import { Voter } from '../../shared/state/voter-set';
 import { isAtLeast } from '../../shared/replication/change-message';
+import { versionOf } from '../../shared/replication/delta';
 import { ControlStore } from '../storage/control-store';
 import { learnedValues } from '../storage/register-state';
+import { RequestVoter } from './accepted-versions';
 
-/** Keys that one message asks about at the most. */
+/** How many keys one message asks about. */
 const MAX_KEYS_PER_REQUEST = 256;
-/** Rounds in which voters are brought up to date at the most. */
+/** How many rounds `syncReplicas` takes. */
 const MAX_SYNC_ROUNDS = 8;
-/** Values that are on their way to a voter at once. */
+/** How many values are on their way to a voter at once. */
 const MAX_VALUES_IN_FLIGHT = 16;
 
-/** Where a key stands. */
+/** The committed version of a key. */
 interface KeyVersion extends Version {
   key: string;
 }
 
+/** Asks about committed versions; the field name is sent. */
 class VersionsRequest {
   @bodyField('list') places!: KeyVersion[];
 }
 
-/** Which of the places that it was asked about a disk has not learned. */
+/** The keys of a request that a disk has not learned; the field names are sent. */
 export interface MissingKeysReply {
   disk: string;
   lacking: string[];
 }
 
+/** How far a disk has learned some committed versions; the field names are sent. */
+export interface ReplicaProgress {
+  /** The epoch of the voter set that it has learned; 0 where it has learned none. */
+  epoch: number;
+  /** How many changes of these keys it has not learned. */
+  behind: number;
+}
+
+/** What bringing voters up to date needs of its controller. */
+export interface ReplicaSyncDependencies {
+  store: ControlStore;
+  requestVoter: RequestVoter;
+}
+
 /** Answers how far this disk has learned what is committed. */
 export class ReplicaHandlers {
   constructor(private readonly store: ControlStore) {}
 
-  /** Tells which of these places this disk has not learned; what it has learned is synced before it answers. */
+  /** Lists the keys whose given version this disk has not learned; what it has learned is synced before it answers. */
   @messageHandler('lacking', VersionsRequest)
-  async missingKeys(m: VersionsRequest): HandlerResult {
+  async missingKeys(request: VersionsRequest): HandlerResult {
     const lacking: string[] = [];
-    for (const place of m.places)
-      if (!isAtLeast(this.store.registers.get(place.key)?.learned, place)) lacking.push(place.key);
-    const [f] = errorOrValue(await this.store.flush());
-    return f ? Left(f) : Right({ disk: this.store.diskId, lacking });
+    for (const version of request.places)
+      if (!isAtLeast(this.learned(version.key), version)) lacking.push(version.key);
+    const [error] = errorOrValue(await this.store.flush());
+    if (error) return Left(error);
+    return Right<MissingKeysReply>({ disk: this.store.diskId, lacking });
   }
 
-  /** Tells how many changes before these places what this disk has learned is. */
+  /** Counts by how many changes this disk is behind the given versions. */
   @messageHandler('progress', VersionsRequest)
-  async progress(m: VersionsRequest): HandlerResult {
-    const { registers: cells } = this.store;
+  async progress(request: VersionsRequest): HandlerResult {
     let behind = 0;
-    for (const place of m.places) {
-      const learned = cells.get(place.key)?.learned;
-      if (!isAtLeast(learned, place)) behind += Math.max(1, place.number - (learned?.number ?? 0));
+    for (const version of request.places) {
+      const learned = this.learned(version.key);
+      if (isAtLeast(learned, version)) continue;
+      behind += Math.max(1, version.number - (learned?.number ?? 0));
     }
-    return Right({
-      epoch: cells.get(CONTROL_KEYS.voters)?.learned?.epoch ?? 0,
-      behind,
-    });
+    const epoch = this.learned(CONTROL_KEYS.voters)?.epoch ?? 0;
+    return Right<ReplicaProgress>({ epoch, behind });
   }
-}
 
-/** How far a disk is, as against some places. */
-export interface ReplicaProgress {
-  /** Under which epoch it has learned the voters. */
-  epoch: number;
-  /** How many changes of the keys that it was asked about it has not learned. */
-  behind: number;
+  private learned(key: string): VersionedValue | undefined {
+    return this.store.registers.get(key)?.learned;
+  }
 }
 
-/** What bringing a voter up to date needs of its controller. */
-export interface ReplicaSyncDependencies {
-  store: ControlStore;
-  requestVoter: (v: Voter, type: string, body: unknown) => Promise<Result<unknown>>;
+/**
+ * Brings a voter to have learned, on its synced disk and by its own word, all that is committed here now, and gives how
+ * many keys it had lacked. Safe to repeat: each batch that the voter took stays. Errors have the step `replicate`.
+ */
+export async function syncReplica(
+  dependencies: ReplicaSyncDependencies,
+  voter: Voter,
+): Promise<Result<number>> {
+  let lackedCount = 0;
+  for (const batch of batchesOf(learnedValues(dependencies.store.registers))) {
+    const [error, count] = errorOrValue(await syncBatch(dependencies, voter, batch));
+    if (error) return Left(error);
+    lackedCount += count;
+  }
+  return Right(lackedCount);
 }
 
-/** Brings a voter to have learned, on its synced disk and by its own word, all that is committed here now, and tells how many keys it had lacked; safe to repeat, and each batch that it took stays. */
-export async function syncReplica(p: ReplicaSyncDependencies, to: Voter): Promise<Result<number>> {
-  const committed = learnedValues(p.store.registers);
-  let lacked = 0;
-  for (let i = 0; i < committed.length; i += MAX_KEYS_PER_REQUEST) {
-    const [f, count] = errorOrValue(
-      await syncBatch(p, to, committed.slice(i, i + MAX_KEYS_PER_REQUEST)),
-    );
-    if (f) return Left(f);
-    lacked += count;
+/**
+ * Brings voters up to date until a round finds that they lack nothing, since keys may be committed anew meanwhile; after
+ * `roundsLeft` rounds the last one counts.
+ */
+export async function syncReplicas(
+  dependencies: ReplicaSyncDependencies,
+  voters: readonly Voter[],
+  roundsLeft = MAX_SYNC_ROUNDS,
+): Promise<Result<void>> {
+  let lackedCount = 0;
+  for (const voter of voters) {
+    const [error, count] = errorOrValue(await syncReplica(dependencies, voter));
+    if (error) return Left(error);
+    lackedCount += count;
   }
-  return Right(lacked);
+  if (lackedCount === 0 || roundsLeft <= 1) return Right(undefined);
+  return syncReplicas(dependencies, voters, roundsLeft - 1);
 }
 
 /** How far a voter is behind all that is learned here. */
 export async function readReplicaProgress(
-  p: ReplicaSyncDependencies,
-  of: Voter,
+  dependencies: ReplicaSyncDependencies,
+  voter: Voter,
 ): Promise<Result<ReplicaProgress>> {
-  const committed = learnedValues(p.store.registers);
-  const whole: ReplicaProgress = { epoch: 0, behind: 0 };
-  for (let i = 0; i < committed.length; i += MAX_KEYS_PER_REQUEST) {
-    const places = committed.slice(i, i + MAX_KEYS_PER_REQUEST).map(keyVersionOf);
-    const [f, part] = errorOrValue(await p.requestVoter(of, 'progress', { places }));
-    if (f) return Left(f);
-    whole.epoch = (part as ReplicaProgress).epoch;
-    whole.behind += (part as ReplicaProgress).behind;
+  const total: ReplicaProgress = { epoch: 0, behind: 0 };
+  for (const batch of batchesOf(learnedValues(dependencies.store.registers))) {
+    const request = { places: batch.map(keyVersionOf) };
+    const [error, reply] = errorOrValue(
+      (await dependencies.requestVoter(voter, 'progress', request)) as Result<ReplicaProgress>,
+    );
+    if (error) return Left(error);
+    total.epoch = reply.epoch;
+    total.behind += reply.behind;
   }
-  return Right(whole);
+  return Right(total);
 }
 
+function* batchesOf(values: readonly VersionedValue[]): Generator<readonly VersionedValue[]> {
+  for (let start = 0; start < values.length; start += MAX_KEYS_PER_REQUEST)
+    yield values.slice(start, start + MAX_KEYS_PER_REQUEST);
+}
+
+/** Sends a voter what it lacks of a batch, and gives how many keys that were. */
 async function syncBatch(
-  p: ReplicaSyncDependencies,
-  to: Voter,
+  dependencies: ReplicaSyncDependencies,
+  voter: Voter,
   batch: readonly VersionedValue[],
 ): Promise<Result<number>> {
-  const [f, missing] = errorOrValue(await missingOf(p, to, batch));
-  if (f) return Left(f);
+  const [askError, missing] = errorOrValue(await missingOf(dependencies, voter, batch));
+  if (askError) return Left(askError);
   if (missing.length === 0) return Right(0);
-  const [g] = errorOrValue(await sendValues(p, to, missing));
-  if (g) return Left(g);
-  const [h, still] = errorOrValue(await missingOf(p, to, missing));
-  if (h) return Left(h);
-  return still.length === 0
+  const [sendError] = errorOrValue(await sendValues(dependencies, voter, missing));
+  if (sendError) return Left(sendError);
+  const [confirmError, remaining] = errorOrValue(await missingOf(dependencies, voter, missing));
+  if (confirmError) return Left(confirmError);
+  return remaining.length === 0
     ? Right(missing.length)
-    : failure('replicate', to.at, `still lacks ${still[0].key}`, 'unknown', 'pending');
+    : failure('replicate', voter.at, `still lacks ${remaining[0].key}`, 'unknown', 'pending');
 }
 
+/** Which of these values a voter's disk has not learned. */
 async function missingOf(
-  p: ReplicaSyncDependencies,
-  to: Voter,
-  list: readonly VersionedValue[],
+  dependencies: ReplicaSyncDependencies,
+  voter: Voter,
+  values: readonly VersionedValue[],
 ): Promise<Result<VersionedValue[]>> {
-  const [f, r] = errorOrValue(
-    await p.requestVoter(to, 'lacking', { places: list.map(keyVersionOf) }),
+  const request = { places: values.map(keyVersionOf) };
+  const [error, reply] = errorOrValue(
+    (await dependencies.requestVoter(voter, 'lacking', request)) as Result<MissingKeysReply>,
   );
-  if (f) return Left(atStep(f));
-  const { disk, lacking } = r as MissingKeysReply;
-  if (disk !== to.disk)
-    return failure('replicate', to.at, 'another disk answers', 'refused', 'no-voter');
-  const keys = new Set(lacking);
-  function isLacking(n: VersionedValue): boolean {
-    return keys.has(n.key);
+  if (error) return Left(asReplicationError(error));
+  if (reply.disk !== voter.disk)
+    return failure('replicate', voter.at, 'another disk answers', 'refused', 'no-voter');
+  const keys = new Set(reply.lacking);
+  function isMissing(value: VersionedValue): boolean {
+    return keys.has(value.key);
   }
-  return Right(list.filter(isLacking));
+  return Right(values.filter(isMissing));
 }
 
 async function sendValues(
-  p: ReplicaSyncDependencies,
-  to: Voter,
-  list: readonly VersionedValue[],
+  dependencies: ReplicaSyncDependencies,
+  voter: Voter,
+  values: readonly VersionedValue[],
 ): Promise<Result<void>> {
   function send(change: VersionedValue): Promise<Result<unknown>> {
-    return p.requestVoter(to, 'learn', { change });
+    return dependencies.requestVoter(voter, 'learn', { change });
   }
-  for (let i = 0; i < list.length; i += MAX_VALUES_IN_FLIGHT) {
-    for (const sent of await Promise.all(list.slice(i, i + MAX_VALUES_IN_FLIGHT).map(send))) {
-      const [f] = errorOrValue(sent);
-      if (f) return Left(atStep(f));
+  for (let start = 0; start < values.length; start += MAX_VALUES_IN_FLIGHT) {
+    const inFlight = values.slice(start, start + MAX_VALUES_IN_FLIGHT).map(send);
+    for (const sent of await Promise.all(inFlight)) {
+      const [error] = errorOrValue(sent);
+      if (error) return Left(asReplicationError(error));
     }
   }
   return Right(undefined);
 }
 
-function keyVersionOf({ key, epoch, by, number }: VersionedValue): KeyVersion {
-  return { key, epoch, by, number };
-}
-
-function atStep(f: OperationError): OperationError {
-  return { ...f, step: 'replicate' };
+function keyVersionOf(value: VersionedValue): KeyVersion {
+  return { key: value.key, ...versionOf(value) };
 }
 
-/** Brings voters up to date until a round finds that they lack nothing, since keys may be committed anew meanwhile; after so many rounds the last one counts. */
-export async function syncReplicas(
-  p: ReplicaSyncDependencies,
-  voters: readonly Voter[],
-  rounds = MAX_SYNC_ROUNDS,
-): Promise<Result<void>> {
-  let lacked = 0;
-  for (const voter of voters) {
-    const [f, count] = errorOrValue(await syncReplica(p, voter));
-    if (f) return Left(f);
-    lacked += count;
-  }
-  return lacked === 0 || rounds <= 1 ? Right(undefined) : syncReplicas(p, voters, rounds - 1);
+function asReplicationError(error: OperationError): OperationError {
+  return { ...error, step: 'replicate' };
 }
--- a/src/control/consensus/voter-request.ts
+++ b/src/control/consensus/voter-request.ts
@@ -1,22 +1,26 @@
+/**
+ * Requests to the voters of other controllers.
+ */
+
 import { Left } from 'purify-ts';
 import { PeerChannel, notConnected } from '../../shared/transport/connections';
 import { Result } from '../../shared/errors/errors';
 import { requestCompressed } from '../../shared/transport/compressed-requests';
 import { Voter } from '../../shared/state/voter-set';
 
-/** What may carry whole values or long differences. */
-const COMPRESSED_TYPES = new Set(['accept', 'accept-delta', 'learn']);
+/** The requests that may carry whole values or long deltas; they are sent compressed. */
+const COMPRESSED_TYPES: ReadonlySet<string> = new Set(['accept', 'accept-delta', 'learn']);
 
-/** Asks another voter over its connection; what is long goes compressed. */
+/** Sends a request to another controller's voter over its channel, and waits for the reply up to `timeoutMs`. */
 export async function requestOtherVoter(
-  exchange: PeerChannel | undefined,
+  channel: PeerChannel | undefined,
   voter: Voter,
   type: string,
   body: unknown,
-  within: number,
+  timeoutMs: number,
 ): Promise<Result<unknown>> {
-  if (!exchange) return Left(notConnected(type, voter.at));
+  if (!channel) return Left(notConnected(type, voter.at));
   return COMPRESSED_TYPES.has(type)
-    ? requestCompressed(exchange, type, body as object, within)
-    : exchange.request(type, body, within);
+    ? requestCompressed(channel, type, body as object, timeoutMs)
+    : channel.request(type, body, timeoutMs);
 }
