--- a/src/control/storage/idempotency-votes.ts
+++ b/src/control/storage/idempotency-votes.ts
@@ -1,5 +1,7 @@
 /**
- * First-come votes for idempotency keys, synced before they are told.
+ * A voter's part in the use of idempotency keys: its disk votes for the first run that asks for a key, and a run that has
+ * the votes of a majority is the only one. Every reply is sent after what it says is synced. The field names of the
+ * messages are sent.
  */
 
 import { Right } from 'purify-ts';
@@ -8,189 +10,121 @@
 import { failure, errorOrValue, Result } from '../../shared/errors/errors';
 import { Ports } from '../../shared/ports/ports';
 import { isVoter, VoterSet } from '../../shared/state/voter-set';
-import { encodeFrame, encodeFrames } from './frames';
-import { GroupCommit, makeGroupCommit, awaitFirstWrite } from './group-commit';
 import { ControlStore } from './control-store';
-import { RunState, Vote, VOTE_FILE_INDEXES, StoredVotes, toVoteEntry } from './vote-files';
+import { RunState, StoredVoteEntry, Vote, StoredVotes } from './vote-files';
+import { VoteLog } from './vote-log';
+import { VoteTable } from './vote-table';
 
+/** How many votes one reply carries; an asker that sets `some` gets none where there are more. */
+const MAX_VOTES_PER_REPLY = 500;
+
+/** Asks for the vote for a key. */
 class VoteRequest {
   @bodyField('string') key!: string;
   @bodyField('string') run!: string;
 }
 
+/** Asks for all votes whose keys begin with a prefix. */
 class ListVotesRequest {
   @bodyField('string') begins!: string;
   @bodyField('boolean', false) some?: boolean;
 }
 
-/** Votes that one message carries well. */
-const MAX_VOTES_PER_REPLY = 500;
-
+/** Tells what became of the run that holds a key; `released` where it certainly never ran. */
 class RunStateNotice {
   @bodyField('string') key!: string;
   @bodyField('string') run!: string;
   @bodyField('string') state!: RunState | 'released';
 }
 
-/** First-come votes for idempotency keys, synced before they are told; three files written in turn. */
+/** One disk's votes for idempotency keys. */
 export class IdempotencyVotes {
-  private now = new Map<string, Vote>();
-  private before = new Map<string, Vote>();
-  private file = 0;
-  private gen = 0;
-  private turnedAt: number;
-  private torn = false;
-  private syncRead?: () => Promise<Result<void>>;
-  private readonly group: GroupCommit<object>;
+  private readonly table = new VoteTable();
+  private readonly log: VoteLog;
 
+  /** A vote is kept for at least `keepMs`. */
   constructor(
-    private readonly slots: ControlStore,
-    private readonly ports: Ports,
+    private readonly store: ControlStore,
+    ports: Ports,
     private readonly voters: () => VoterSet | undefined,
-    private readonly keep: number,
+    keepMs: number,
   ) {
-    this.turnedAt = ports.clock.now();
-    this.group = makeGroupCommit(this.writeBatch.bind(this), this.isTorn.bind(this));
-  }
-
-  private isTorn(): boolean {
-    return this.torn;
+    this.log = new VoteLog(ports, store.diskId, this.table, keepMs);
   }
 
-  /** Takes what this disk had kept and starts a new file, so that a torn tail is never written on; a disk that takes no write `within` a time is written as soon as it does. */
-  async start(kept: StoredVotes, within = Infinity): Promise<void> {
-    if (kept.isLegacy || kept.disk === this.slots.diskId)
-      for (const vote of kept.votes) this.now.set(vote.key, vote);
-    this.file = kept.fileIndex;
-    this.gen = kept.generation;
-    this.torn = true;
-    this.syncRead = kept.sync;
-    await awaitFirstWrite(this.ports, within, 'open votes', this.group.flush());
-    if (this.torn && within !== Infinity) void this.writeUntilFit(within);
-  }
-
-  /** Writes the first file again and again: without one, a disk that holds control keys counts as a new one. */
-  private async writeUntilFit(pause: number): Promise<void> {
-    while (this.torn) {
-      await this.ports.clock.sleep(pause);
-      await this.group.flush();
-    }
+  /**
+   * Takes over the votes that this disk had stored, and begins a new file. A disk that takes no write within
+   * `firstWriteTimeoutMs` is written as soon as it does.
+   */
+  async start(stored: StoredVotes, firstWriteTimeoutMs = Infinity): Promise<void> {
+    if (stored.isLegacy || stored.disk === this.store.diskId)
+      for (const vote of stored.votes) this.table.set(vote);
+    await this.log.start(stored, firstWriteTimeoutMs);
   }
 
   /** Whether this disk has taken a file of votes, and all that was written since. */
   isWritable(): boolean {
-    return !this.torn;
-  }
-
-  /** Writes the next file: its head with the first of the carried votes, then the rest of them, each synced. */
-  private async turn(carried: Map<string, Vote>): Promise<Result<void>> {
-    const synced = (await this.syncRead?.()) ?? Right(undefined);
-    if (synced.isLeft()) return synced;
-    const to = (this.file + 1) % VOTE_FILE_INDEXES.length;
-    const head = encodeFrame({ gen: this.gen + 1, disk: this.slots.diskId });
-    const [first, ...rest] = encodeFrames([...carried.values()].map(toVoteEntry));
-    let written = await this.ports.disk.write(`votes-${to}`, Buffer.concat([head, first]));
-    for (const bytes of rest)
-      if (written.isRight()) written = await this.ports.disk.append(`votes-${to}`, bytes);
-    if (written.isLeft()) return written;
-    this.file = to;
-    this.gen++;
-    this.turnedAt = this.ports.clock.now();
-    return Right(undefined);
-  }
-
-  private async append(lines: object[]): Promise<Result<void>> {
-    for (const bytes of encodeFrames(lines)) {
-      const o = await this.ports.disk.append(`votes-${this.file}`, bytes);
-      if (o.isLeft()) return o;
-    }
-    return Right(undefined);
-  }
-
-  private find(key: string): Vote | undefined {
-    return this.now.get(key) ?? this.before.get(key);
-  }
-
-  private async writeBatch(lines: object[]): Promise<Result<void>> {
-    if (this.torn) {
-      const o = await this.turn(new Map([...this.before, ...this.now]));
-      this.torn = o.isLeft();
-      if (this.torn) return o;
-    }
-    if (this.ports.clock.now() - this.turnedAt > this.keep) {
-      const o = await this.turn(new Map());
-      if (o.isLeft()) {
-        this.torn = true;
-        return o;
-      }
-      this.before = this.now;
-      this.now = new Map();
-    }
-    if (lines.length === 0) return Right(undefined);
-    const o = await this.append(lines);
-    if (o.isLeft()) this.torn = true;
-    return o;
+    return this.log.isWritable();
   }
 
   /** Gives this disk's vote to the first run that asks; later ones are told which run has it. */
   @messageHandler('vote', VoteRequest)
-  async vote(m: VoteRequest): HandlerResult {
-    if (!isVoter(this.voters(), this.slots.diskId))
-      return failure('vote', this.slots.diskId, 'not a voter', 'refused', 'no-voter');
-    const have = this.find(m.key);
-    const vote: Vote = have ?? { key: m.key, run: m.run, state: 'running' };
-    if (!have) this.now.set(m.key, vote);
-    const [f] = errorOrValue(await (have ? this.group.flush() : this.group.add({ vote })));
-    if (f) return failure('vote', this.slots.diskId, f.reason, 'failed', f.code);
-    return Right({ disk: this.slots.diskId, run: vote.run, state: vote.state });
+  async vote(request: VoteRequest): HandlerResult {
+    const { key, run } = request;
+    if (!isVoter(this.voters(), this.store.diskId))
+      return failure('vote', this.store.diskId, 'not a voter', 'refused', 'no-voter');
+    const given = this.table.get(key);
+    const vote: Vote = given ?? { key, run, state: 'running' };
+    if (!given) this.table.set(vote);
+    const [error] = errorOrValue(await (given ? this.log.flush() : this.log.append({ vote })));
+    if (error) return failure('vote', this.store.diskId, error.reason, 'failed', error.code);
+    return Right({ disk: this.store.diskId, run: vote.run, state: vote.state });
   }
 
-  /** Takes what became of a run; one that certainly never ran gives its key back. */
+  /** Records what became of a run; one that certainly never ran gives its key back. A run without the vote changes nothing. */
   @messageHandler('run', RunStateNotice)
-  async recordRunState(m: RunStateNotice): HandlerResult {
-    const have = this.find(m.key);
-    if (have && have.run !== m.run) return Right({ disk: this.slots.diskId });
-    if (m.state === 'released') {
-      this.now.delete(m.key);
-      this.before.delete(m.key);
-      return this.told({ gone: m.key });
+  async recordRunState(notice: RunStateNotice): HandlerResult {
+    const { key, run, state } = notice;
+    const given = this.table.get(key);
+    if (given && given.run !== run) return Right({ disk: this.store.diskId });
+    if (state === 'released') {
+      this.table.delete(key);
+      return this.recordEntry({ gone: key });
     }
-    const vote: Vote = { key: m.key, run: m.run, state: m.state };
-    this.now.set(m.key, vote);
-    return this.told({ vote });
+    const vote: Vote = { key, run, state };
+    this.table.set(vote);
+    return this.recordEntry({ vote });
   }
 
-  private async told(line: object): HandlerResult {
-    const [f] = errorOrValue(await this.group.add(line));
-    return f
-      ? failure('note run', this.slots.diskId, f.reason, 'failed', f.code)
-      : Right({ disk: this.slots.diskId });
+  private async recordEntry(entry: StoredVoteEntry): HandlerResult {
+    const [error] = errorOrValue(await this.log.append(entry));
+    return error
+      ? failure('note run', this.store.diskId, error.reason, 'failed', error.code)
+      : Right({ disk: this.store.diskId });
   }
 
-  /** Gives a pile of what a disk that is to become a voter must hold: the votes whose key begins so, and the names of the control keys; an asker who wants some only is told where there are more. */
+  /** Lists what a disk that is to become a voter must hold: the votes whose keys begin with a prefix, and the names of the control keys. */
   @messageHandler('held', ListVotesRequest)
-  async listVotes(m: ListVotesRequest): HandlerResult {
-    const votes: Vote[] = [];
-    for (const kept of [this.before, this.now])
-      for (const v of kept.values()) if (v.key.startsWith(m.begins)) votes.push(v);
-    const keys = [...this.slots.registers.keys()];
-    return Right(
-      m.some && votes.length > MAX_VOTES_PER_REPLY
-        ? { disk: this.slots.diskId, votes: [], keys, more: true }
-        : { disk: this.slots.diskId, votes, keys },
-    );
+  async listVotes(request: ListVotesRequest): HandlerResult {
+    const disk = this.store.diskId;
+    const votes = this.table.withPrefix(request.begins);
+    const keys = [...this.store.registers.keys()];
+    return request.some && votes.length > MAX_VOTES_PER_REPLY
+      ? Right({ disk, votes: [], keys, more: true })
+      : Right({ disk, votes, keys });
   }
 
-  /** Takes votes that the old set had given; those that stand here stay. */
+  /** Takes over votes that the old voter set had given; those that this disk has given itself stay. */
   @messageHandler('copy')
   async copyVotes(votes: Vote[]): HandlerResult {
     const writes: Promise<Result<void>>[] = [];
-    for (const v of votes) {
-      if (this.find(v.key)) continue;
-      this.now.set(v.key, v);
-      writes.push(this.group.add({ vote: v }));
+    for (const vote of votes) {
+      if (this.table.get(vote.key)) continue;
+      this.table.set(vote);
+      writes.push(this.log.append({ vote }));
     }
-    for (const o of await Promise.all([...writes, this.group.flush()])) if (o.isLeft()) return o;
-    return Right({ disk: this.slots.diskId });
+    const results = await Promise.all([...writes, this.log.flush()]);
+    for (const result of results) if (result.isLeft()) return result;
+    return Right({ disk: this.store.diskId });
   }
 }
--- a/src/control/storage/register-state.ts
+++ b/src/control/storage/register-state.ts
@@ -1,14 +1,22 @@
+/**
+ * The registers of the control keys: what an acceptor must remember of each, the changes of that, and the stored form of
+ * both. The field names of the stored forms stay.
+ */
+
 import { Delta, makeDelta, readDelta } from '../../shared/replication/delta';
 import { compareVersions, VersionedValue } from '../../shared/state/versions';
 
 /** What a disk holds of one control key. */
 export interface RegisterState {
+  /** The epoch that was promised last, and its owner. */
   promised: { epoch: number; by: string };
+  /** The value that was accepted last. */
   accepted?: VersionedValue;
+  /** The newest value that is known to be committed. */
   learned?: VersionedValue;
 }
 
-/** One change of one key; `learned: true` is what was accepted. */
+/** A change of one register; `learned: true` stands for what is accepted. */
 export interface LogEntry {
   key: string;
   promised?: { epoch: number; by: string };
@@ -16,7 +24,7 @@
   learned?: VersionedValue | true;
 }
 
-/** A line as the log stores it: a long value as its difference to what the key has learned by then. */
+/** A log entry as it is stored: a long value as the delta to what its key has learned by then. */
 export interface StoredLogEntry {
   key: string;
   promised?: { epoch: number; by: string };
@@ -26,83 +34,88 @@
   learnedDelta?: Delta;
 }
 
-/** A cell as a slot stores it: `learned: true` where that is what was accepted. */
+/** A register as a snapshot stores it: `learned: true` where that is what was accepted. */
 export interface StoredRegisterState {
   promised: { epoch: number; by: string };
   accepted?: VersionedValue;
   learned?: VersionedValue | true;
 }
 
-/** Applies one line to the cells. */
-export function applyLogEntry(cells: Map<string, RegisterState>, l: LogEntry): void {
-  const c = cells.get(l.key) ?? { promised: { epoch: 0, by: '' } };
-  if (l.promised) c.promised = l.promised;
-  if (l.accepted) c.accepted = l.accepted;
-  if (l.learned) c.learned = l.learned === true ? c.accepted : l.learned;
-  cells.set(l.key, c);
+/** Applies an entry to the registers. */
+export function applyLogEntry(registers: Map<string, RegisterState>, entry: LogEntry): void {
+  const register = registers.get(entry.key) ?? { promised: { epoch: 0, by: '' } };
+  if (entry.promised) register.promised = entry.promised;
+  if (entry.accepted) register.accepted = entry.accepted;
+  if (entry.learned) register.learned = entry.learned === true ? register.accepted : entry.learned;
+  registers.set(entry.key, register);
 }
 
-/** All values that are learned in some cells. */
-export function learnedValues(cells: ReadonlyMap<string, RegisterState>): VersionedValue[] {
+/** All values that are learned in some registers. */
+export function learnedValues(registers: ReadonlyMap<string, RegisterState>): VersionedValue[] {
   const values: VersionedValue[] = [];
-  for (const cell of cells.values()) if (cell.learned) values.push(cell.learned);
+  for (const { learned } of registers.values()) if (learned) values.push(learned);
   return values;
 }
 
-/** Copies cells, so that lines applied to the copy leave these as they are. */
+/** Copies registers, so that entries applied to the copy leave these as they are. */
 export function copyRegisters(
-  cells: ReadonlyMap<string, RegisterState>,
+  registers: ReadonlyMap<string, RegisterState>,
 ): Map<string, RegisterState> {
   const copy = new Map<string, RegisterState>();
-  for (const [key, c] of cells) copy.set(key, { ...c });
+  for (const [key, register] of registers) copy.set(key, { ...register });
   return copy;
 }
 
-/** The stored form of a line for a key that has learned `base` by then; `delta` is the difference of its accepted value, where that is known already. */
+/**
+ * The stored form of an entry for a key that has learned `base` by then; `acceptedDelta` is the delta of its accepted
+ * value, where that is known already.
+ */
 export function encodeLogEntry(
-  l: LogEntry,
+  entry: LogEntry,
   base: VersionedValue | undefined,
-  delta?: Delta,
+  acceptedDelta?: Delta,
 ): StoredLogEntry {
-  const stored: StoredLogEntry = { key: l.key };
-  if (l.promised) stored.promised = l.promised;
-  if (l.accepted) {
-    const short = delta ?? makeDelta(base, l.accepted);
-    if (short) stored.acceptedDelta = short;
-    else stored.accepted = l.accepted;
+  const stored: StoredLogEntry = { key: entry.key };
+  if (entry.promised) stored.promised = entry.promised;
+  if (entry.accepted) {
+    const delta = acceptedDelta ?? makeDelta(base, entry.accepted);
+    if (delta) stored.acceptedDelta = delta;
+    else stored.accepted = entry.accepted;
   }
-  if (l.learned) {
-    const short = l.learned === true ? undefined : makeDelta(base, l.learned);
-    if (short) stored.learnedDelta = short;
-    else stored.learned = l.learned;
+  if (entry.learned) {
+    const delta = entry.learned === true ? undefined : makeDelta(base, entry.learned);
+    if (delta) stored.learnedDelta = delta;
+    else stored.learned = entry.learned;
   }
   return stored;
 }
 
-/** Whether a stored line needs what its key has learned before. */
-export function hasDelta(s: StoredLogEntry): boolean {
-  return s.acceptedDelta !== undefined || s.learnedDelta !== undefined;
+/** Whether a stored entry can be read only over what its key has learned before. */
+export function hasDelta(stored: StoredLogEntry): boolean {
+  return stored.acceptedDelta !== undefined || stored.learnedDelta !== undefined;
 }
 
-/** Reads a stored line over the cells as all lines before it left them; undefined where a difference does not fit. */
+/** Reads a stored entry over the registers as all entries before it left them; undefined where a delta does not fit. */
 export function decodeLogEntry(
-  cells: ReadonlyMap<string, RegisterState>,
-  s: StoredLogEntry,
+  registers: ReadonlyMap<string, RegisterState>,
+  stored: StoredLogEntry,
 ): LogEntry | undefined {
-  const base = cells.get(s.key)?.learned;
-  const accepted = s.acceptedDelta ? readDelta(base, s.acceptedDelta) : s.accepted;
-  const learned = s.learnedDelta ? readDelta(base, s.learnedDelta) : s.learned;
-  if ((s.acceptedDelta && !accepted) || (s.learnedDelta && !learned)) return undefined;
-  return { key: s.key, promised: s.promised, accepted, learned };
+  const { key, promised, acceptedDelta, learnedDelta } = stored;
+  const base = registers.get(key)?.learned;
+  const accepted = acceptedDelta ? readDelta(base, acceptedDelta) : stored.accepted;
+  const learned = learnedDelta ? readDelta(base, learnedDelta) : stored.learned;
+  if ((acceptedDelta && !accepted) || (learnedDelta && !learned)) return undefined;
+  return { key, promised, accepted, learned };
 }
 
-/** The stored form of a cell. */
-export function encodeRegister(c: RegisterState): StoredRegisterState {
-  const same = c.accepted && c.learned && compareVersions(c.accepted, c.learned) === 0;
-  return { ...c, learned: same ? true : c.learned };
+/** The stored form of a register. */
+export function encodeRegister(register: RegisterState): StoredRegisterState {
+  const { accepted, learned } = register;
+  const isSame = accepted && learned && compareVersions(accepted, learned) === 0;
+  return { ...register, learned: isSame ? true : learned };
 }
 
-/** Reads a stored cell. */
-export function decodeRegister(s: StoredRegisterState): RegisterState {
-  return { ...s, learned: s.learned === true ? s.accepted : s.learned };
+/** Reads a stored register. */
+export function decodeRegister(stored: StoredRegisterState): RegisterState {
+  return { ...stored, learned: stored.learned === true ? stored.accepted : stored.learned };
 }
--- /dev/null
+++ b/src/control/storage/store-recovery.ts
@@ -0,0 +1,168 @@
+/**
+ * What the files of a control store hold, as pure functions of their decoded frames: two snapshots that are written in
+ * turn, and behind each a write-ahead log of what changed since.
+ */
+
+import { DecodedFrames } from './frames';
+import {
+  applyLogEntry,
+  decodeLogEntry,
+  decodeRegister,
+  RegisterState,
+  StoredLogEntry,
+  StoredRegisterState,
+} from './register-state';
+
+/** A snapshot as a slot stores it. */
+export interface StoredSnapshot {
+  /** Counts the snapshots of a disk; the log behind one begins with the same count. */
+  gen: number;
+  disk: string;
+  /** The voter set that the node agreed to at the bootstrap. */
+  founding?: unknown;
+  /** Whether the disk has lost synced data once. */
+  spoilt?: boolean;
+  cells: [string, StoredRegisterState][];
+}
+
+/** The first frame of a log. */
+export interface StoredLogHeader {
+  gen: number;
+}
+
+/** A log entry that records the bootstrap. */
+export interface StoredBootstrap {
+  founding: unknown;
+}
+
+/** What a control store keeps beside its registers. */
+export interface StoreState {
+  /** The count of the newest snapshot; 0 before the first. */
+  readonly generation: number;
+  readonly diskId: string;
+  /** The voter set that the node agreed to at the bootstrap. */
+  readonly bootstrapVoterSet?: unknown;
+  /** Whether the disk has lost synced data once, so that it counts as a new one. */
+  readonly isCorrupt?: boolean;
+}
+
+/** What was read from a disk that has files. */
+export interface RecoveredStore {
+  state: StoreState;
+  registers: Map<string, RegisterState>;
+  /** Whether synced data is gone. */
+  hasLostData: boolean;
+  /** Whether version 0.1 wrote the snapshot. */
+  isLegacy: boolean;
+}
+
+/** What the replay of a log gave. */
+interface Replay {
+  bootstrapVoterSet: unknown;
+  /** Whether each delta had its base. */
+  isComplete: boolean;
+}
+
+/**
+ * Recovers the newest complete snapshot, then its log, then the next log where the snapshot before that can't be read.
+ * Undefined for a disk without files.
+ */
+export function recoverStore(
+  slots: readonly DecodedFrames[],
+  logs: readonly DecodedFrames[],
+): RecoveredStore | undefined {
+  const snapshots = slots.map(snapshotOf);
+  const index = (snapshots[0]?.gen ?? 0) > (snapshots[1]?.gen ?? 0) ? 0 : 1;
+  const snapshot = snapshots[index];
+  if (!snapshot) return hasTraces(slots, logs) ? withoutSnapshot() : undefined;
+  const isLegacy = slots[index].isLegacy === true;
+  const log = logs[index];
+  const nextLog = logs[1 - index];
+  const registers = decodeRegisters(snapshot);
+  let replay = replayLog(registers, log, snapshot.founding);
+  let hasLostData =
+    !replay.isComplete || (!isLegacy && (generationOf(log) !== snapshot.gen || log.isCorrupt));
+  if (!snapshots[1 - index] && !isLegacy) {
+    const isNextGeneration = generationOf(nextLog) === snapshot.gen + 1;
+    if (isNextGeneration && !hasLostData) {
+      replay = replayLog(registers, nextLog, replay.bootstrapVoterSet);
+      hasLostData = !replay.isComplete;
+    }
+    // A log is written on only after the one before it is complete.
+    const isGapBetween = isNextGeneration && log.isTorn && nextLog.values.length > 1;
+    hasLostData ||= nextLog.isCorrupt || isGapBetween;
+  }
+  const state = stateOf(snapshot, replay.bootstrapVoterSet);
+  return { state, registers, hasLostData, isLegacy };
+}
+
+function snapshotOf(slot: DecodedFrames): StoredSnapshot | undefined {
+  return slot.values[0] as StoredSnapshot | undefined;
+}
+
+function stateOf(snapshot: StoredSnapshot, bootstrapVoterSet: unknown): StoreState {
+  return {
+    generation: snapshot.gen,
+    diskId: snapshot.disk,
+    bootstrapVoterSet,
+    isCorrupt: snapshot.spoilt,
+  };
+}
+
+function decodeRegisters(snapshot: StoredSnapshot): Map<string, RegisterState> {
+  const registers = new Map<string, RegisterState>();
+  for (const [key, stored] of snapshot.cells) registers.set(key, decodeRegister(stored));
+  return registers;
+}
+
+/** Whether files without a readable snapshot hold anything that was written after a first one. */
+function hasTraces(slots: readonly DecodedFrames[], logs: readonly DecodedFrames[]): boolean {
+  return (
+    slots[0].isTorn || slots[0].isCorrupt || logs[0].values.length > 1 || logs[1].values.length > 1
+  );
+}
+
+/** A disk that has files but no snapshot that can be read. */
+function withoutSnapshot(): RecoveredStore {
+  return {
+    state: { generation: 0, diskId: '' },
+    registers: new Map(),
+    hasLostData: true,
+    isLegacy: false,
+  };
+}
+
+/** The generation of the snapshot that a log follows; 0 where its header can't be read, or has none. */
+function generationOf(log: DecodedFrames): number {
+  if (log.isLegacy) return 0;
+  return (log.values[0] as Partial<StoredLogHeader> | undefined)?.gen ?? 0;
+}
+
+/** The entries of a log in order; version 0.1 wrote them one by one and without a header. */
+function* entriesOf(log: DecodedFrames): Generator<StoredLogEntry | StoredBootstrap> {
+  const batches = log.isLegacy ? [log.values] : log.values.slice(1);
+  for (const batch of batches as (StoredLogEntry | StoredBootstrap)[][]) yield* batch;
+}
+
+function isBootstrap(entry: StoredLogEntry | StoredBootstrap): entry is StoredBootstrap {
+  return (entry as Partial<StoredBootstrap>).founding !== undefined;
+}
+
+/** Applies a log to the registers, up to the first entry whose delta has no base. */
+function replayLog(
+  registers: Map<string, RegisterState>,
+  log: DecodedFrames,
+  bootstrapBefore: unknown,
+): Replay {
+  let bootstrapVoterSet = bootstrapBefore;
+  for (const stored of entriesOf(log)) {
+    if (isBootstrap(stored)) {
+      bootstrapVoterSet = stored.founding;
+      continue;
+    }
+    const entry = decodeLogEntry(registers, stored);
+    if (!entry) return { bootstrapVoterSet, isComplete: false };
+    applyLogEntry(registers, entry);
+  }
+  return { bootstrapVoterSet, isComplete: true };
+}
--- /dev/null
+++ b/src/control/storage/store-writer.ts
@@ -0,0 +1,180 @@
+/**
+ * The writer of a control store's files: it appends entries to the log of the newest snapshot, and begins the next
+ * snapshot once the log is long or a write has failed.
+ */
+
+import { Left, Right } from 'purify-ts';
+import { failure, errorOrValue, Result } from '../../shared/errors/errors';
+import { Ports } from '../../shared/ports/ports';
+import { encodeFrame, encodeFrames } from './frames';
+import { GroupCommit } from './group-commit';
+import {
+  applyLogEntry,
+  copyRegisters,
+  encodeRegister,
+  hasDelta,
+  LogEntry,
+  RegisterState,
+  StoredLogEntry,
+  StoredRegisterState,
+} from './register-state';
+import { StoreState, StoredBootstrap, StoredLogHeader, StoredSnapshot } from './store-recovery';
+import { SyncedReader } from './synced-read';
+
+/** How many deltas a log holds before the next snapshot, since each is applied anew at the start. */
+const MAX_DELTAS_PER_LOG = 64;
+
+/** An entry on its way to the log: of a register, or of the bootstrap. */
+type PendingEntry =
+  { stored: StoredLogEntry; entry: LogEntry } | { stored: StoredBootstrap; entry?: undefined };
+
+/** What a writer begins with, as it was read. */
+export interface StoreWriterOptions {
+  ports: Ports;
+  /** By which the files were read; what it read is synced before the first snapshot. */
+  reader: SyncedReader;
+  state: StoreState;
+  registers: ReadonlyMap<string, RegisterState>;
+  /** Whether version 0.1 wrote the snapshot; the first one is then written to both slots, so that none of it is left. */
+  isLegacy: boolean;
+  /** The length of a log after which the next snapshot is written, in bytes. */
+  maxLogBytes: number;
+}
+
+/** Writes the two slots and their logs in turn; entries that arrive during a write share the next one. */
+export class StoreWriter {
+  private state: StoreState;
+  /** The registers as the files give them: without the entries that wait for the log. */
+  private readonly written: Map<string, RegisterState>;
+  private readonly group: GroupCommit<PendingEntry>;
+  private isLegacy: boolean;
+  private logBytes = 0;
+  private deltaCount = 0;
+  /** Whether the log can't be appended to: nothing was written yet, or a write failed. */
+  private needsSnapshot = true;
+
+  constructor(private readonly options: StoreWriterOptions) {
+    this.state = options.state;
+    this.isLegacy = options.isLegacy;
+    this.written = copyRegisters(options.registers);
+    this.group = new GroupCommit(this.writeBatch.bind(this), this.isBehind.bind(this));
+  }
+
+  /** Appends an entry in its stored form, and returns once it is synced. */
+  append(entry: LogEntry, stored: StoredLogEntry): Promise<Result<void>> {
+    return this.group.add({ entry, stored });
+  }
+
+  /** Records the voter set of the bootstrap, and returns once it is synced. */
+  recordBootstrap(voterSet: unknown): Promise<Result<void>> {
+    this.state = { ...this.state, bootstrapVoterSet: voterSet };
+    return this.group.add({ stored: { founding: voterSet } });
+  }
+
+  /** The voter set of the bootstrap, also before it is synced. */
+  bootstrapVoterSet(): unknown {
+    return this.state.bootstrapVoterSet;
+  }
+
+  /** Returns once all that was appended before is synced; tries again where a write failed. */
+  flush(): Promise<Result<void>> {
+    return this.group.flush();
+  }
+
+  /** Whether the last write succeeded. */
+  isWritable(): boolean {
+    return !this.needsSnapshot;
+  }
+
+  private isBehind(): boolean {
+    return this.needsSnapshot;
+  }
+
+  private isLogFull(): boolean {
+    return this.logBytes > this.options.maxLogBytes || this.deltaCount > MAX_DELTAS_PER_LOG;
+  }
+
+  /** Writes entries one behind another; those of a write that failed are in the next snapshot. */
+  private async writeBatch(batch: PendingEntry[]): Promise<Result<void>> {
+    const result = await this.writeEntries(batch);
+    if (result.isLeft()) this.needsSnapshot = true;
+    for (const { entry } of batch) if (entry) applyLogEntry(this.written, entry);
+    return result;
+  }
+
+  private async writeEntries(batch: PendingEntry[]): Promise<Result<void>> {
+    if (this.needsSnapshot || this.isLogFull()) {
+      const result = await this.writeSnapshots();
+      if (result.isLeft()) return result;
+    }
+    if (batch.length === 0) return Right(undefined);
+    const appended = await this.appendToLog(batch);
+    if (appended.isLeft()) return appended;
+    for (const pending of batch) if (pending.entry && hasDelta(pending.stored)) this.deltaCount++;
+    return Right(undefined);
+  }
+
+  private async appendToLog(batch: PendingEntry[]): Promise<Result<void>> {
+    const { disk, logger } = this.options.ports;
+    for (const bytes of encodeFrames(batch.map(storedOf))) {
+      const name = `log-${this.state.generation % 2}`;
+      const [error] = errorOrValue(await disk.append(name, bytes));
+      if (error) {
+        logger.error({ step: error.step, peer: error.peer }, error.reason);
+        return failure('write log', 'disk', error.reason, 'failed', 'disk');
+      }
+      this.logBytes += bytes.length;
+    }
+    return Right(undefined);
+  }
+
+  private async writeSnapshots(): Promise<Result<void>> {
+    const synced = await this.options.reader.sync();
+    if (synced.isLeft()) return synced;
+    if (this.isLegacy) {
+      const first = await this.writeSnapshot();
+      if (first.isLeft()) return first;
+      this.isLegacy = false;
+    }
+    return this.writeSnapshot();
+  }
+
+  /** Writes the next snapshot: first the empty log behind it, so that no snapshot stands before an older log. */
+  private async writeSnapshot(): Promise<Result<void>> {
+    const { disk } = this.options.ports;
+    const next: StoreState = { ...this.state, generation: this.state.generation + 1 };
+    const slot = next.generation % 2;
+    const header: StoredLogHeader = { gen: next.generation };
+    const [logError] = errorOrValue(await disk.write(`log-${slot}`, encodeFrame(header)));
+    if (logError) return Left(logError);
+    const snapshot = encodeFrame(toSnapshot(next, this.written));
+    const [slotError] = errorOrValue(await disk.write(`slot-${slot}`, snapshot));
+    if (slotError) return Left(slotError);
+    this.state = next;
+    this.logBytes = 0;
+    this.deltaCount = 0;
+    this.needsSnapshot = false;
+    return Right(undefined);
+  }
+}
+
+function storedOf(pending: PendingEntry): StoredLogEntry | StoredBootstrap {
+  return pending.stored;
+}
+
+function toSnapshot(
+  state: StoreState,
+  registers: ReadonlyMap<string, RegisterState>,
+): StoredSnapshot {
+  return {
+    gen: state.generation,
+    disk: state.diskId,
+    founding: state.bootstrapVoterSet,
+    spoilt: state.isCorrupt,
+    cells: [...registers].map(encodeCell),
+  };
+}
+
+function encodeCell([key, register]: [string, RegisterState]): [string, StoredRegisterState] {
+  return [key, encodeRegister(register)];
+}
