--- a/test/control/controllers-full-disk.test.ts
+++ b/test/control/controllers-full-disk.test.ts
@@ -1,92 +1,101 @@
+/**
+ * Controllers whose disks are full or hang.
+ */
+
 import { Controller } from '../../src/control/controller';
 import { Proc } from '../../tools/sim/simworld';
 import { CoreRig, documentOf, makeCore, PATHS } from './deploymentrig';
 
 /** An operator goes on to another controller after this silence. */
-const SECOND = 1000;
+const MAX_ANSWER_MS = 1000;
 
-async function begin(seed: number, duties = false): Promise<CoreRig> {
-  const f = makeCore(seed, { duties });
-  const first = await f.settled(f.insist(0, PATHS.replace, 0, documentOf(1, ['/a/']), 12000));
+async function startCore(seed: number, duties = false): Promise<CoreRig> {
+  const rig = makeCore(seed, { duties });
+  const first = await rig.settled(rig.insist(0, PATHS.replace, 0, documentOf(1, ['/a/']), 12000));
   expect(first?.status).toBe(200);
-  await f.pass(1500);
-  return f;
+  await rig.pass(1500);
+  return rig;
 }
 
-function controllerAt(f: CoreRig, p: Proc): Controller {
-  return f.controllers.get(p.name)!;
+function controllerAt(rig: CoreRig, process: Proc): Controller {
+  return rig.controllers.get(process.name)!;
 }
 
-function ownerOf(f: CoreRig): Proc {
-  function owns(p: Proc): boolean {
-    return controllerAt(f, p).keyOwner.owns('deployment');
+function ownerOf(rig: CoreRig): Proc {
+  function owns(process: Proc): boolean {
+    return controllerAt(rig, process).keyOwner.owns('deployment');
   }
-  return f.core.filter(owns)[0];
+  return rig.core.filter(owns)[0];
 }
 
-async function describes(f: CoreRig, p: Proc): Promise<number | string> {
-  const began = f.w.now();
-  const r = await f.settled(f.call(p, 'GET', PATHS.describe));
-  if (f.w.now() - began >= SECOND) return 'late';
-  return r?.status === 200 ? (r.body.revision as number) : `status ${r?.status}`;
+async function describedRevision(rig: CoreRig, process: Proc): Promise<number | string> {
+  const began = rig.w.now();
+  const response = await rig.settled(rig.call(process, 'GET', PATHS.describe));
+  if (rig.w.now() - began >= MAX_ANSWER_MS) return 'late';
+  return response?.status === 200
+    ? (response.body.revision as number)
+    : `status ${response?.status}`;
 }
 
 /** Has a change taken, asked of one controller first; gives how long that took. */
-async function change(f: CoreRig, first: Proc, base: number): Promise<number | undefined> {
-  const began = f.w.now();
+async function change(rig: CoreRig, first: Proc, base: number): Promise<number | undefined> {
+  const began = rig.w.now();
   const doc = documentOf(base + 1, ['/a/', `/v${base}/`]);
-  const r = await f.settled(f.insist(f.core.indexOf(first), PATHS.replace, base, doc, 9000));
-  return r?.status === 200 ? f.w.now() - began : undefined;
+  const response = await rig.settled(
+    rig.insist(rig.core.indexOf(first), PATHS.replace, base, doc, 9000),
+  );
+  return response?.status === 200 ? rig.w.now() - began : undefined;
 }
 
-type Trouble = (f: CoreRig, p: Proc, on: boolean) => void;
+type DiskFault = (rig: CoreRig, process: Proc, on: boolean) => void;
 
-const TROUBLES: Record<string, Trouble> = { full, stalled };
+const DISK_FAULTS: Record<string, DiskFault> = { fillDisk, stallDisk };
 
-function full(f: CoreRig, p: Proc, on: boolean): void {
-  f.w.trace(`the disk of ${p.name} is ${on ? 'full' : 'free'}`);
-  p.disk.full = on;
+function fillDisk(rig: CoreRig, process: Proc, on: boolean): void {
+  rig.w.trace(`the disk of ${process.name} is ${on ? 'full' : 'free'}`);
+  process.disk.full = on;
 }
 
-function stalled(f: CoreRig, p: Proc, on: boolean): void {
-  f.w.stall(p, on);
+function stallDisk(rig: CoreRig, process: Proc, on: boolean): void {
+  rig.w.stall(process, on);
 }
 
 async function oneMember(): Promise<void> {
   const faults: string[] = [];
-  for (const [name, trouble] of Object.entries(TROUBLES)) {
+  for (const [name, trouble] of Object.entries(DISK_FAULTS)) {
     for (let seed = 1; seed <= 4; seed++) {
-      const f = await begin(seed);
-      const victim = seed % 2 ? ownerOf(f) : f.core[seed % 3];
+      const rig = await startCore(seed);
+      const victim = seed % 2 ? ownerOf(rig) : rig.core[seed % 3];
       let base = 1;
       function note(what: string): void {
         faults.push(`${name} seed ${seed}: ${what}`);
       }
       async function step(first: Proc, most: number): Promise<void> {
-        const took = await change(f, first, base);
+        const took = await change(rig, first, base);
         if (took === undefined || took > most) note(`change on ${base} took ${took}`);
         if (took !== undefined) base++;
-        const r = await describes(f, victim);
+        const r = await describedRevision(rig, victim);
         if (r !== base) note(`the troubled member tells ${r} where ${base} stands`);
       }
-      trouble(f, victim, true);
-      for (const p of [...f.core, ...f.core]) await step(p, 2000);
-      await f.pass(8000);
-      for (const p of f.core) await step(p, 2000);
-      trouble(f, victim, false);
-      await f.pass(300);
+      trouble(rig, victim, true);
+      for (const process of [...rig.core, ...rig.core]) await step(process, 2000);
+      await rig.pass(8000);
+      for (const process of rig.core) await step(process, 2000);
+      trouble(rig, victim, false);
+      await rig.pass(300);
       await step(victim, 2000);
-      if (!controllerAt(f, victim).store.isWritable()) note('does not join again');
-      for (const p of f.core) f.w.kill(p, true);
-      await f.pass(500);
-      for (const p of f.core) {
-        f.w.revive(p);
-        f.start(p);
+      if (!controllerAt(rig, victim).store.isWritable()) note('does not join again');
+      for (const process of rig.core) rig.w.kill(process, true);
+      await rig.pass(500);
+      for (const process of rig.core) {
+        rig.w.revive(process);
+        rig.start(process);
       }
-      await f.pass(3000);
-      for (const p of f.core) {
-        const r = await describes(f, p);
-        if (r !== base) note(`after a loss of power ${p.name} tells ${r} where ${base} stands`);
+      await rig.pass(3000);
+      for (const process of rig.core) {
+        const r = await describedRevision(rig, process);
+        if (r !== base)
+          note(`after a loss of power ${process.name} tells ${r} where ${base} stands`);
       }
     }
   }
@@ -96,58 +105,60 @@
 /** Where a majority of the disks takes no writes, changes get no clear answer but reads do, and all goes on by itself. */
 async function twoMembers(): Promise<void> {
   const faults: string[] = [];
-  for (const [name, trouble] of Object.entries(TROUBLES)) {
-    const f = await begin(20);
-    const [a, b] = [ownerOf(f), ...f.core].slice(0, 3).filter(isFirst);
-    function isFirst(p: Proc, i: number, all: Proc[]): boolean {
-      return all.indexOf(p) === i;
+  for (const [name, trouble] of Object.entries(DISK_FAULTS)) {
+    const rig = await startCore(20);
+    const [a, b] = [ownerOf(rig), ...rig.core].slice(0, 3).filter(isFirst);
+    function isFirst(process: Proc, i: number, all: Proc[]): boolean {
+      return all.indexOf(process) === i;
     }
-    for (const p of [a, b]) trouble(f, p, true);
-    for (const p of f.core) {
-      const r = await describes(f, p);
-      if (r !== 1) faults.push(`${name}: ${p.name} tells ${r}`);
+    for (const process of [a, b]) trouble(rig, process, true);
+    for (const process of rig.core) {
+      const r = await describedRevision(rig, process);
+      if (r !== 1) faults.push(`${name}: ${process.name} tells ${r}`);
     }
-    for (const p of f.core) {
-      const began = f.w.now();
-      const o = f.call(p, 'POST', PATHS.replace, 1, documentOf(2, ['/a/']));
-      const r = await f.settled(o);
-      if (r?.status !== 503 || f.w.now() - began >= SECOND)
-        faults.push(`${name}: ${p.name} answers ${r?.status} after ${f.w.now() - began}`);
+    for (const process of rig.core) {
+      const began = rig.w.now();
+      const o = rig.call(process, 'POST', PATHS.replace, 1, documentOf(2, ['/a/']));
+      const response = await rig.settled(o);
+      if (response?.status !== 503 || rig.w.now() - began >= MAX_ANSWER_MS)
+        faults.push(
+          `${name}: ${process.name} answers ${response?.status} after ${rig.w.now() - began}`,
+        );
     }
-    await f.pass(6000);
-    for (const p of [a, b]) trouble(f, p, false);
-    const took = await f.settled(f.insist(0, PATHS.replace, 1, documentOf(2, ['/a/']), 6000));
+    await rig.pass(6000);
+    for (const process of [a, b]) trouble(rig, process, false);
+    const took = await rig.settled(rig.insist(0, PATHS.replace, 1, documentOf(2, ['/a/']), 6000));
     if (took?.status !== 200) faults.push(`${name}: no change once there is room`);
   }
   expect(faults).toEqual([]);
 }
 
 /** A member that starts while its disk hangs or is full answers reads, and votes once it can write. */
-async function startsInTrouble(): Promise<void> {
+async function startsOnFaultyDisk(): Promise<void> {
   const faults: string[] = [];
-  for (const [name, trouble] of Object.entries(TROUBLES)) {
+  for (const [name, trouble] of Object.entries(DISK_FAULTS)) {
     for (const wiped of [false, true]) {
-      const f = await begin(30, true);
-      const p = f.core[1];
-      f.w.kill(p, true);
-      if (wiped) p.files.clear();
-      await f.pass(500);
-      trouble(f, p, true);
-      f.w.revive(p);
-      f.controllers.delete(p.name);
-      f.start(p);
-      await f.pass(2500);
-      const r = await describes(f, p);
+      const rig = await startCore(30, true);
+      const process = rig.core[1];
+      rig.w.kill(process, true);
+      if (wiped) process.files.clear();
+      await rig.pass(500);
+      trouble(rig, process, true);
+      rig.w.revive(process);
+      rig.controllers.delete(process.name);
+      rig.start(process);
+      await rig.pass(2500);
+      const r = await describedRevision(rig, process);
       if (r !== 1) faults.push(`${name} wiped ${wiped}: tells ${r}`);
-      const took = await change(f, f.core[0], 1);
+      const took = await change(rig, rig.core[0], 1);
       if (took === undefined || took > 2000)
         faults.push(`${name} wiped ${wiped}: change took ${took}`);
-      trouble(f, p, false);
-      await f.pass(6000);
-      if (!f.controllers.get(p.name)?.store.isWritable())
+      trouble(rig, process, false);
+      await rig.pass(6000);
+      if (!rig.controllers.get(process.name)?.store.isWritable())
         faults.push(`${name} wiped ${wiped}: not fit with room`);
-      f.w.kill(f.core[2], true);
-      const alone = await change(f, f.core[0], 2);
+      rig.w.kill(rig.core[2], true);
+      const alone = await change(rig, rig.core[0], 2);
       if (alone === undefined) faults.push(`${name} wiped ${wiped}: does not vote with room`);
     }
   }
@@ -155,5 +166,5 @@
 }
 
 test('one member with a full or hanging disk holds nothing up and joins again', oneMember);
-test('a majority of full or hanging disks takes no change and still tells what stands', twoMembers);
-test('a member that starts on a full or hanging disk tells what stands', startsInTrouble);
+test('a majority of full or hanging disks takes no change and still answers reads', twoMembers);
+test('a member that starts on a full or hanging disk answers reads', startsOnFaultyDisk);
--- a/test/control/key-owner.test.ts
+++ b/test/control/key-owner.test.ts
@@ -1,3 +1,7 @@
+/**
+ * An owner of a key that another has taken over since, and reacquisitions that come at once.
+ */
+
 import { Right } from 'purify-ts';
 import { Acceptor } from '../../src/control/consensus/acceptor';
 import { VoterTransport } from '../../src/control/consensus/voter-transport';
@@ -10,35 +14,35 @@
 import { makeNet } from '../../tools/sim/simwire';
 import { makeWorld, World } from '../../tools/sim/simworld';
 
-interface Three {
-  w: World;
+interface Cluster {
+  world: World;
   owner: (by: string) => KeyOwner;
-  drive: <T>(p: Promise<T>) => Promise<T>;
+  runUntilSettled: <T>(promise: Promise<T>) => Promise<T>;
 }
 
 /** Three voters' disks, and owners that reach them all. */
-async function three(): Promise<Three> {
-  const w = makeWorld(3, false);
-  const net = makeNet(w);
+async function makeThreeVoters(): Promise<Cluster> {
+  const world = makeWorld(3, false);
+  const net = makeNet(world);
   const acceptors = new Map<string, Acceptor>();
   const voters: VoterSet = { now: [] };
   let upTo = 0;
-  async function drive<T>(p: Promise<T>): Promise<T> {
+  async function drive<T>(promise: Promise<T>): Promise<T> {
     let done = false;
     function told(): void {
       done = true;
     }
-    void p.then(told);
-    while (!done) await w.run((upTo += 10));
-    return p;
+    void promise.then(told);
+    while (!done) await world.run((upTo += 10));
+    return promise;
   }
   function given(): VoterSet {
     return voters;
   }
   function nothing(): void {}
   function reachOf(by: string): VoterTransport {
-    function ask(v: Voter, type: string, body: unknown): Promise<Result<unknown>> {
-      return dispatch([acceptors.get(v.disk)!], type, body, undefined, by);
+    function ask(voter: Voter, type: string, body: unknown): Promise<Result<unknown>> {
+      return dispatch([acceptors.get(voter.disk)!], type, body, undefined, by);
     }
     return {
       ownerId: by,
@@ -50,11 +54,11 @@
     };
   }
   async function nowhere(): Promise<void> {}
-  for (const n of ['1', '2', '3']) {
-    const ports = net.ports(w.proc(`disk-${n}`, `127.30.1.${n}`));
-    const [, slots] = errorOrValue(await drive(openControlStore(ports, 1 << 20)));
-    voters.now.push({ disk: slots!.diskId, at: n });
-    acceptors.set(slots!.diskId, new Acceptor(slots!, reachOf(`voter-${n}`), ports));
+  for (const name of ['1', '2', '3']) {
+    const ports = net.ports(world.proc(`disk-${name}`, `127.30.1.${name}`));
+    const [, store] = errorOrValue(await drive(openControlStore(ports, 1 << 20)));
+    voters.now.push({ disk: store!.diskId, at: name });
+    acceptors.set(store!.diskId, new Acceptor(store!, reachOf(`voter-${name}`), ports));
   }
   async function blank(): Promise<Result<void>> {
     return Right(undefined);
@@ -65,7 +69,7 @@
       reachOf(by),
     );
   }
-  return { w, owner, drive };
+  return { world: world, owner, runUntilSettled: drive };
 }
 
 function onTopOf(
@@ -81,24 +85,28 @@
 }
 
 /** Changes as callers do: again where the owner first had to hear of a higher epoch. */
-async function twice(
-  t: Three,
-  o: KeyOwner,
+async function changeWithRetry(
+  cluster: Cluster,
+  owner: KeyOwner,
   make: (now: VersionedValue | undefined) => Result<unknown>,
 ): Promise<Result<VersionedValue>> {
-  const r = await t.drive(o.change('k', make));
-  return r.isLeft() ? t.drive(o.change('k', make)) : r;
+  const result = await cluster.runUntilSettled(owner.change('k', make));
+  return result.isLeft() ? cluster.runUntilSettled(owner.change('k', make)) : result;
 }
 
 async function outdatedOwner(): Promise<void> {
-  const t = await three();
-  const a = t.owner('a');
-  const b = t.owner('b');
-  expect((await t.drive(a.change('k', onTopOf(undefined, 'one')))).isRight()).toBe(true);
-  expect((await twice(t, b, onTopOf('one', 'two'))).isRight()).toBe(true);
-  const o = await twice(t, a, onTopOf('two', 'three'));
-  expect(o.map(valueOf).extract()).toBe('three');
-  expect((await t.drive(a.change('k', onTopOf('two', 'four')))).extract()).toMatchObject({
+  const cluster = await makeThreeVoters();
+  const a = cluster.owner('a');
+  const b = cluster.owner('b');
+  expect((await cluster.runUntilSettled(a.change('k', onTopOf(undefined, 'one')))).isRight()).toBe(
+    true,
+  );
+  expect((await changeWithRetry(cluster, b, onTopOf('one', 'two'))).isRight()).toBe(true);
+  const result = await changeWithRetry(cluster, a, onTopOf('two', 'three'));
+  expect(result.map(valueOf).extract()).toBe('three');
+  expect(
+    (await cluster.runUntilSettled(a.change('k', onTopOf('two', 'four')))).extract(),
+  ).toMatchObject({
     code: 'conflict',
     certainty: 'refused',
   });
@@ -107,41 +115,53 @@
 /** Any fault is by what stands, whatever its code. */
 async function outdatedVerdict(): Promise<void> {
   for (const code of ['stands', 'bad-deployment', 'conflict'] as const) {
-    const t = await three();
-    const a = t.owner('a');
-    const b = t.owner('b');
+    const cluster = await makeThreeVoters();
+    const a = cluster.owner('a');
+    const b = cluster.owner('b');
     function unlessOne(now: VersionedValue | undefined): Result<unknown> {
       return now?.value === 'one'
         ? failure('change', 'k', 'one stands', 'refused', code)
         : Right('x');
     }
-    expect((await t.drive(a.change('k', onTopOf(undefined, 'one')))).isRight()).toBe(true);
-    expect((await t.drive(a.change('k', unlessOne))).extract()).toMatchObject({ code });
-    expect((await twice(t, b, onTopOf('one', 'two'))).isRight()).toBe(true);
-    expect([code, (await twice(t, a, unlessOne)).map(valueOf).extract()]).toEqual([code, 'x']);
+    expect(
+      (await cluster.runUntilSettled(a.change('k', onTopOf(undefined, 'one')))).isRight(),
+    ).toBe(true);
+    expect((await cluster.runUntilSettled(a.change('k', unlessOne))).extract()).toMatchObject({
+      code,
+    });
+    expect((await changeWithRetry(cluster, b, onTopOf('one', 'two'))).isRight()).toBe(true);
+    expect([code, (await changeWithRetry(cluster, a, unlessOne)).map(valueOf).extract()]).toEqual([
+      code,
+      'x',
+    ]);
   }
 }
 
 /** Readers that have a key settled at the same time: one settling is under way, and one for all who came meanwhile. */
-async function settledTogether(): Promise<void> {
-  const t = await three();
-  const a = t.owner('a');
-  expect((await t.drive(a.change('k', onTopOf(undefined, 'one')))).isRight()).toBe(true);
+async function sharedReacquisition(): Promise<void> {
+  const cluster = await makeThreeVoters();
+  const a = cluster.owner('a');
+  expect((await cluster.runUntilSettled(a.change('k', onTopOf(undefined, 'one')))).isRight()).toBe(
+    true,
+  );
   const first = a.reacquire('k');
   await Promise.resolve();
   await Promise.resolve();
   const later = [a.reacquire('k'), a.reacquire('k'), a.reacquire('k'), a.reacquire('k')];
-  const all = await t.drive(Promise.all([first, ...later]));
+  const all = await cluster.runUntilSettled(Promise.all([first, ...later]));
   const epochs = new Set<number>();
-  for (const o of all) epochs.add((o.extract() as VersionedValue).epoch);
+  for (const result of all) epochs.add((result.extract() as VersionedValue).epoch);
   expect([...epochs]).toEqual([2, 3]);
-  expect((await t.drive(a.reacquire('k'))).extract()).toMatchObject({ epoch: 4, value: 'one' });
+  expect((await cluster.runUntilSettled(a.reacquire('k'))).extract()).toMatchObject({
+    epoch: 4,
+    value: 'one',
+  });
 }
 
-function valueOf(n: VersionedValue): unknown {
-  return n.value;
+function valueOf(value: VersionedValue): unknown {
+  return value.value;
 }
 
 test('an owner that another has followed refuses nothing by the value that it held', outdatedOwner);
-test('nor does it give any other verdict by that value', outdatedVerdict);
-test('settlings of a key that wait for their turn are done in one', settledTogether);
+test('nor does it give any other error by that value', outdatedVerdict);
+test('queued reacquisitions of a key are carried out as one', sharedReacquisition);
--- a/test/control/key-takeover.test.ts
+++ b/test/control/key-takeover.test.ts
@@ -1,47 +1,54 @@
+/**
+ * An owner that fails, or is cut off, while changes are asked for.
+ */
+
 import { Controller } from '../../src/control/controller';
 import { makeSimFleet, SimFleet } from '../../tools/sim/simfleet';
 import { counts, lose, makeOperator, procOf, running, until } from '../../tools/sim/simcore';
 
 const CORE = ['core-1', 'core-2', 'core-3'];
-const ACK = 4000;
+const ACK_MS = 4000;
 
-async function fleet(seed: number): Promise<SimFleet> {
-  const f = makeSimFleet(seed, 'saffron-bay', 2, 2, false);
-  Object.assign(f.told, { strict: false, foundBy: 'majority', ackMs: ACK });
-  f.startAll();
+async function startFleet(seed: number): Promise<SimFleet> {
+  const fleet = makeSimFleet(seed, 'saffron-bay', 2, 2, false);
+  Object.assign(fleet.told, { strict: false, foundBy: 'majority', ackMs: ACK_MS });
+  fleet.startAll();
   function up(): boolean {
-    return counts(f, CORE);
+    return counts(fleet, CORE);
   }
-  expect(await until(f, 3000, up)).toBeDefined();
-  f.told.bootstrap = false;
-  await f.w.run(f.w.now() + 600);
-  return f;
+  expect(await until(fleet, 3000, up)).toBeDefined();
+  fleet.told.bootstrap = false;
+  await fleet.w.run(fleet.w.now() + 600);
+  return fleet;
 }
 
-function ownerOf(f: SimFleet, key: string): string {
-  function owns(c: Controller): boolean {
-    return c.keyOwner.owns(key) && c.isPreferredOwner(key);
+function ownerOf(fleet: SimFleet, key: string): string {
+  function owns(controller: Controller): boolean {
+    return controller.keyOwner.owns(key) && controller.isPreferredOwner(key);
   }
-  return running(f).find(owns)!.name;
+  return running(fleet).find(owns)!.name;
 }
 
-async function put(f: SimFleet, o: ReturnType<typeof makeOperator>): Promise<number> {
-  const began = f.w.now();
+async function putChange(
+  fleet: SimFleet,
+  operator: ReturnType<typeof makeOperator>,
+): Promise<number> {
+  const began = fleet.w.now();
   let done = false;
   function told(): void {
     done = true;
   }
-  void o.put().then(told);
+  void operator.put().then(told);
   function isDone(): boolean {
     return done;
   }
-  expect(await until(f, began + 15000, isDone, 1)).toBeDefined();
-  return f.w.now() - began;
+  expect(await until(fleet, began + 15000, isDone, 1)).toBeDefined();
+  return fleet.w.now() - began;
 }
 
-type Trouble = (f: SimFleet, owner: string, other: string) => void;
+type Fault = (fleet: SimFleet, owner: string, other: string) => void;
 
-const TROUBLES: Record<string, Trouble> = {
+const FAULTS: Record<string, Fault> = {
   kill: killed,
   power: unpowered,
   freeze: frozen,
@@ -52,100 +59,104 @@
   'slow disk': slowDisk,
 };
 
-function killed(f: SimFleet, owner: string): void {
-  lose(f, owner, false, false);
+function killed(fleet: SimFleet, owner: string): void {
+  lose(fleet, owner, false, false);
 }
 
-function unpowered(f: SimFleet, owner: string): void {
-  lose(f, owner, false);
+function unpowered(fleet: SimFleet, owner: string): void {
+  lose(fleet, owner, false);
 }
 
-function frozen(f: SimFleet, owner: string): void {
-  f.w.freeze(procOf(f, owner));
+function frozen(fleet: SimFleet, owner: string): void {
+  fleet.w.freeze(procOf(fleet, owner));
 }
 
-function cutOff(f: SimFleet, owner: string): void {
-  for (const n of CORE) {
-    f.w.cut(procOf(f, owner).ip, procOf(f, n).ip, true);
-    f.w.cut(procOf(f, n).ip, procOf(f, owner).ip, true);
+function cutOff(fleet: SimFleet, owner: string): void {
+  for (const name of CORE) {
+    fleet.w.cut(procOf(fleet, owner).ip, procOf(fleet, name).ip, true);
+    fleet.w.cut(procOf(fleet, name).ip, procOf(fleet, owner).ip, true);
   }
 }
 
-function oneWayFrom(f: SimFleet, owner: string, other: string): void {
-  f.w.cut(procOf(f, owner).ip, procOf(f, other).ip, true);
+function oneWayFrom(fleet: SimFleet, owner: string, other: string): void {
+  fleet.w.cut(procOf(fleet, owner).ip, procOf(fleet, other).ip, true);
 }
 
-function oneWayTo(f: SimFleet, owner: string, other: string): void {
-  f.w.cut(procOf(f, other).ip, procOf(f, owner).ip, true);
+function oneWayTo(fleet: SimFleet, owner: string, other: string): void {
+  fleet.w.cut(procOf(fleet, other).ip, procOf(fleet, owner).ip, true);
 }
 
-function oneWayAll(f: SimFleet, owner: string): void {
-  for (const n of CORE) f.w.cut(procOf(f, owner).ip, procOf(f, n).ip, true);
+function oneWayAll(fleet: SimFleet, owner: string): void {
+  for (const name of CORE) fleet.w.cut(procOf(fleet, owner).ip, procOf(fleet, name).ip, true);
 }
 
-function slowDisk(f: SimFleet, owner: string): void {
-  procOf(f, owner).disk.slow = 200;
+function slowDisk(fleet: SimFleet, owner: string): void {
+  procOf(fleet, owner).disk.slow = 200;
 }
 
-async function takenOver(): Promise<void> {
+async function changesThroughFaults(): Promise<void> {
   const worst: Record<string, number> = {};
-  for (const [name, trouble] of Object.entries(TROUBLES)) {
+  for (const [name, trouble] of Object.entries(FAULTS)) {
     for (const wait of [0, 700, 2000]) {
       for (let seed = 1; seed <= 4; seed++) {
-        const f = await fleet(seed * 7);
-        const owner = ownerOf(f, 'intents');
+        const fleet = await startFleet(seed * 7);
+        const owner = ownerOf(fleet, 'intents');
         const others = CORE.filter(isOther);
         function isOther(n: string): boolean {
           return n !== owner;
         }
         const at = others[seed % 2];
-        const o = makeOperator(f, CORE.indexOf(at));
-        await put(f, o);
-        trouble(f, owner, at);
-        await f.w.run(f.w.now() + wait);
-        worst[name] = Math.max(worst[name] ?? 0, await put(f, o), await put(f, o));
-        expect({ name, newest: o.newest() }).toEqual({ name, newest: o.acked() });
+        const operator = makeOperator(fleet, CORE.indexOf(at));
+        await putChange(fleet, operator);
+        trouble(fleet, owner, at);
+        await fleet.w.run(fleet.w.now() + wait);
+        worst[name] = Math.max(
+          worst[name] ?? 0,
+          await putChange(fleet, operator),
+          await putChange(fleet, operator),
+        );
+        expect({ name, newest: operator.newest() }).toEqual({ name, newest: operator.acked() });
       }
     }
   }
   function isLate([, ms]: [string, number]): boolean {
-    return ms > ACK / 4;
+    return ms > ACK_MS / 4;
   }
   expect(Object.entries(worst).filter(isLate)).toEqual([]);
 }
 
-async function thawed(): Promise<void> {
+async function thawedOwner(): Promise<void> {
   for (let seed = 1; seed <= 6; seed++) {
-    const f = await fleet(seed);
-    const owner = ownerOf(f, 'intents');
+    const fleet = await startFleet(seed);
+    const owner = ownerOf(fleet, 'intents');
     const at = CORE.filter(isOther)[seed % 2];
-    function isOther(n: string): boolean {
-      return n !== owner;
+    function isOther(name: string): boolean {
+      return name !== owner;
     }
-    const o = makeOperator(f, CORE.indexOf(at));
-    await put(f, o);
-    f.w.freeze(procOf(f, owner));
-    await put(f, o);
-    await put(f, o);
-    f.w.wake(procOf(f, owner));
+    const operator = makeOperator(fleet, CORE.indexOf(at));
+    await putChange(fleet, operator);
+    fleet.w.freeze(procOf(fleet, owner));
+    await putChange(fleet, operator);
+    await putChange(fleet, operator);
+    fleet.w.wake(procOf(fleet, owner));
     for (let i = 0; i < 5; i++) {
-      const before = o.acked();
-      await put(f, o);
-      expect({ seed, i, revision: o.acked() }).toEqual({ seed, i, revision: before + 1 });
+      const before = operator.acked();
+      await putChange(fleet, operator);
+      expect({ seed, i, revision: operator.acked() }).toEqual({ seed, i, revision: before + 1 });
     }
-    await f.w.run(f.w.now() + 2000);
-    function revision(c: Controller): number {
-      return c.committedValue('intents')!.place.number;
+    await fleet.w.run(fleet.w.now() + 2000);
+    function revision(controller: Controller): number {
+      return controller.committedValue('intents')!.place.number;
     }
-    expect({ seed, all: running(f).map(revision) }).toEqual({
+    expect({ seed, all: running(fleet).map(revision) }).toEqual({
       seed,
-      all: [o.acked(), o.acked(), o.acked()],
+      all: [operator.acked(), operator.acked(), operator.acked()],
     });
   }
 }
 
 test(
   'a change is acknowledged within a quarter of the bound, whatever has become of its owner',
-  takenOver,
+  changesThroughFaults,
 );
-test('an owner that thaws brings nothing back, and the fleet agrees again', thawed);
+test('an owner that thaws brings nothing back, and the fleet agrees again', thawedOwner);
--- a/test/control/recommitted-versions.test.ts
+++ b/test/control/recommitted-versions.test.ts
@@ -37,7 +37,7 @@
 }
 
 /** A controller that started anew knows the value by the later epoch only; a follower holds it by the earlier one. */
-function differenceAcrossEpochs(): void {
+function deltaAcrossEpochs(): void {
   const history = makeVersionHistory();
   const anew = version(4, 'b', 5, VALUE);
   const next = version(4, 'b', 6, { routes: [...VALUE.routes, nameOf(0, 200)] });
@@ -49,52 +49,49 @@
   expect(readChange(held, message)).toEqual(next);
 }
 
-function ownersOf(f: SimFleet): Set<string> {
+function ownersOf(fleet: SimFleet): Set<string> {
   const owners = new Set<string>();
-  for (const c of running(f)) {
-    const learned = c.store.registers.get(CONTROL_KEYS.intents)?.learned;
+  for (const controller of running(fleet)) {
+    const learned = controller.store.registers.get(CONTROL_KEYS.intents)?.learned;
     if (learned) owners.add(learned.by);
   }
   return owners;
 }
 
-function isJoint(f: SimFleet): boolean {
-  for (const c of running(f)) if (c.voters()?.next) return true;
+function isJoint(fleet: SimFleet): boolean {
+  for (const controller of running(fleet)) if (controller.voters()?.next) return true;
   return false;
 }
 
 /** While a joint set stands, keys are committed anew by the owners that they have. */
 async function ownersStay(): Promise<void> {
   for (const seed of [1, 2, 3, 4, 5, 6]) {
-    const f = await founded(seed, 5, 2);
-    const o = makeOperator(f);
-    await applied(f, o);
-    lose(f, 'core-2', true);
-    lose(f, 'core-4', true);
-    await f.w.run(f.w.now() + 1500);
-    const before = ownersOf(f);
+    const fleet = await founded(seed, 5, 2);
+    const operator = makeOperator(fleet);
+    await applied(fleet, operator);
+    lose(fleet, 'core-2', true);
+    lose(fleet, 'core-4', true);
+    await fleet.w.run(fleet.w.now() + 1500);
+    const before = ownersOf(fleet);
     expect(before.size).toBe(1);
-    back(f, 'core-2');
-    back(f, 'core-4');
+    back(fleet, 'core-2');
+    back(fleet, 'core-4');
     function begun(): boolean {
-      return isJoint(f);
+      return isJoint(fleet);
     }
-    expect(await until(f, f.w.now() + 5000, begun, 1)).toBeDefined();
+    expect(await until(fleet, fleet.w.now() + 5000, begun, 1)).toBeDefined();
     const seen = new Set<string>();
-    while (isJoint(f)) {
-      for (const by of ownersOf(f)) seen.add(by);
-      await f.w.run(f.w.now() + 1);
+    while (isJoint(fleet)) {
+      for (const by of ownersOf(fleet)) seen.add(by);
+      await fleet.w.run(fleet.w.now() + 1);
     }
     expect({ seed, seen: [...seen] }).toEqual({ seed, seen: [...before] });
     expect(
-      await until(f, f.w.now() + 5000, all(f, [...CORE, 'core-4', 'core-5']), 5),
+      await until(fleet, fleet.w.now() + 5000, all(fleet, [...CORE, 'core-4', 'core-5']), 5),
     ).toBeDefined();
   }
 }
 
 test('a version that was committed anew is current, one with a later number is not', sameNumber);
-test(
-  'a difference goes to a follower that holds the value by an earlier epoch',
-  differenceAcrossEpochs,
-);
+test('a difference goes to a follower that holds the value by an earlier epoch', deltaAcrossEpochs);
 test('the owners of keys stay the same while a joint set stands', ownersStay);
--- a/test/control/storage-corruption.test.ts
+++ b/test/control/storage-corruption.test.ts
@@ -1,3 +1,7 @@
+/**
+ * Files that were cut, changed, emptied or lost, and files of version 0.1.
+ */
+
 import { crc32 } from 'node:zlib';
 import { pack } from 'msgpackr';
 import { openControlStore } from '../../src/control/storage/control-store';
@@ -15,11 +19,11 @@
 
 async function everyCut(): Promise<void> {
   const files: DiskFiles = new Map();
-  const s = await openStore(files);
+  const store = await openStore(files);
   const ends: { log: number; number: number }[] = [{ log: files.get('log-1')!.length, number: 0 }];
-  for (let n = 1; n <= 6; n++) {
-    await s.put(acceptedEntry(n));
-    ends.push({ log: files.get('log-1')!.length, number: n });
+  for (let number = 1; number <= 6; number++) {
+    await store.put(acceptedEntry(number));
+    ends.push({ log: files.get('log-1')!.length, number: number });
   }
   const log = files.get('log-1')!;
   for (let cut = ends[0].log; cut <= log.length; cut++) {
@@ -35,18 +39,18 @@
         cut,
         hole,
         number: want,
-        disk: s.diskId,
+        disk: store.diskId,
       });
     }
   }
 }
 
-async function everySpoiltByte(): Promise<void> {
+async function everyCorruptByte(): Promise<void> {
   const files: DiskFiles = new Map();
   const first = await openStore(files);
   await first.put(acceptedEntry(1));
-  const s = await openStore(files);
-  for (let n = 2; n <= 4; n++) await s.put(acceptedEntry(n));
+  const store = await openStore(files);
+  for (let number = 2; number <= 4; number++) await store.put(acceptedEntry(number));
   let kept = 0;
   for (const x of corruptedCopies(files)) {
     const again = await openStore(x.files, 9);
@@ -71,14 +75,17 @@
   expect(kept).toBeGreaterThan(files.get('slot-0')!.length + files.get('slot-1')!.length);
 }
 
-test('a log cut at any byte, or with a hole at its end, gives what was whole before it', everyCut);
+test(
+  'a log cut at any byte, or with a hole at its end, gives what was complete before it',
+  everyCut,
+);
 
 test(
   'a byte changed anywhere loses nothing, or makes it a new disk that does not vote',
-  everySpoiltByte,
+  everyCorruptByte,
 );
 
-function oldFrame(v: unknown): Buffer {
+function legacyFrame(v: unknown): Buffer {
   const body = pack(v);
   const head = Buffer.alloc(8);
   head.writeUInt32BE(body.length, 0);
@@ -86,36 +93,41 @@
   return Buffer.concat([head, body]);
 }
 
-async function oldFolder(): Promise<void> {
+async function legacyFolder(): Promise<void> {
   const one = { key: 'k', epoch: 1, by: 'a', number: 1, value: 1 };
   const vote = { key: 'x', run: 'r1', state: 'done' };
   const files: DiskFiles = new Map([
-    ['slot-1', oldFrame({ gen: 1, disk: 'd', cells: [] })],
+    ['slot-1', legacyFrame({ gen: 1, disk: 'd', cells: [] })],
     [
       'slot-0',
-      oldFrame({
+      legacyFrame({
         gen: 2,
         disk: 'd',
         cells: [['k', { promised: { epoch: 1, by: 'a' }, accepted: one }]],
       }),
     ],
     ['log-1', Buffer.alloc(0)],
-    ['log-0', Buffer.concat([oldFrame(acceptedEntry(5)), oldFrame({ key: 'k', learned: true })])],
-    ['votes-1', Buffer.concat([oldFrame({ gen: 4 }), oldFrame({ vote })])],
-    ['votes-0', oldFrame({ gen: 3 })],
+    [
+      'log-0',
+      Buffer.concat([legacyFrame(acceptedEntry(5)), legacyFrame({ key: 'k', learned: true })]),
+    ],
+    ['votes-1', Buffer.concat([legacyFrame({ gen: 4 }), legacyFrame({ vote })])],
+    ['votes-0', legacyFrame({ gen: 3 })],
   ]);
   for (let i = 0; i < 4; i++) {
-    const kept = (await readStoredVotes(portsWithFiles(files))).extract() as StoredVotes;
-    const [, s] = errorOrValue(await openControlStore(portsWithFiles(files), 1 << 20, kept));
+    const storedVotes = (await readStoredVotes(portsWithFiles(files))).extract() as StoredVotes;
+    const [, store] = errorOrValue(
+      await openControlStore(portsWithFiles(files), 1 << 20, storedVotes),
+    );
     expect({
       i,
-      disk: s!.diskId,
-      spoilt: s!.isCorrupt,
-      number: acceptedNumber(s!),
-      learned: s!.registers.get('k')?.learned?.number,
+      disk: store!.diskId,
+      spoilt: store!.isCorrupt,
+      number: acceptedNumber(store!),
+      learned: store!.registers.get('k')?.learned?.number,
     }).toEqual({ i, disk: 'd', spoilt: false, number: 5, learned: 5 });
-    const votes = new IdempotencyVotes(s!, portsWithFiles(files), nobody, 1000);
-    await votes.start(kept);
+    const votes = new IdempotencyVotes(store!, portsWithFiles(files), nobody, 1000);
+    await votes.start(storedVotes);
     expect((await votes.listVotes({ begins: 'x' })).extract()).toMatchObject({ votes: [vote] });
   }
   function nobody(): undefined {
@@ -123,20 +135,20 @@
   }
 }
 
-async function noVotes(): Promise<void> {
+async function missingVoteFiles(): Promise<void> {
   const files: DiskFiles = new Map();
-  const s = await openStore(files);
-  await s.put(acceptedEntry(1));
-  for (const disk of [s.diskId, '']) {
+  const store = await openStore(files);
+  await store.put(acceptedEntry(1));
+  for (const disk of [store.diskId, '']) {
     const [, again] = errorOrValue(
       await openControlStore(portsWithFiles(new Map(files), 9), 1 << 20, {
         disk,
         isCorrupt: false,
       }),
     );
-    expect(again!.diskId === s.diskId).toBe(disk === s.diskId);
+    expect(again!.diskId === store.diskId).toBe(disk === store.diskId);
   }
 }
 
-test('a data folder of version 0.1 is taken over whole, and stays so', oldFolder);
-test('a disk whose votes files are gone counts as a new one', noVotes);
+test('a data folder of version 0.1 is taken over completely, and stays so', legacyFolder);
+test('a disk whose votes files are gone counts as a new one', missingVoteFiles);
--- a/test/control/storage-durability.test.ts
+++ b/test/control/storage-durability.test.ts
@@ -1,3 +1,7 @@
+/**
+ * What a disk has answered outlives restarts, and nothing is answered before it is synced.
+ */
+
 import { Right } from 'purify-ts';
 import { Acceptor } from '../../src/control/consensus/acceptor';
 import { openControlStore } from '../../src/control/storage/control-store';
@@ -15,44 +19,48 @@
   returningValue,
 } from './storage-fixture';
 
-async function inPlace(): Promise<void> {
-  const t = await makeThreeVoters();
-  let cut = false;
-  function passes(to: number): boolean {
-    return !cut || to !== 1;
+async function emptiedDiskDoesNotCount(): Promise<void> {
+  const voters = await makeThreeVoters();
+  let isCut = false;
+  function passes(receiver: number): boolean {
+    return !isCut || receiver !== 1;
   }
-  const owner = await t.node(0, 'a.1', passes);
+  const owner = await voters.startOwner(0, 'a.1', passes);
   expect((await owner.change('k', returningValue('before'))).isRight()).toBe(true);
-  await t.replace(2);
-  cut = true;
-  expect((await owner.change('k', returningValue('at one of the old set'))).isLeft()).toBe(true);
+  await voters.replaceDisk(2);
+  isCut = true;
+  const change = await owner.change('k', returningValue('at one of the old set'));
+  expect(change.isLeft()).toBe(true);
 }
 
-async function oneEpoch(): Promise<void> {
-  const t = await makeThreeVoters();
-  function first(to: number, type: string): boolean {
-    return type === 'prepare' ? to !== 0 : to === 1 && type === 'accept';
-  }
-  function second(to: number, type: string): boolean {
-    return to !== 1 || type.startsWith('learn');
-  }
-  expect((await (await t.node(0, 'a.1', first)).change('k', returningValue('lost'))).isLeft()).toBe(
-    true,
-  );
-  await t.lose(0);
-  const again = await t.node(0, 'a.2', second);
-  for (let i = 0; i < 3; i++) await again.acquire('k');
-  expect((await again.change('k', returningValue('acknowledged'))).isRight()).toBe(true);
-  expect([0, 1, 2].map(t.cell)).toEqual(['acknowledged', 'acknowledged', 'acknowledged']);
+async function oneValuePerEpoch(): Promise<void> {
+  const voters = await makeThreeVoters();
+  function passesFirst(receiver: number, type: string): boolean {
+    return type === 'prepare' ? receiver !== 0 : receiver === 1 && type === 'accept';
+  }
+  function passesSecond(receiver: number, type: string): boolean {
+    return receiver !== 1 || type.startsWith('learn');
+  }
+  const first = await voters.startOwner(0, 'a.1', passesFirst);
+  expect((await first.change('k', returningValue('lost'))).isLeft()).toBe(true);
+  await voters.resetDisk(0);
+  const second = await voters.startOwner(0, 'a.2', passesSecond);
+  for (let i = 0; i < 3; i++) await second.acquire('k');
+  expect((await second.change('k', returningValue('acknowledged'))).isRight()).toBe(true);
+  expect([0, 1, 2].map(voters.learnedValue)).toEqual([
+    'acknowledged',
+    'acknowledged',
+    'acknowledged',
+  ]);
 }
 
 /** Whether a promise has come back once all that could run has run. */
-async function isBack(p: Promise<unknown>): Promise<boolean> {
+async function isBack(promise: Promise<unknown>): Promise<boolean> {
   let back = false;
   function told(): void {
     back = true;
   }
-  void p.then(told);
+  void promise.then(told);
   function turns(go: () => void): void {
     setImmediate(go);
   }
@@ -60,7 +68,7 @@
   return back;
 }
 
-async function toldWhenSynced(): Promise<void> {
+async function answeredWhenSynced(): Promise<void> {
   const files: DiskFiles = new Map();
   const ports = portsWithFiles(files);
   let fails = false;
@@ -81,8 +89,8 @@
       : ports.disk.write(name, bytes);
   }
   const slow: Ports = { ...ports, disk: { ...ports.disk, append, write } };
-  const [, slots] = errorOrValue(await openControlStore(slow, 1 << 20));
-  const set = { now: [{ disk: slots!.diskId, at: '0' }] };
+  const [, store] = errorOrValue(await openControlStore(slow, 1 << 20));
+  const set = { now: [{ disk: store!.diskId, at: '0' }] };
   function voters(): typeof set {
     return set;
   }
@@ -91,7 +99,7 @@
     return failure('ask', '', 'nobody', 'refused', 'none');
   }
   const acceptor = new Acceptor(
-    slots!,
+    store!,
     {
       ownerId: 'a.1',
       timeoutMs: 1,
@@ -102,7 +110,7 @@
     },
     slow,
   );
-  const votes = new IdempotencyVotes(slots!, slow, voters, 1000);
+  const votes = new IdempotencyVotes(store!, slow, voters, 1000);
   await votes.start({
     votes: [],
     fileIndex: 0,
@@ -122,15 +130,18 @@
     [votes, 'vote', { key: 'x', run: 'r2' }],
     [votes, 'run', { key: 'x', run: 'r1', state: 'done' }],
   ] as const;
-  const told: Promise<Result<unknown>>[] = [];
+  const replies: Promise<Result<unknown>>[] = [];
   for (const [edge, type, body] of [...acts, ...acts]) {
-    told.push(dispatch([edge], type, body, undefined, ''));
-    expect({ type, back: await isBack(told[told.length - 1]) }).toEqual({ type, back: false });
+    replies.push(dispatch([edge], type, body, undefined, ''));
+    expect({ type, back: await isBack(replies[replies.length - 1]) }).toEqual({
+      type,
+      back: false,
+    });
   }
   fails = true;
   for (const go of held.splice(0)) go();
   held = undefined;
-  for (const o of await Promise.all(told)) expect(o.isLeft()).toBe(true);
+  for (const result of await Promise.all(replies)) expect(result.isLeft()).toBe(true);
   for (const [edge, type, body] of acts)
     expect({ type, kept: (await dispatch([edge], type, body, undefined, '')).isRight() }).toEqual({
       type,
@@ -146,7 +157,7 @@
   expect(after.registers.get('k')?.learned).toEqual(change);
 }
 
-async function voteKept(): Promise<void> {
+async function voteOutlivesRestarts(): Promise<void> {
   const files: DiskFiles = new Map();
   const disk = await openStore(files);
   const voters = { now: [{ disk: disk.diskId, at: '127.10.1.1:7000' }] };
@@ -195,19 +206,19 @@
     }).toEqual({ what: x.what, spoilt: true });
   }
 }
-test('a vote outlives restarts, and a released key can be run anew', voteKept);
+test('a vote outlives restarts, and a released key can be run anew', voteOutlivesRestarts);
 
 test(
   'one epoch never carries two values, also when an owner forgot its promise and came back',
-  oneEpoch,
+  oneValuePerEpoch,
 );
 
 test(
   'an emptied disk at the address of a voter does not count as that voter, also while it joins',
-  inPlace,
+  emptiedDiskDoesNotCount,
 );
 
 test(
   'nothing is answered before what it tells is synced, nor after a write that failed',
-  toldWhenSynced,
+  answeredWhenSynced,
 );
--- a/test/control/storage-fixture.ts
+++ b/test/control/storage-fixture.ts
@@ -1,11 +1,11 @@
 /**
- * Slots and voters on disks of the simulated world, for tests of what a disk keeps.
+ * Control stores and acceptors on disks in memory, for tests of what a disk keeps.
  */
 
 import { Right } from 'purify-ts';
 import { Acceptor } from '../../src/control/consensus/acceptor';
 import { VoterTransport } from '../../src/control/consensus/voter-transport';
-import { makeKeyOwner } from '../../src/control/consensus/key-owner';
+import { KeyOwner, makeKeyOwner } from '../../src/control/consensus/key-owner';
 import { openControlStore, ControlStore } from '../../src/control/storage/control-store';
 import { dispatch } from '../../src/shared/transport/message-handlers';
 import { failure, errorOrValue, Result } from '../../src/shared/errors/errors';
@@ -18,10 +18,13 @@
 /** The files of a disk, by name. */
 export type DiskFiles = Map<string, Uint8Array>;
 
+/** Which messages pass, by the index of the receiver and the wire type. */
+export type MessageFilter = (receiver: number, type: string) => boolean;
+
 /** Ports whose disk holds these files. */
 export function portsWithFiles(files: DiskFiles, seed = 3): Ports {
-  const w = makeWorld(1, false);
-  const base = makeNet(w).ports(w.proc('node', '127.10.1.1'));
+  const world = makeWorld(1, false);
+  const base = makeNet(world).ports(world.proc('node', '127.10.1.1'));
   async function read(name: string): Promise<Result<Uint8Array | undefined>> {
     return Right(files.get(name));
   }
@@ -36,114 +39,124 @@
   return { ...base, random: seededDice(seed), disk: { read, write, append } };
 }
 
-/** Opens the slots on these files. */
+/** Opens the control store on these files; the seed gives the id of a disk that is new. */
 export async function openStore(files: DiskFiles, seed = 3): Promise<ControlStore> {
-  const [f, s] = errorOrValue(await openControlStore(portsWithFiles(files, seed), 1 << 20));
-  expect(f).toBeUndefined();
-  return s!;
+  const [error, store] = errorOrValue(await openControlStore(portsWithFiles(files, seed), 1 << 20));
+  expect(error).toBeUndefined();
+  return store!;
+}
+
+/** Three voters on disks of their own. */
+export interface ThreeVoters {
+  /** Starts an incarnation of a node, as an owner of keys; its messages pass by the filter. */
+  startOwner: (index: number, ownerId: string, passes: MessageFilter) => Promise<KeyOwner>;
+  /** The value of the key `k` that a voter has learned. */
+  learnedValue: (index: number) => unknown;
+  /** Sets a disk back to what it held at the beginning. */
+  resetDisk: (index: number) => Promise<void>;
+  /** Puts an empty disk in the place of a voter's, and makes a voter set with it joint. */
+  replaceDisk: (index: number) => Promise<void>;
 }
 
-/** Three voters on files of their own; messages pass only where `passes` says so. */
-export async function makeThreeVoters(): Promise<{
-  node: (
-    i: number,
-    life: string,
-    passes: (to: number, type: string) => boolean,
-  ) => Promise<ReturnType<typeof makeKeyOwner>>;
-  cell: (i: number) => unknown;
-  lose: (i: number) => Promise<void>;
-  replace: (i: number) => Promise<void>;
-}> {
-  const files: DiskFiles[] = [new Map(), new Map(), new Map()];
-  const slots: ControlStore[] = [];
+/** Makes three voters on empty disks. */
+export async function makeThreeVoters(): Promise<ThreeVoters> {
+  const disks: DiskFiles[] = [new Map(), new Map(), new Map()];
+  const stores: ControlStore[] = [];
   const acceptors: Acceptor[] = [];
-  const set: Voter[] = [];
-  for (const [i, x] of files.entries()) {
-    slots.push(await openStore(x, i));
-    set.push({ disk: slots[i].diskId, at: String(i) });
+  const currentVoters: Voter[] = [];
+  let nextVoters: Voter[] | undefined;
+  for (const [index, files] of disks.entries()) {
+    stores.push(await openStore(files, index));
+    currentVoters.push({ disk: stores[index].diskId, at: String(index) });
   }
-  const kept = files.map(copyOf);
-  let next: Voter[] | undefined;
+  const initialDisks = disks.map(copyOf);
+
   function voters(): VoterSet {
-    return { now: set, next };
+    return { now: currentVoters, next: nextVoters };
   }
-  function nothing(): void {}
-  async function node(
-    i: number,
-    life: string,
-    passes: (to: number, type: string) => boolean,
-  ): Promise<ReturnType<typeof makeKeyOwner>> {
-    const reach: VoterTransport = {
-      ownerId: life,
+
+  async function startOwner(
+    index: number,
+    ownerId: string,
+    passes: MessageFilter,
+  ): Promise<KeyOwner> {
+    const transport: VoterTransport = {
+      ownerId,
       timeoutMs: 100,
       voters,
-      request: ask,
-      onLearned: nothing,
-      learnLocally: learnHere,
+      request,
+      onLearned: doNothing,
+      learnLocally: learnNothing,
     };
-    async function learnHere(): Promise<unknown> {
-      return undefined;
-    }
-    async function ask(v: Voter, type: string, body: unknown): Promise<Result<unknown>> {
-      if (!passes(Number(v.at), type)) return failure(type, v.at, 'cut', 'unknown', 'timeout');
-      return dispatch([acceptors[Number(v.at)]], type, body, undefined, v.at);
+    async function request(voter: Voter, type: string, body: unknown): Promise<Result<unknown>> {
+      const receiver = Number(voter.at);
+      if (!passes(receiver, type)) return failure(type, voter.at, 'cut', 'unknown', 'timeout');
+      return dispatch([acceptors[receiver]], type, body, undefined, voter.at);
     }
-    for (const [k, s] of slots.entries())
-      acceptors[k] = new Acceptor(s, reach, portsWithFiles(files[k]));
-    return makeKeyOwner(slots[i], reach);
+    for (const [each, store] of stores.entries())
+      acceptors[each] = new Acceptor(store, transport, portsWithFiles(disks[each]));
+    return makeKeyOwner(stores[index], transport);
   }
-  function cell(i: number): unknown {
-    return slots[i].registers.get('k')?.learned?.value;
+
+  function learnedValue(index: number): unknown {
+    return stores[index].registers.get('k')?.learned?.value;
   }
-  async function lose(i: number): Promise<void> {
-    files[i] = copyOf(kept[i]);
-    slots[i] = await openStore(files[i], i);
+
+  async function resetDisk(index: number): Promise<void> {
+    disks[index] = copyOf(initialDisks[index]);
+    stores[index] = await openStore(disks[index], index);
   }
-  async function replace(i: number): Promise<void> {
-    files[i] = new Map();
-    slots[i] = await openStore(files[i], i + 20);
-    next = set.with(i, { disk: slots[i].diskId, at: String(i) });
+
+  async function replaceDisk(index: number): Promise<void> {
+    disks[index] = new Map();
+    stores[index] = await openStore(disks[index], index + 20);
+    nextVoters = currentVoters.with(index, { disk: stores[index].diskId, at: String(index) });
   }
-  return { node, cell, lose, replace };
+
+  return { startOwner, learnedValue, resetDisk, replaceDisk };
 }
 
-function copyOf(f: DiskFiles): DiskFiles {
-  return new Map(f);
+function doNothing(): void {}
+
+async function learnNothing(): Promise<void> {}
+
+function copyOf(files: DiskFiles): DiskFiles {
+  return new Map(files);
 }
 
-/** An operation that succeeds with this value. */
-export function returningValue(v: string): () => Result<unknown> {
-  function make(): Result<unknown> {
-    return Right(v);
+/** The computation of a change that succeeds with this value. */
+export function returningValue(value: string): () => Result<unknown> {
+  function computeValue(): Result<unknown> {
+    return Right(value);
   }
-  return make;
+  return computeValue;
 }
 
-/** The number of the value that was learned or accepted last. */
-export function acceptedNumber(s: ControlStore): number {
-  return s.registers.get('k')?.accepted?.number ?? 0;
+/** The number of the value of the key `k` that was accepted last. */
+export function acceptedNumber(store: ControlStore): number {
+  return store.registers.get('k')?.accepted?.number ?? 0;
 }
 
-/** A log entry that accepts this number. */
-export function acceptedEntry(n: number): Parameters<ControlStore['put']>[0] {
+/** A log entry that accepts a value of the key `k` with this number. */
+export function acceptedEntry(number: number): Parameters<ControlStore['put']>[0] {
   return {
     key: 'k',
     promised: { epoch: 1, by: 'a' },
-    accepted: { key: 'k', epoch: 1, by: 'a', number: n, value: 'v'.repeat(n * 5) },
+    accepted: { key: 'k', epoch: 1, by: 'a', number, value: 'v'.repeat(number * 5) },
   };
 }
 
-/** Files with one byte changed, and with one of them emptied or gone, for every file and byte. */
+/** Copies of files with one byte changed, and with one of them emptied or gone, for every file and byte. */
 export function* corruptedCopies(files: DiskFiles): Generator<{ what: string; files: DiskFiles }> {
   for (const [name, bytes] of files) {
-    for (let at = 0; at < bytes.length; at++) {
-      const bent = Uint8Array.from(bytes);
-      bent[at] ^= 0x41;
-      yield { what: `${name} at ${at}`, files: new Map(files).set(name, bent) };
+    for (let offset = 0; offset < bytes.length; offset++) {
+      const changed = Uint8Array.from(bytes);
+      changed[offset] ^= 0x41;
+      yield { what: `${name} at ${offset}`, files: new Map(files).set(name, changed) };
     }
     yield { what: `${name} emptied`, files: new Map(files).set(name, new Uint8Array(0)) };
-    const less = new Map(files);
-    less.delete(name);
-    yield { what: `${name} gone`, files: less };
+    const without = new Map(files);
+    without.delete(name);
+    yield { what: `${name} gone`, files: without };
   }
 }
--- a/test/control/storage-full-disk.test.ts
+++ b/test/control/storage-full-disk.test.ts
@@ -1,3 +1,7 @@
+/**
+ * A disk that is full, or hangs, from any write on.
+ */
+
 import { isDeepStrictEqual } from 'node:util';
 import { Acceptor } from '../../src/control/consensus/acceptor';
 import { openControlStore, ControlStore } from '../../src/control/storage/control-store';
@@ -11,49 +15,53 @@
 import { makeWorld, Proc, World } from '../../tools/sim/simworld';
 
 /** The log is short here, so that slots take turns often. */
-const MOST_LOG = 1200;
+const MAX_LOG_BYTES = 1200;
 /** A disk that hangs is opened all the same after this. */
-const OPEN_WITHIN = 500;
+const OPEN_TIMEOUT_MS = 500;
 
-async function settled<T>(w: World, p: Promise<T>, most = 5000): Promise<T | undefined> {
+async function runUntilSettled<T>(
+  world: World,
+  promise: Promise<T>,
+  most = 5000,
+): Promise<T | undefined> {
   let got: { v: T } | undefined;
-  function told(v: T): void {
-    got = { v };
+  function told(value: T): void {
+    got = { v: value };
   }
-  void p.then(told);
-  for (let i = 0; i < most && !got; i++) await w.run(w.now() + 1);
+  void promise.then(told);
+  for (let i = 0; i < most && !got; i++) await world.run(world.now() + 1);
   return got?.v;
 }
 
 interface Machine {
-  w: World;
+  world: World;
   net: SimNet;
-  p: Proc;
+  process: Proc;
 }
 
-function machine(seed: number): Machine {
-  const w = makeWorld(seed, false);
-  return { w, net: makeNet(w), p: w.proc('node', '10.1.0.1') };
+function makeMachine(seed: number): Machine {
+  const world = makeWorld(seed, false);
+  return { world: world, net: makeNet(world), process: world.proc('node', '10.1.0.1') };
 }
 
-interface Opened {
-  slots: ControlStore;
+interface OpenedFiles {
+  store: ControlStore;
   votes: IdempotencyVotes;
 }
 
-function openAll(m: Machine): Promise<Opened> {
-  const ports = m.net.ports(m.p);
-  async function run(): Promise<Opened> {
-    const kept = (await readStoredVotes(ports)).extract() as StoredVotes;
-    const slots = (
-      await openControlStore(ports, MOST_LOG, kept, OPEN_WITHIN)
+function openFiles(machine: Machine): Promise<OpenedFiles> {
+  const ports = machine.net.ports(machine.process);
+  async function run(): Promise<OpenedFiles> {
+    const storedVotes = (await readStoredVotes(ports)).extract() as StoredVotes;
+    const store = (
+      await openControlStore(ports, MAX_LOG_BYTES, storedVotes, OPEN_TIMEOUT_MS)
     ).extract() as ControlStore;
     function voters(): VoterSet {
-      return { now: [{ disk: slots.diskId, at: '10.1.0.1:7000' }] };
+      return { now: [{ disk: store.diskId, at: '10.1.0.1:7000' }] };
     }
-    const votes = new IdempotencyVotes(slots, ports, voters, 400);
-    await votes.start(kept, OPEN_WITHIN);
-    return { slots, votes };
+    const votes = new IdempotencyVotes(store, ports, voters, 400);
+    await votes.start(storedVotes, OPEN_TIMEOUT_MS);
+    return { store: store, votes };
   }
   return run();
 }
@@ -79,52 +87,59 @@
   long: boolean,
 ): Promise<string[]> {
   const faults: string[] = [];
-  const m = machine(seed);
-  const { slots, votes } = (await settled(m.w, openAll(m)))!;
+  const machine = makeMachine(seed);
+  const { store: store, votes } = (await runUntilSettled(machine.world, openFiles(machine)))!;
   const voted: string[] = [];
   let acked = 0;
-  m.p.disk.room = room;
-  for (let n = 1; n <= 24; n++) {
-    if (m.p.disk.room < -refused) m.p.disk.room = Infinity;
-    const change = accepted(n, long);
-    const [f] = errorOrValue(
-      (await settled(
-        m.w,
-        slots.put({ key: 'k', promised: { epoch: 1, by: 'a.1' }, accepted: change }),
+  machine.process.disk.room = room;
+  for (let number = 1; number <= 24; number++) {
+    if (machine.process.disk.room < -refused) machine.process.disk.room = Infinity;
+    const change = accepted(number, long);
+    const [error] = errorOrValue(
+      (await runUntilSettled(
+        machine.world,
+        store.put({ key: 'k', promised: { epoch: 1, by: 'a.1' }, accepted: change }),
       ))!,
     );
-    if (!f) acked = n;
-    const learned = (await settled(m.w, slots.put({ key: 'k', learned: true })))!;
-    const vote = (await settled(m.w, votes.vote({ key: `x${n}`, run: `r${n}` })))!;
-    if (vote.isRight()) voted.push(`x${n}`);
-    if (m.p.disk.room === Infinity && n > room + refused + 2 && (f || learned.isLeft()))
-      faults.push(`change ${n} is not taken though there is room`);
-    faults.push(...(await foundAnew(m, slots, acked, voted.slice(-20))));
+    if (!error) acked = number;
+    const learned = (await runUntilSettled(machine.world, store.put({ key: 'k', learned: true })))!;
+    const vote = (await runUntilSettled(
+      machine.world,
+      votes.vote({ key: `x${number}`, run: `r${number}` }),
+    ))!;
+    if (vote.isRight()) voted.push(`x${number}`);
+    if (
+      machine.process.disk.room === Infinity &&
+      number > room + refused + 2 &&
+      (error || learned.isLeft())
+    )
+      faults.push(`change ${number} is not taken though there is room`);
+    faults.push(...(await lostByRestart(machine, store, acked, voted.slice(-20))));
   }
-  if (!slots.isWritable()) faults.push('not fit at the end');
+  if (!store.isWritable()) faults.push('not fit at the end');
   return faults;
 }
 
 /** What a restart from the files as they are would have lost. */
-async function foundAnew(
-  m: Machine,
+async function lostByRestart(
+  machine: Machine,
   was: ControlStore,
   acked: number,
   voted: string[],
 ): Promise<string[]> {
   const faults: string[] = [];
-  const copy = machine(7);
-  for (const [name, bytes] of m.p.files) copy.p.files.set(name, bytes);
-  const { slots, votes } = (await settled(copy.w, openAll(copy)))!;
-  const number = slots.registers.get('k')?.accepted?.number ?? 0;
-  if (slots.diskId !== was.diskId || slots.isCorrupt)
+  const copy = makeMachine(7);
+  for (const [name, bytes] of machine.process.files) copy.process.files.set(name, bytes);
+  const { store: store, votes } = (await runUntilSettled(copy.world, openFiles(copy)))!;
+  const number = store.registers.get('k')?.accepted?.number ?? 0;
+  if (store.diskId !== was.diskId || store.isCorrupt)
     faults.push(`counts as a new disk at ${acked}`);
-  const whole = slots.registers.get('k')?.accepted;
+  const whole = store.registers.get('k')?.accepted;
   const long = typeof whole?.value === 'object';
   if (whole && !isDeepStrictEqual(whole, accepted(number, long)))
     faults.push(`holds another value at ${number}`);
   if (number < acked) faults.push(`holds ${number} where ${acked} was acknowledged`);
-  const held = (await settled(copy.w, votes.listVotes({ begins: 'x' })))!;
+  const held = (await runUntilSettled(copy.world, votes.listVotes({ begins: 'x' })))!;
   const keys = new Set<string>();
   for (const v of (held.extract() as { votes: { key: string }[] }).votes) keys.add(v.key);
   for (const key of voted) if (!keys.has(key)) faults.push(`lost the vote for ${key}`);
@@ -140,72 +155,76 @@
   expect(faults).toEqual([]);
 }
 
-function everyWriteWhole(): Promise<void> {
+function everyWriteOfFullValues(): Promise<void> {
   return everyWrite(false);
 }
 
-function everyWriteOfDifferences(): Promise<void> {
+function everyWriteOfDeltas(): Promise<void> {
   return everyWrite(true);
 }
 
 async function fullAtOpen(): Promise<void> {
   for (const kept of [false, true]) {
-    const m = machine(3);
+    const machine = makeMachine(3);
     if (kept) {
-      const first = (await settled(m.w, openAll(m)))!;
-      await settled(m.w, first.slots.put({ key: 'k', accepted: accepted(1) }));
+      const first = (await runUntilSettled(machine.world, openFiles(machine)))!;
+      await runUntilSettled(machine.world, first.store.put({ key: 'k', accepted: accepted(1) }));
     }
-    m.p.disk.full = true;
-    const { slots, votes } = (await settled(m.w, openAll(m)))!;
-    expect(slots.isWritable()).toBe(false);
-    expect(slots.registers.get('k')?.accepted?.number).toBe(kept ? 1 : undefined);
+    machine.process.disk.full = true;
+    const { store: store, votes } = (await runUntilSettled(machine.world, openFiles(machine)))!;
+    expect(store.isWritable()).toBe(false);
+    expect(store.registers.get('k')?.accepted?.number).toBe(kept ? 1 : undefined);
     const line = { key: 'k', accepted: accepted(2) };
-    expect((await settled(m.w, slots.put(line)))!.isLeft()).toBe(true);
-    expect((await settled(m.w, votes.vote({ key: 'x', run: 'r' })))!.isLeft()).toBe(true);
-    m.p.disk.full = false;
-    expect((await settled(m.w, slots.put(line)))!.isRight()).toBe(true);
-    expect((await settled(m.w, votes.vote({ key: 'x', run: 'r' })))!.isRight()).toBe(true);
-    expect(slots.isWritable()).toBe(true);
+    expect((await runUntilSettled(machine.world, store.put(line)))!.isLeft()).toBe(true);
+    expect(
+      (await runUntilSettled(machine.world, votes.vote({ key: 'x', run: 'r' })))!.isLeft(),
+    ).toBe(true);
+    machine.process.disk.full = false;
+    expect((await runUntilSettled(machine.world, store.put(line)))!.isRight()).toBe(true);
+    expect(
+      (await runUntilSettled(machine.world, votes.vote({ key: 'x', run: 'r' })))!.isRight(),
+    ).toBe(true);
+    expect(store.isWritable()).toBe(true);
   }
 }
 
 /** What a hanging disk holds up at the start is the votes of this node, and nothing else. */
 async function hangsAtOpen(): Promise<void> {
   for (const kept of [false, true]) {
-    const m = machine(4);
+    const machine = makeMachine(4);
     if (kept) {
-      const first = (await settled(m.w, openAll(m)))!;
-      await settled(m.w, first.slots.put({ key: 'k', accepted: accepted(1) }));
+      const first = (await runUntilSettled(machine.world, openFiles(machine)))!;
+      await runUntilSettled(machine.world, first.store.put({ key: 'k', accepted: accepted(1) }));
     }
-    m.w.stall(m.p, true);
-    const opened = await settled(m.w, openAll(m), 1500);
+    machine.world.stall(machine.process, true);
+    const opened = await runUntilSettled(machine.world, openFiles(machine), 1500);
     expect({ kept, opened: opened !== undefined }).toEqual({ kept, opened: true });
-    const { slots, votes } = opened!;
-    expect(slots.isWritable()).toBe(false);
-    expect(slots.registers.get('k')?.accepted?.number).toBe(kept ? 1 : undefined);
-    const put = slots.put({ key: 'k', accepted: accepted(2) });
+    const { store: store, votes } = opened!;
+    expect(store.isWritable()).toBe(false);
+    expect(store.registers.get('k')?.accepted?.number).toBe(kept ? 1 : undefined);
+    const put = store.put({ key: 'k', accepted: accepted(2) });
     const vote = votes.vote({ key: 'x', run: 'r' });
-    expect(await settled(m.w, put, 300)).toBeUndefined();
-    m.w.stall(m.p, false);
-    expect((await settled(m.w, put))!.isRight()).toBe(true);
-    expect((await settled(m.w, vote))!.isRight()).toBe(true);
-    expect(slots.isWritable()).toBe(true);
-    expect(await foundAnew(m, slots, 2, ['x'])).toEqual([]);
+    expect(await runUntilSettled(machine.world, put, 300)).toBeUndefined();
+    machine.world.stall(machine.process, false);
+    expect((await runUntilSettled(machine.world, put))!.isRight()).toBe(true);
+    expect((await runUntilSettled(machine.world, vote))!.isRight()).toBe(true);
+    expect(store.isWritable()).toBe(true);
+    expect(await lostByRestart(machine, store, 2, ['x'])).toEqual([]);
   }
 }
 
 /** While one write is under way, and after it has failed, nothing is answered by what is in memory only. */
 async function answersWhenSynced(): Promise<void> {
-  const m = machine(5);
-  const { slots } = (await settled(m.w, openAll(m)))!;
+  const machine = makeMachine(5);
+  const { store: store } = (await runUntilSettled(machine.world, openFiles(machine)))!;
   function voters(): VoterSet {
-    return { now: [{ disk: slots.diskId, at: '10.1.0.1:7000' }] };
+    return { now: [{ disk: store.diskId, at: '10.1.0.1:7000' }] };
   }
   function nothing(): void {}
   async function nobody(): Promise<Result<unknown>> {
     return failure('ask', '', 'nobody', 'refused', 'none');
   }
-  const reach = {
+  const transport = {
     ownerId: 'a.1',
     timeoutMs: 1,
     voters,
@@ -213,7 +232,7 @@
     onLearned: nothing,
     learnLocally: nobody,
   };
-  const acceptor = new Acceptor(slots, reach, m.net.ports(m.p));
+  const acceptor = new Acceptor(store, transport, machine.net.ports(machine.process));
   const change = { ...accepted(1), epoch: 5 };
   const asks: [string, object][] = [
     ['accept', { change }],
@@ -226,21 +245,27 @@
   function send([type, body]: [string, object]): Promise<Result<unknown>> {
     return dispatch([acceptor], type, body, undefined, 'node');
   }
-  m.w.stall(m.p, true);
-  const told = asks.map(send);
-  for (const o of told) expect(await settled(m.w, o, 50)).toBeUndefined();
-  const stale = (await settled(m.w, send(['prepare', { key: 'k', epoch: 6, by: 'd.1' }])))!;
+  machine.world.stall(machine.process, true);
+  const replies = asks.map(send);
+  for (const o of replies) expect(await runUntilSettled(machine.world, o, 50)).toBeUndefined();
+  const stale = (await runUntilSettled(
+    machine.world,
+    send(['prepare', { key: 'k', epoch: 6, by: 'd.1' }]),
+  ))!;
   expect(stale.extract()).toMatchObject({ ok: false });
-  m.p.disk.full = true;
-  m.w.stall(m.p, false);
-  for (const o of told) expect((await settled(m.w, o))!.isLeft()).toBe(true);
-  expect((await settled(m.w, send(asks[3])))!.isLeft()).toBe(true);
-  m.p.disk.full = false;
-  const next = (await settled(m.w, send(['prepare', { key: 'k', epoch: 8, by: 'e.1' }])))!;
+  machine.process.disk.full = true;
+  machine.world.stall(machine.process, false);
+  for (const o of replies) expect((await runUntilSettled(machine.world, o))!.isLeft()).toBe(true);
+  expect((await runUntilSettled(machine.world, send(asks[3])))!.isLeft()).toBe(true);
+  machine.process.disk.full = false;
+  const next = (await runUntilSettled(
+    machine.world,
+    send(['prepare', { key: 'k', epoch: 8, by: 'e.1' }]),
+  ))!;
   expect(next.extract()).toMatchObject({ ok: true, accepted: change });
-  const copy = machine(8);
-  for (const [name, bytes] of m.p.files) copy.p.files.set(name, bytes);
-  const again = (await settled(copy.w, openAll(copy)))!.slots.registers.get('k')!;
+  const copy = makeMachine(8);
+  for (const [name, bytes] of machine.process.files) copy.process.files.set(name, bytes);
+  const again = (await runUntilSettled(copy.world, openFiles(copy)))!.store.registers.get('k')!;
   expect(again).toEqual({
     promised: { epoch: 8, by: 'e.1' },
     accepted: change,
@@ -248,8 +273,11 @@
   });
 }
 
-test('a disk that is full from any write on loses nothing, and is written again', everyWriteWhole);
-test('nor where the log holds differences', everyWriteOfDifferences);
+test(
+  'a disk that is full from any write on loses nothing, and is written again',
+  everyWriteOfFullValues,
+);
+test('nor where the log holds deltas', everyWriteOfDeltas);
 test('prepare, accept and learn are answered by what is synced only', answersWhenSynced);
 test('a node starts on a full disk, and votes once there is room', fullAtOpen);
 test('a node starts on a disk that hangs, and votes once that goes on', hangsAtOpen);
--- a/test/control/storage-killed-process.test.ts
+++ b/test/control/storage-killed-process.test.ts
@@ -12,7 +12,7 @@
 import { acceptedEntry, acceptedNumber, portsWithFiles } from './storage-fixture';
 
 const REMAINDERS: Remainder[] = ['lost', 'empty', 'torn', 'kept'];
-const MOST_SYNCS = 12;
+const MAX_SYNCS = 12;
 const KEEP_MS = 1000;
 
 /** Ports of one life on a folder; from the sync with this number on, none comes back. */
@@ -35,17 +35,17 @@
     return undefined;
   }
   async function run(): Promise<ControlStore> {
-    const kept = (await readStoredVotes(ports)).extract() as StoredVotes;
-    const [, slots] = errorOrValue(await openControlStore(ports, 1 << 20, kept));
-    await new IdempotencyVotes(slots!, ports, nobody, KEEP_MS).start(kept);
-    await slots!.put(acceptedEntry(life));
-    return slots!;
+    const storedVotes = (await readStoredVotes(ports)).extract() as StoredVotes;
+    const [, store] = errorOrValue(await openControlStore(ports, 1 << 20, storedVotes));
+    await new IdempotencyVotes(store!, ports, nobody, KEEP_MS).start(storedVotes);
+    await store!.put(acceptedEntry(life));
+    return store!;
   }
-  return Promise.race([run(), turnsOf()]);
+  return Promise.race([run(), runMicrotasks()]);
 }
 
 /** Lets all run that can, and gives nothing. */
-async function turnsOf(): Promise<undefined> {
+async function runMicrotasks(): Promise<undefined> {
   function turn(go: () => void): void {
     setImmediate(go);
   }
@@ -54,7 +54,7 @@
 }
 
 async function killedInAnyWrite(): Promise<void> {
-  for (let syncs = 0; syncs < MOST_SYNCS; syncs++) {
+  for (let syncs = 0; syncs < MAX_SYNCS; syncs++) {
     for (const remainder of REMAINDERS) {
       const folder = makeFolder();
       let disk = '';
--- a/test/control/storage-log-deltas.test.ts
+++ b/test/control/storage-log-deltas.test.ts
@@ -1,3 +1,7 @@
+/**
+ * A log that holds long values as deltas.
+ */
+
 import { Right } from 'purify-ts';
 import {
   RegisterState,
@@ -17,45 +21,45 @@
 import { makeNet } from '../../tools/sim/simwire';
 import { makeWorld } from '../../tools/sim/simworld';
 
-const MOST_LOG = 1 << 20;
+const MAX_LOG_BYTES = 1 << 20;
 
 type Files = Map<string, Uint8Array>;
 
-interface Written {
+interface WrittenFiles {
   files: Files;
   bytes: number;
   writes: number;
 }
 
 /** A disk in memory that counts what is written on it. */
-function diskOn(w: Written): Disk {
+function countingDisk(written: WrittenFiles): Disk {
   async function read(name: string): Promise<Result<Uint8Array | undefined>> {
-    return Right(w.files.get(name));
+    return Right(written.files.get(name));
   }
   function count(bytes: Uint8Array): void {
-    w.bytes += bytes.length;
-    w.writes++;
+    written.bytes += bytes.length;
+    written.writes++;
   }
   async function write(name: string, bytes: Uint8Array): Promise<Result<void>> {
     count(bytes);
-    w.files.set(name, Uint8Array.from(bytes));
+    written.files.set(name, Uint8Array.from(bytes));
     return Right(undefined);
   }
   async function append(name: string, bytes: Uint8Array): Promise<Result<void>> {
     count(bytes);
-    w.files.set(name, Buffer.concat([w.files.get(name) ?? new Uint8Array(0), bytes]));
+    written.files.set(name, Buffer.concat([written.files.get(name) ?? new Uint8Array(0), bytes]));
     return Right(undefined);
   }
   return { read, write, append };
 }
 
-function portsOn(w: Written): Ports {
+function portsWithDisk(written: WrittenFiles): Ports {
   const world = makeWorld(1, false);
-  return { ...makeNet(world).ports(world.proc('node', '10.1.0.1')), disk: diskOn(w) };
+  return { ...makeNet(world).ports(world.proc('node', '10.1.0.1')), disk: countingDisk(written) };
 }
 
-async function opened(w: Written): Promise<ControlStore> {
-  return (await openControlStore(portsOn(w), MOST_LOG)).extract() as ControlStore;
+async function openStore(written: WrittenFiles): Promise<ControlStore> {
+  return (await openControlStore(portsWithDisk(written), MAX_LOG_BYTES)).extract() as ControlStore;
 }
 
 /** A document of some hundred kilobytes, of which a change touches one route. */
@@ -83,12 +87,12 @@
 }
 
 /** One controller's register on a disk of its own, which is its only voter. */
-async function alone(
-  w: Written,
+async function makeSingleVoter(
+  written: WrittenFiles,
 ): Promise<{ slots: ControlStore; owner: ReturnType<typeof makeKeyOwner> }> {
-  const slots = await opened(w);
+  const store = await openStore(written);
   function voters(): VoterSet {
-    return { now: [{ disk: slots.diskId, at: 'here' }] };
+    return { now: [{ disk: store.diskId, at: 'here' }] };
   }
   function ask(_: Voter, type: string, body: unknown): Promise<Result<unknown>> {
     return dispatch([acceptor], type, body, undefined, 'here');
@@ -97,7 +101,7 @@
   function learnHere(change: VersionedValue): Promise<unknown> {
     return acceptor.learn({ change });
   }
-  const reach = {
+  const transport = {
     ownerId: 'a.1',
     timeoutMs: 1,
     voters,
@@ -105,15 +109,15 @@
     onLearned: nothing,
     learnLocally: learnHere,
   };
-  const acceptor = new Acceptor(slots, reach, portsOn(w));
-  return { slots, owner: makeKeyOwner(slots, reach) };
+  const acceptor = new Acceptor(store, transport, portsWithDisk(written));
+  return { slots: store, owner: makeKeyOwner(store, transport) };
 }
 
 const CHANGES = 150;
 
 async function changesCostLittle(): Promise<void> {
-  const w: Written = { files: new Map(), bytes: 0, writes: 0 };
-  const { slots, owner } = await alone(w);
+  const written: WrittenFiles = { files: new Map(), bytes: 0, writes: 0 };
+  const { slots, owner } = await makeSingleVoter(written);
   const whole = JSON.stringify(documentAt(1)).length;
   expect(whole).toBeGreaterThan(300_000);
   for (let revision = 1; revision <= CHANGES; revision++) {
@@ -122,7 +126,7 @@
     }
     expect(errorOrValue(await owner.change('deployment', make))[0]).toBeUndefined();
     if (revision % 10 === 0) {
-      const again = await opened({ files: new Map(w.files), bytes: 0, writes: 0 });
+      const again = await openStore({ files: new Map(written.files), bytes: 0, writes: 0 });
       expect(again.diskId).toBe(slots.diskId);
       expect(again.isCorrupt).toBe(false);
       expect(again.registers.get('deployment')).toEqual(slots.registers.get('deployment'));
@@ -130,20 +134,24 @@
   }
   const held = slots.registers.get('deployment')!;
   expect(held.accepted).toBe(held.learned);
-  expect(w.bytes / CHANGES).toBeLessThan(whole * 0.06);
+  expect(written.bytes / CHANGES).toBeLessThan(whole * 0.06);
   let kept = 0;
-  for (const bytes of w.files.values()) kept += bytes.length;
+  for (const bytes of written.files.values()) kept += bytes.length;
   expect(kept).toBeLessThan(whole * 4);
 }
 
 /** A difference whose base the files do not hold: what was synced is gone, and the disk says so. */
-async function baseGone(): Promise<void> {
+async function missingBase(): Promise<void> {
   const learned = { key: 'k', epoch: 1, by: 'a', number: 1, value: documentAt(1) };
   const next = { ...learned, number: 2, value: documentAt(2) };
   for (const base of [learned, { ...learned, number: 7 }]) {
-    const cell: RegisterState = { promised: { epoch: 1, by: 'a' }, accepted: base, learned: base };
+    const register: RegisterState = {
+      promised: { epoch: 1, by: 'a' },
+      accepted: base,
+      learned: base,
+    };
     const files: Files = new Map([
-      ['slot-1', encodeFrame({ gen: 1, disk: 'd', cells: [['k', cell]] })],
+      ['slot-1', encodeFrame({ gen: 1, disk: 'd', cells: [['k', register]] })],
       [
         'log-1',
         Buffer.concat([
@@ -152,25 +160,29 @@
         ]),
       ],
     ]);
-    const s = await opened({ files, bytes: 0, writes: 0 });
+    const store = await openStore({ files, bytes: 0, writes: 0 });
     const fits = base === learned;
-    expect({ fits, kept: s.diskId === 'd', spoilt: s.isCorrupt }).toEqual({
+    expect({ fits, kept: store.diskId === 'd', spoilt: store.isCorrupt }).toEqual({
       fits,
       kept: fits,
       spoilt: !fits,
     });
-    if (fits) expect(s.registers.get('k')?.accepted).toEqual(next);
+    if (fits) expect(store.registers.get('k')?.accepted).toEqual(next);
   }
 }
 
 /** A folder whose slots hold both values of each cell and whose log holds whole ones, as all did before. */
-async function wholeFolder(): Promise<void> {
+async function folderOfFullValues(): Promise<void> {
   function at(number: number): VersionedValue {
     return { key: 'k', epoch: 1, by: 'a', number, value: documentAt(number) };
   }
-  const cell: RegisterState = { promised: { epoch: 1, by: 'a' }, accepted: at(2), learned: at(1) };
+  const register: RegisterState = {
+    promised: { epoch: 1, by: 'a' },
+    accepted: at(2),
+    learned: at(1),
+  };
   const files: Files = new Map([
-    ['slot-1', encodeFrame({ gen: 1, disk: 'd', cells: [['k', cell]] })],
+    ['slot-1', encodeFrame({ gen: 1, disk: 'd', cells: [['k', register]] })],
     [
       'log-1',
       Buffer.concat([
@@ -185,16 +197,16 @@
     ],
   ]);
   for (let i = 0; i < 3; i++) {
-    const s = await opened({ files, bytes: 0, writes: 0 });
-    expect(s.diskId).toBe('d');
-    expect(s.isCorrupt).toBe(false);
-    expect(s.registers.get('k')).toEqual({ ...cell, accepted: at(4), learned: at(3) });
+    const store = await openStore({ files, bytes: 0, writes: 0 });
+    expect(store.diskId).toBe('d');
+    expect(store.isCorrupt).toBe(false);
+    expect(store.registers.get('k')).toEqual({ ...register, accepted: at(4), learned: at(3) });
   }
 }
 
 test(
-  'changes of a long document cost the disk little, and are read again whole',
+  'changes of a long document cost the disk little, and are read again completely',
   changesCostLittle,
 );
-test('a difference without its base makes it a new disk', baseGone);
-test('a data folder of whole lines is read as before', wholeFolder);
+test('a delta without its base makes it a new disk', missingBase);
+test('a data folder of full values is read as before', folderOfFullValues);
--- a/test/control/storage-torn-writes.test.ts
+++ b/test/control/storage-torn-writes.test.ts
@@ -15,16 +15,20 @@
 const PART_BYTES = 512 * 1024;
 const VALUE_BYTES = 1_300_000;
 
-function largeLine(n: number, bytes: number): Parameters<ControlStore['put']>[0] {
+function largeEntry(number: number, bytes: number): Parameters<ControlStore['put']>[0] {
   return {
     key: 'k',
     promised: { epoch: 1, by: 'a' },
-    accepted: { key: 'k', epoch: 1, by: 'a', number: n, value: String(n).repeat(bytes) },
+    accepted: { key: 'k', epoch: 1, by: 'a', number: number, value: String(number).repeat(bytes) },
   };
 }
 
 /** A file after a loss of power: what was synced, and of each later part what its fate left; holes read as zeros. */
-function leftOf(synced: Uint8Array, written: Uint8Array, fates: readonly PartFate[]): Uint8Array {
+function contentAfterPowerLoss(
+  synced: Uint8Array,
+  written: Uint8Array,
+  fates: readonly PartFate[],
+): Uint8Array {
   const out = Buffer.alloc(synced.length + written.length);
   out.set(synced);
   let end = synced.length;
@@ -65,26 +69,26 @@
 
 const fate = fc.constantFrom<PartFate>('there', 'missing', 'torn');
 
-async function inTheMidst(): Promise<void> {
+async function powerLossDuringAppend(): Promise<void> {
   const files: DiskFiles = new Map();
   const { ports, appends } = notingPorts(files);
-  const [, slots] = errorOrValue(await openControlStore(ports, 1 << 20));
-  await slots!.put(largeLine(1, 10));
+  const [, store] = errorOrValue(await openControlStore(ports, 1 << 20));
+  await store!.put(largeEntry(1, 10));
   appends.length = 0;
-  await slots!.put(largeLine(2, VALUE_BYTES));
+  await store!.put(largeEntry(2, VALUE_BYTES));
   expect(appends.length).toBeGreaterThan(0);
 
   async function keeps(at: number, fates: PartFate[]): Promise<void> {
     const { append, files: found } = appends[at];
     const after = new Map(found);
-    after.set(append.name, leftOf(append.before, append.bytes, fates));
+    after.set(append.name, contentAfterPowerLoss(append.before, append.bytes, fates));
     const [, again] = errorOrValue(await openControlStore(portsWithFiles(after, 9), 1 << 20));
     const calls = fates.slice(0, Math.ceil(append.bytes.length / PART_BYTES));
     const isWhole = at === appends.length - 1 && calls.every(isThere);
     expect({ at, fates, disk: again!.diskId, number: acceptedNumber(again!) }).toEqual({
       at,
       fates,
-      disk: slots!.diskId,
+      disk: store!.diskId,
       number: isWhole ? 2 : 1,
     });
   }
@@ -94,7 +98,7 @@
 }
 
 /** A slot and the head of its log are written whole, over a file that is emptied first. */
-async function inTheMidstOfSlot(): Promise<void> {
+async function powerLossDuringSnapshot(): Promise<void> {
   const files: DiskFiles = new Map();
   const ports = portsWithFiles(files);
   const writes: { append: Append; files: DiskFiles }[] = [];
@@ -104,22 +108,22 @@
     return ports.disk.write(name, bytes);
   }
   const noting: Ports = { ...ports, disk: { ...ports.disk, write } };
-  const [, slots] = errorOrValue(await openControlStore(noting, 1 << 20));
-  await slots!.put(largeLine(1, VALUE_BYTES));
-  await slots!.put(largeLine(2, VALUE_BYTES));
+  const [, store] = errorOrValue(await openControlStore(noting, 1 << 20));
+  await store!.put(largeEntry(1, VALUE_BYTES));
+  await store!.put(largeEntry(2, VALUE_BYTES));
   writes.length = 0;
-  await slots!.put(largeLine(3, 10));
+  await store!.put(largeEntry(3, 10));
   expect(writes.some(isLarge)).toBe(true);
 
   async function keeps(at: number, fates: PartFate[]): Promise<void> {
     const { append, files: found } = writes[at];
     const after = new Map(found);
-    after.set(append.name, leftOf(append.before, append.bytes, fates));
+    after.set(append.name, contentAfterPowerLoss(append.before, append.bytes, fates));
     const [, again] = errorOrValue(await openControlStore(portsWithFiles(after, 9), 1 << 20));
     expect({ at, fates, disk: again!.diskId, number: acceptedNumber(again!) }).toEqual({
       at,
       fates,
-      disk: slots!.diskId,
+      disk: store!.diskId,
       number: 2,
     });
   }
@@ -137,10 +141,10 @@
 
 test(
   'a loss of power in the midst of a large write loses nothing that was synced, nor the vote',
-  inTheMidst,
+  powerLossDuringAppend,
 );
 
 test(
   'a loss of power in the midst of a slot loses nothing that was synced, nor the vote',
-  inTheMidstOfSlot,
+  powerLossDuringSnapshot,
 );
--- a/test/control/voter-replacement-retries.test.ts
+++ b/test/control/voter-replacement-retries.test.ts
@@ -7,41 +7,41 @@
 import { back, lose, makeOperator, procOf, running, until } from '../../tools/sim/simcore';
 import { all, applied, CORE, founded } from './rosterrig';
 
-const SLOW_TIMES = 400;
+const SLOW_DISK_FACTOR = 400;
 const SLOW_MS = 3000;
 
-async function carriedOnce(): Promise<void> {
+async function committedAnewOnce(): Promise<void> {
   for (const seed of [1, 2, 3]) {
-    const f = await founded(seed);
-    const o = makeOperator(f);
-    await applied(f, o);
-    await f.w.run(f.w.now() + 500);
+    const fleet = await founded(seed);
+    const operator = makeOperator(fleet);
+    await applied(fleet, operator);
+    await fleet.w.run(fleet.w.now() + 500);
     function epoch(): number {
-      const epochs = running(f).map(epochAt);
+      const epochs = running(fleet).map(epochAt);
       return Math.max(...epochs);
     }
-    function epochAt(c: ReturnType<typeof running>[number]): number {
-      return c.store.registers.get(CONTROL_KEYS.intents)?.learned?.epoch ?? 0;
+    function epochAt(controller: ReturnType<typeof running>[number]): number {
+      return controller.store.registers.get(CONTROL_KEYS.intents)?.learned?.epoch ?? 0;
     }
-    lose(f, 'core-2', true);
-    await f.w.run(f.w.now() + 300);
-    back(f, 'core-2');
+    lose(fleet, 'core-2', true);
+    await fleet.w.run(fleet.w.now() + 300);
+    back(fleet, 'core-2');
     function isJoint(): boolean {
-      return running(f).some(hasNext);
+      return running(fleet).some(hasNext);
     }
-    function hasNext(c: ReturnType<typeof running>[number]): boolean {
-      return c.voters()?.next !== undefined;
+    function hasNext(controller: ReturnType<typeof running>[number]): boolean {
+      return controller.voters()?.next !== undefined;
     }
-    expect(await until(f, f.w.now() + 3000, isJoint, 1)).toBeDefined();
+    expect(await until(fleet, fleet.w.now() + 3000, isJoint, 1)).toBeDefined();
     const before = epoch();
-    procOf(f, 'core-2').disk.slow = SLOW_TIMES;
-    await f.w.run(f.w.now() + SLOW_MS);
-    procOf(f, 'core-2').disk.slow = 1;
+    procOf(fleet, 'core-2').disk.slow = SLOW_DISK_FACTOR;
+    await fleet.w.run(fleet.w.now() + SLOW_MS);
+    procOf(fleet, 'core-2').disk.slow = 1;
     const during = epoch() - before;
     expect({ seed, during, isFew: during <= 2 }).toEqual({ seed, during, isFew: true });
-    expect(await until(f, f.w.now() + 6000, all(f, CORE), 5)).toBeDefined();
-    await applied(f, o);
+    expect(await until(fleet, fleet.w.now() + 6000, all(fleet, CORE), 5)).toBeDefined();
+    await applied(fleet, operator);
   }
 }
 
-test('attempts to bring a slow newcomer up to date commit each key anew once', carriedOnce);
+test('attempts to bring a slow newcomer up to date commit each key anew once', committedAnewOnce);
--- a/test/control/voter-replacement.test.ts
+++ b/test/control/voter-replacement.test.ts
@@ -1,3 +1,7 @@
+/**
+ * Voters that lose their disks and are replaced by new ones, with further faults meanwhile.
+ */
+
 import { Right } from 'purify-ts';
 import { Controller } from '../../src/control/controller';
 import { Result } from '../../src/shared/errors/errors';
@@ -10,54 +14,54 @@
 import { SimFleet } from '../../tools/sim/simfleet';
 import { all, applied, CORE, founded } from './rosterrig';
 
-const FIVE = [...CORE, 'core-4', 'core-5'];
+const FIVE_VOTERS = [...CORE, 'core-4', 'core-5'];
 /** Keys that go on changing by themselves. */
-const LIVELY = [CONTROL_KEYS.duty, CONTROL_KEYS.engines, CONTROL_KEYS.voters];
+const CHANGING_KEYS = [CONTROL_KEYS.duty, CONTROL_KEYS.engines, CONTROL_KEYS.voters];
 /** How much slower than others a newcomer's disk is. */
-const SLOW_DISK = 30;
+const SLOW_DISK_FACTOR = 30;
 /** What a disk that is not slow needs for two syncs, one after the other. */
 const SYNC_MS = 8;
 
-function isJoint(c: Controller): boolean {
-  return c.voters()?.next !== undefined;
+function isJoint(controller: Controller): boolean {
+  return controller.voters()?.next !== undefined;
 }
 
 /** Whether some running controller knows the set that ends a joint one, with a machine's new disk in it. */
-function isTakenIn(f: SimFleet, name: string): boolean {
-  const disk = f.controllers.get(name)?.store.diskId;
-  function knows(c: Controller): boolean {
-    const v = c.voters();
-    return v !== undefined && !v.next && v.now.some(isNew);
+function hasJoined(fleet: SimFleet, name: string): boolean {
+  const disk = fleet.controllers.get(name)?.store.diskId;
+  function knows(controller: Controller): boolean {
+    const voterSet = controller.voters();
+    return voterSet !== undefined && !voterSet.next && voterSet.now.some(isNew);
   }
-  function isNew(x: Voter): boolean {
-    return x.disk === disk;
+  function isNew(voter: Voter): boolean {
+    return voter.disk === disk;
   }
-  return disk !== undefined && running(f).some(knows);
+  return disk !== undefined && running(fleet).some(knows);
 }
 
-async function addTenantKeys(f: SimFleet, count: number): Promise<void> {
+async function addTenantKeys(fleet: SimFleet, count: number): Promise<void> {
   for (let i = 0; i < count; i++)
-    expect((await asked(f, 'POST', `/v1/keys/tenant-${i}`)).status).toBeLessThan(300);
+    expect((await asked(fleet, 'POST', `/v1/keys/tenant-${i}`)).status).toBeLessThan(300);
 }
 
-function isLively(key: string): boolean {
+function isChanging(key: string): boolean {
   function begins(prefix: string): boolean {
     return key.startsWith(prefix);
   }
-  return LIVELY.some(begins);
+  return CHANGING_KEYS.some(begins);
 }
 
-function restingPlaces(c: Controller): VersionedValue[] {
+function restingValues(controller: Controller): VersionedValue[] {
   const out: VersionedValue[] = [];
-  for (const [key, cell] of c.store.registers)
-    if (cell.learned && !isLively(key)) out.push(cell.learned);
+  for (const [key, register] of controller.store.registers)
+    if (register.learned && !isChanging(key)) out.push(register.learned);
   return out;
 }
 
 /** Starts a machine again whose disk was lost, with a slow one. */
-function backEmptied(f: SimFleet, name: string): void {
-  procOf(f, name).disk.slow = SLOW_DISK;
-  back(f, name);
+function restartWithSlowDisk(fleet: SimFleet, name: string): void {
+  procOf(fleet, name).disk.slow = SLOW_DISK_FACTOR;
+  back(fleet, name);
 }
 
 /** Whether a disk holds a change or a later one; a takeover gives the same change a higher epoch, and may come from the newcomer itself. */
@@ -70,177 +74,182 @@
 /** When a joint set ends, the newcomer's synced disk holds every key that the others had learned. */
 async function newcomerHoldsAll(): Promise<void> {
   for (let seed = 71; seed <= 74; seed++) {
-    const f = await founded(seed);
-    await addTenantKeys(f, 30);
-    lose(f, 'core-3', true);
-    await f.w.run(f.w.now() + 2500);
-    backEmptied(f, 'core-3');
+    const fleet = await founded(seed);
+    await addTenantKeys(fleet, 30);
+    lose(fleet, 'core-3', true);
+    await fleet.w.run(fleet.w.now() + 2500);
+    restartWithSlowDisk(fleet, 'core-3');
     function takenIn(): boolean {
-      return isTakenIn(f, 'core-3');
+      return hasJoined(fleet, 'core-3');
     }
-    expect(await until(f, f.w.now() + 6000, takenIn, 1)).toBeDefined();
-    const wanted = restingPlaces(f.controllers.get('core-1')!);
-    lose(f, 'core-3', false);
-    back(f, 'core-3');
+    expect(await until(fleet, fleet.w.now() + 6000, takenIn, 1)).toBeDefined();
+    const wanted = restingValues(fleet.controllers.get('core-1')!);
+    lose(fleet, 'core-3', false);
+    back(fleet, 'core-3');
     function started(): boolean {
-      return f.controllers.has('core-3');
+      return fleet.controllers.has('core-3');
     }
-    await until(f, f.w.now() + 1000, started, 0.1);
-    const { registers: cells } = f.controllers.get('core-3')!.store;
+    await until(fleet, fleet.w.now() + 1000, started, 0.1);
+    const { registers: cells } = fleet.controllers.get('core-3')!.store;
     const lacking: string[] = [];
-    for (const n of wanted) if (!holdsChange(cells.get(n.key)?.learned, n)) lacking.push(n.key);
+    for (const value of wanted)
+      if (!holdsChange(cells.get(value.key)?.learned, value)) lacking.push(value.key);
     expect({ seed, lacking }).toEqual({ seed, lacking: [] });
   }
 }
 
 /** Loses a machine's disk, starts it again with a slow one, and runs on until its joint set has begun. */
-async function repairBegun(f: SimFleet, name: string): Promise<void> {
-  lose(f, name, true);
-  await f.w.run(f.w.now() + 2500);
-  backEmptied(f, name);
+async function beginReplacement(fleet: SimFleet, name: string): Promise<void> {
+  lose(fleet, name, true);
+  await fleet.w.run(fleet.w.now() + 2500);
+  restartWithSlowDisk(fleet, name);
   function begun(): boolean {
-    return running(f).some(isJoint);
+    return running(fleet).some(isJoint);
   }
-  expect(await until(f, f.w.now() + 4000, begun, 1)).toBeDefined();
+  expect(await until(fleet, fleet.w.now() + 4000, begun, 1)).toBeDefined();
 }
 
 /** An old voter loses power at each moment of a joint set with a slow newcomer, and comes back. */
-async function secondMachineInTheMidst(): Promise<void> {
+async function voterLosesPowerMeanwhile(): Promise<void> {
   for (let step = 0; step < 30; step++) {
-    const f = await founded(100 + step);
-    const o = makeOperator(f);
-    await applied(f, o);
-    await repairBegun(f, 'core-3');
-    await f.w.run(f.w.now() + step * 8);
+    const fleet = await founded(100 + step);
+    const operator = makeOperator(fleet);
+    await applied(fleet, operator);
+    await beginReplacement(fleet, 'core-3');
+    await fleet.w.run(fleet.w.now() + step * 8);
     const second = CORE[step % 2];
-    lose(f, second, false, step % 4 < 2);
-    await f.w.run(f.w.now() + 600);
-    back(f, second);
-    const at = await until(f, f.w.now() + 5000, all(f, CORE), 10);
-    expect({ step, whole: at !== undefined }).toEqual({ step, whole: true });
-    await applied(f, o);
-    expect({ step, newest: o.newest() }).toEqual({ step, newest: o.acked() });
+    lose(fleet, second, false, step % 4 < 2);
+    await fleet.w.run(fleet.w.now() + 600);
+    back(fleet, second);
+    const reachedAt = await until(fleet, fleet.w.now() + 5000, all(fleet, CORE), 10);
+    expect({ step, whole: reachedAt !== undefined }).toEqual({ step, whole: true });
+    await applied(fleet, operator);
+    expect({ step, newest: operator.newest() }).toEqual({ step, newest: operator.acked() });
   }
 }
 
 /** A newcomer with a slow disk goes again, and its disk with it, at each moment of its joint set. */
-async function newcomerLostInTheMidst(): Promise<void> {
+async function newcomerLostMeanwhile(): Promise<void> {
   for (let step = 0; step < 15; step++) {
-    const f = await founded(140 + step);
-    const o = makeOperator(f);
-    await applied(f, o);
-    await repairBegun(f, 'core-3');
-    await f.w.run(f.w.now() + step * 16);
-    lose(f, 'core-3', true);
-    await f.w.run(f.w.now() + 1500);
-    await applied(f, o);
-    back(f, 'core-3');
-    const at = await until(f, f.w.now() + 5000, all(f, CORE), 10);
-    expect({ step, whole: at !== undefined }).toEqual({ step, whole: true });
-    expect({ step, newest: o.newest() }).toEqual({ step, newest: o.acked() });
+    const fleet = await founded(140 + step);
+    const operator = makeOperator(fleet);
+    await applied(fleet, operator);
+    await beginReplacement(fleet, 'core-3');
+    await fleet.w.run(fleet.w.now() + step * 16);
+    lose(fleet, 'core-3', true);
+    await fleet.w.run(fleet.w.now() + 1500);
+    await applied(fleet, operator);
+    back(fleet, 'core-3');
+    const reachedAt = await until(fleet, fleet.w.now() + 5000, all(fleet, CORE), 10);
+    expect({ step, whole: reachedAt !== undefined }).toEqual({ step, whole: true });
+    expect({ step, newest: operator.newest() }).toEqual({ step, newest: operator.acked() });
   }
 }
 
 /** Runs on until the machines that were there all along have on their synced disks that a joint set ended; before that, the disk that was lost still counts. */
-async function repairEnded(f: SimFleet, names: readonly string[], kept: string[]): Promise<void> {
+async function endReplacement(
+  fleet: SimFleet,
+  names: readonly string[],
+  kept: string[],
+): Promise<void> {
   function isPast(name: string): boolean {
-    const v = f.controllers.get(name)?.voters();
-    return v !== undefined && !v.next && names.every(votes);
+    const voterSet = fleet.controllers.get(name)?.voters();
+    return voterSet !== undefined && !voterSet.next && names.every(votes);
     function votes(n: string): boolean {
-      return isVoter(v, f.controllers.get(n)?.store.diskId ?? '');
+      return isVoter(voterSet, fleet.controllers.get(n)?.store.diskId ?? '');
     }
   }
   function isEnded(): boolean {
     return kept.every(isPast);
   }
-  expect(await until(f, f.w.now() + 6000, isEnded, 1)).toBeDefined();
-  await f.w.run(f.w.now() + SYNC_MS);
+  expect(await until(fleet, fleet.w.now() + 6000, isEnded, 1)).toBeDefined();
+  await fleet.w.run(fleet.w.now() + SYNC_MS);
 }
 
 /** Right after a joint set has ended a second disk is lost while all others lose power, and after its repair a third. */
 async function secondDiskRightAfter(): Promise<void> {
   for (let step = 0; step < 12; step++) {
-    const f = await founded(160 + step);
-    const o = makeOperator(f);
-    await applied(f, o);
-    await repairBegun(f, 'core-3');
-    await repairEnded(f, ['core-3'], ['core-1', 'core-2']);
-    await f.w.run(f.w.now() + step * 2);
-    procOf(f, 'core-3').disk.slow = 1;
+    const fleet = await founded(160 + step);
+    const operator = makeOperator(fleet);
+    await applied(fleet, operator);
+    await beginReplacement(fleet, 'core-3');
+    await endReplacement(fleet, ['core-3'], ['core-1', 'core-2']);
+    await fleet.w.run(fleet.w.now() + step * 2);
+    procOf(fleet, 'core-3').disk.slow = 1;
     const [second, third] = step % 2 === 0 ? ['core-1', 'core-2'] : ['core-2', 'core-1'];
-    lose(f, second, true);
-    lose(f, third, false);
-    lose(f, 'core-3', false);
-    await f.w.run(f.w.now() + 700);
-    for (const n of [third, 'core-3']) back(f, n);
-    await applied(f, o);
-    back(f, second);
-    const at = await until(f, f.w.now() + 5000, all(f, CORE), 1);
-    expect({ step, whole: at !== undefined }).toEqual({ step, whole: true });
-    lose(f, third, true);
-    await applied(f, o);
-    expect({ step, newest: o.newest() }).toEqual({ step, newest: o.acked() });
+    lose(fleet, second, true);
+    lose(fleet, third, false);
+    lose(fleet, 'core-3', false);
+    await fleet.w.run(fleet.w.now() + 700);
+    for (const name of [third, 'core-3']) back(fleet, name);
+    await applied(fleet, operator);
+    back(fleet, second);
+    const reachedAt = await until(fleet, fleet.w.now() + 5000, all(fleet, CORE), 1);
+    expect({ step, whole: reachedAt !== undefined }).toEqual({ step, whole: true });
+    lose(fleet, third, true);
+    await applied(fleet, operator);
+    expect({ step, newest: operator.newest() }).toEqual({ step, newest: operator.acked() });
   }
 }
 
 /** Of five voters two disks are lost and replaced, and right after that two others. */
 async function twoAndTwo(): Promise<void> {
   for (let seed = 181; seed <= 184; seed++) {
-    const f = await founded(seed, 5, 2);
-    const o = makeOperator(f);
-    await applied(f, o);
-    for (const n of ['core-4', 'core-5']) lose(f, n, true);
-    await f.w.run(f.w.now() + 2500);
-    for (const n of ['core-4', 'core-5']) backEmptied(f, n);
-    await repairEnded(f, ['core-4', 'core-5'], CORE);
-    for (const n of ['core-2', 'core-3']) lose(f, n, true);
-    for (const n of ['core-4', 'core-5']) procOf(f, n).disk.slow = 1;
-    await applied(f, o);
-    expect({ seed, newest: o.newest() }).toEqual({ seed, newest: o.acked() });
-    for (const n of ['core-2', 'core-3']) back(f, n);
-    expect(await until(f, f.w.now() + 5000, all(f, FIVE), 1)).toBeDefined();
-    for (const n of ['core-1', 'core-4']) lose(f, n, true);
-    await applied(f, o);
-    expect({ seed, newest: o.newest() }).toEqual({ seed, newest: o.acked() });
+    const fleet = await founded(seed, 5, 2);
+    const operator = makeOperator(fleet);
+    await applied(fleet, operator);
+    for (const name of ['core-4', 'core-5']) lose(fleet, name, true);
+    await fleet.w.run(fleet.w.now() + 2500);
+    for (const name of ['core-4', 'core-5']) restartWithSlowDisk(fleet, name);
+    await endReplacement(fleet, ['core-4', 'core-5'], CORE);
+    for (const name of ['core-2', 'core-3']) lose(fleet, name, true);
+    for (const name of ['core-4', 'core-5']) procOf(fleet, name).disk.slow = 1;
+    await applied(fleet, operator);
+    expect({ seed, newest: operator.newest() }).toEqual({ seed, newest: operator.acked() });
+    for (const name of ['core-2', 'core-3']) back(fleet, name);
+    expect(await until(fleet, fleet.w.now() + 5000, all(fleet, FIVE_VOTERS), 1)).toBeDefined();
+    for (const name of ['core-1', 'core-4']) lose(fleet, name, true);
+    await applied(fleet, operator);
+    expect({ seed, newest: operator.newest() }).toEqual({ seed, newest: operator.acked() });
   }
 }
 
 /** A newcomer whose disk takes no writes does not hold a joint set up; it counts once its disk is well. */
 async function fullNewcomer(): Promise<void> {
-  const f = await founded(190);
-  const o = makeOperator(f);
-  await applied(f, o);
-  await repairBegun(f, 'core-3');
-  procOf(f, 'core-3').disk.full = true;
+  const fleet = await founded(190);
+  const operator = makeOperator(fleet);
+  await applied(fleet, operator);
+  await beginReplacement(fleet, 'core-3');
+  procOf(fleet, 'core-3').disk.full = true;
   function isReturned(): boolean {
-    return !running(f).some(isJoint);
+    return !running(fleet).some(isJoint);
   }
-  expect(await until(f, f.w.now() + 4000, isReturned, 1)).toBeDefined();
-  await applied(f, o);
-  expect(isTakenIn(f, 'core-3')).toBe(false);
-  procOf(f, 'core-3').disk.full = false;
-  lose(f, 'core-3', false);
-  await f.w.run(f.w.now() + 300);
-  back(f, 'core-3');
-  expect(await until(f, f.w.now() + 5000, all(f, CORE), 10)).toBeDefined();
+  expect(await until(fleet, fleet.w.now() + 4000, isReturned, 1)).toBeDefined();
+  await applied(fleet, operator);
+  expect(hasJoined(fleet, 'core-3')).toBe(false);
+  procOf(fleet, 'core-3').disk.full = false;
+  lose(fleet, 'core-3', false);
+  await fleet.w.run(fleet.w.now() + 300);
+  back(fleet, 'core-3');
+  expect(await until(fleet, fleet.w.now() + 5000, all(fleet, CORE), 10)).toBeDefined();
 }
 
 /** An emptied machine's new disk stalls until its time to catch up is over, and then another disk is lost: the old set would have no majority any more, the new one has. */
 async function stalledNewcomer(): Promise<void> {
-  const f = await founded(191);
-  const o = makeOperator(f);
-  await applied(f, o);
-  await repairBegun(f, 'core-3');
-  f.w.stall(procOf(f, 'core-3'), true);
-  await f.w.run(f.w.now() + f.controllers.get('core-1')!.settings.catchUpMs);
-  lose(f, 'core-1', true);
-  await f.w.run(f.w.now() + 1000);
-  f.w.stall(procOf(f, 'core-3'), false);
-  procOf(f, 'core-3').disk.slow = 1;
-  await applied(f, o);
-  back(f, 'core-1');
-  expect(await until(f, f.w.now() + 5000, all(f, CORE), 10)).toBeDefined();
-  expect(o.newest()).toBe(o.acked());
+  const fleet = await founded(191);
+  const operator = makeOperator(fleet);
+  await applied(fleet, operator);
+  await beginReplacement(fleet, 'core-3');
+  fleet.w.stall(procOf(fleet, 'core-3'), true);
+  await fleet.w.run(fleet.w.now() + fleet.controllers.get('core-1')!.settings.catchUpMs);
+  lose(fleet, 'core-1', true);
+  await fleet.w.run(fleet.w.now() + 1000);
+  fleet.w.stall(procOf(fleet, 'core-3'), false);
+  procOf(fleet, 'core-3').disk.slow = 1;
+  await applied(fleet, operator);
+  back(fleet, 'core-1');
+  expect(await until(fleet, fleet.w.now() + 5000, all(fleet, CORE), 10)).toBeDefined();
+  expect(operator.newest()).toBe(operator.acked());
 }
 
 /** What a far voter is asked and sent, told by an imagined voter that lacks everything. */
@@ -274,18 +283,18 @@
   function isLacking(key: string): boolean {
     return !has.has(key);
   }
-  const o = await syncReplica(
+  const result = await syncReplica(
     { store: { registers: cells } as ControlStore, requestVoter: askVoter },
     to,
   );
-  expect({ fine: o.isRight(), has: has.size }).toEqual({ fine: true, has: 1000 });
+  expect({ fine: result.isRight(), has: has.size }).toEqual({ fine: true, has: 1000 });
   expect(mostPlaces).toBeLessThanOrEqual(256);
   expect(mostOnWay).toBeLessThanOrEqual(16);
 }
 
 test('when a joint set ends, the newcomer has all keys on its synced disk', newcomerHoldsAll);
-test('an old voter loses power at each moment of a joint set', secondMachineInTheMidst);
-test('a slow newcomer is lost again at each moment of its joint set', newcomerLostInTheMidst);
+test('an old voter loses power at each moment of a joint set', voterLosesPowerMeanwhile);
+test('a slow newcomer is lost again at each moment of its joint set', newcomerLostMeanwhile);
 test('a second disk is lost right after a repair, and then a third', secondDiskRightAfter);
 test('of five voters, two disks are lost right after two others were replaced', twoAndTwo);
 test('a newcomer whose disk is full is refused, and counts once it is not', fullNewcomer);
