--- a/src/control/consensus/accepted-versions.ts
+++ b/src/control/consensus/accepted-versions.ts
@@ -9,9 +9,6 @@
 import { Voter, VoterSet } from '../../shared/state/voter-set';
 import { AcceptedVersionReply, AcceptedVersionRequest } from './acceptor-messages';
 
-/** Before every version. */
-const NO_VERSION: Version = { epoch: 0, by: '', number: 0 };
-
 /** What a poll of the voters gave. */
 export interface PolledVersions {
   /** The replies of a majority. */
@@ -52,8 +49,7 @@
   }
 
   const accepted = await pollVoters(voters, requestVersion, countsForQuorum);
-  const isNewer =
-    sentVoters !== undefined && compareVersions(sentVoters, committedVoters ?? NO_VERSION) > 0;
+  const isNewer = sentVoters !== undefined && isNewerVersion(sentVoters, committedVoters);
   return { accepted, newerVoterSet: isNewer ? sentVoters : undefined };
 }
 
@@ -61,14 +57,21 @@
   return reply.disk === voter.disk && !reply.voters;
 }
 
-/** Whether any disk has accepted a later version than the one that is known here; where none is, any accepted one is later. */
+/**
+ * Whether any disk has accepted a later version than the one that is known here; where none is known, any accepted one
+ * is later.
+ */
 export function hasNewerAccepted(
   replies: readonly AcceptedVersionReply[],
   known: Version | undefined,
 ): boolean {
   function isNewer(reply: AcceptedVersionReply): boolean {
-    if (reply.accepted === undefined) return false;
-    return known === undefined || compareVersions(reply.accepted, known) > 0;
+    return reply.accepted !== undefined && isNewerVersion(reply.accepted, known);
   }
   return replies.some(isNewer);
 }
+
+/** Whether a version is later than the one that is known; where none is, any is later. */
+export function isNewerVersion(version: Version, known: Version | undefined): boolean {
+  return known === undefined || compareVersions(version, known) > 0;
+}
--- a/src/control/consensus/acceptor.ts
+++ b/src/control/consensus/acceptor.ts
@@ -21,6 +21,7 @@
 import { CONTROL_KEYS } from '../../shared/state/control-keys';
 import { ControlStore } from '../storage/control-store';
 import { RegisterState } from '../storage/register-state';
+import { isNewerVersion } from './accepted-versions';
 import { VoterTransport } from './voter-transport';
 import {
   AcceptDeltaRequest,
@@ -55,7 +56,7 @@
 ): VersionedValue | undefined {
   const committed = store.registers.get(CONTROL_KEYS.voters)?.learned;
   if (!committed) return undefined;
-  return !sent || compareVersions(committed, sent) > 0 ? committed : undefined;
+  return isNewerVersion(committed, sent) ? committed : undefined;
 }
 
 /** Whether an acceptor must reject a value: it promised a higher epoch, or accepted a later version. */
@@ -102,7 +103,10 @@
     return this.acceptChange(request);
   }
 
-  /** Accepts a value that is sent as the delta to what is learned here; rejects it with the code `whole` where that is not its base. */
+  /**
+   * Accepts a value that is sent as the delta to what is learned here; rejects it with the code `whole` where that is not
+   * its base.
+   */
   @messageHandler('accept-delta', AcceptDeltaRequest)
   async acceptDelta(request: AcceptDeltaRequest): HandlerResult {
     const { delta, voters } = request;
@@ -132,7 +136,10 @@
     return Right<AcceptorReply>({ ok: true, seen: promised });
   }
 
-  /** Learns as committed what was accepted here at a version; rejects it with the code `whole` where that is another one. */
+  /**
+   * Learns as committed what was accepted here at a version; rejects it with the code `whole` where another version was
+   * accepted.
+   */
   @messageHandler('learn-accepted', LearnAcceptedRequest)
   async learnAccepted(request: LearnAcceptedRequest): HandlerResult {
     const change = this.store.registers.get(request.place.key)?.accepted;
@@ -146,7 +153,7 @@
   async learn({ change }: LearnRequest): HandlerResult {
     const register = this.store.registers.get(change.key);
     const previous = register?.learned;
-    const isNew = !previous || compareVersions(change, previous) > 0;
+    const isNew = isNewerVersion(change, previous);
     const isAccepted = register?.accepted && compareVersions(register.accepted, change) === 0;
     const learned = isAccepted ? true : change;
     const [error] = errorOrValue(
@@ -154,9 +161,10 @@
     );
     if (error) return Left(error);
     if (isNew) this.transport.onLearned(change, previous);
+    const { key, epoch, by: owner, number } = change;
     this.ports.logger.info(
-      { step: 'learn', peer: change.by },
-      `${change.key} ${change.epoch}.${change.number}`,
+      { event: 'consensus.value-learned', key, epoch, owner, number },
+      `${key} ${epoch}.${number}`,
     );
     return Right({ disk: this.store.diskId });
   }
--- a/src/control/consensus/controller-catch-up.ts
+++ b/src/control/consensus/controller-catch-up.ts
@@ -17,7 +17,10 @@
 import { VersionedValue } from '../../shared/state/versions';
 import { ControlStore } from '../storage/control-store';
 
-/** How far a controller's journal of learned keys was read: the incarnation that counted, and its count. The field names are sent. */
+/**
+ * How far a controller's journal of learned keys was read: the incarnation that counted, and its count. The field names
+ * are sent.
+ */
 interface JournalPosition {
   life: string;
   count: number;
--- a/src/control/consensus/key-owner.ts
+++ b/src/control/consensus/key-owner.ts
@@ -212,7 +212,10 @@
     return !error && !hasNewerAccepted(versions, ownership.current);
   }
 
-  /** Finds out by acquiring the key anew what became of a proposal, and attempts the change again where it was not committed. */
+  /**
+   * Finds out by acquiring the key anew what became of a proposal, and attempts the change again where it was not
+   * committed.
+   */
   private async resolveUncertain(
     request: ChangeRequest,
     proposal: UncertainProposal,
--- a/src/control/consensus/proposer.ts
+++ b/src/control/consensus/proposer.ts
@@ -7,17 +7,14 @@
 import { makeDelta, versionOf } from '../../shared/replication/delta';
 import { failure, errorOrValue, Result } from '../../shared/errors/errors';
 import { pollVoters } from '../../shared/transport/quorum-poll';
-import { compareVersions, VersionedValue, Version } from '../../shared/state/versions';
+import { compareVersions, VersionedValue } from '../../shared/state/versions';
 import { CONTROL_KEYS } from '../../shared/state/control-keys';
 import { Voter } from '../../shared/state/voter-set';
 import { ControlStore } from '../storage/control-store';
 import { AcceptedVersionReply, AcceptorReply } from './acceptor-messages';
-import { pollAcceptedVersions } from './accepted-versions';
+import { isNewerVersion, pollAcceptedVersions } from './accepted-versions';
 import { requestShortOrFull, VoterMessage, VoterTransport } from './voter-transport';
 
-/** Before every version. */
-const NO_VERSION: Version = { epoch: 0, by: '', number: 0 };
-
 /** An epoch that a majority has promised, and the newest value that any of it had accepted before. */
 export interface PreparedEpoch {
   epoch: number;
@@ -32,7 +29,7 @@
 function newestOf(promises: readonly AcceptorReply[]): VersionedValue | undefined {
   let newest: VersionedValue | undefined;
   for (const { accepted } of promises)
-    if (accepted && (!newest || compareVersions(accepted, newest) > 0)) newest = accepted;
+    if (accepted && isNewerVersion(accepted, newest)) newest = accepted;
   return newest;
 }
 
@@ -152,7 +149,7 @@
 
   private noteReply(key: string, reply: AcceptorReply): void {
     const { voters } = reply;
-    if (voters && compareVersions(voters, this.committedVoters() ?? NO_VERSION) > 0)
+    if (voters && isNewerVersion(voters, this.committedVoters()))
       void this.store.put({ key: CONTROL_KEYS.voters, learned: voters });
     this.noteEpoch(key, reply.seen.epoch);
   }
--- a/src/control/storage/control-store.ts
+++ b/src/control/storage/control-store.ts
@@ -74,7 +74,7 @@
   );
   if (writeError)
     ports.logger.error(
-      { step: 'open slots', peer: 'disk' },
+      { event: 'storage.first-write-failed', step: writeError.step, peer: writeError.peer },
       `${writeError.reason}; this node does not vote until the disk takes writes`,
     );
   return Right(makeControlStore(state, registers, writer));
@@ -104,7 +104,7 @@
   if (!recovered?.hasLostData && !hasLostVotes) return state;
   const diskId = ports.random.uuid();
   ports.logger.error(
-    { step: 'open slots', peer: 'disk' },
+    { event: 'storage.synced-data-lost', formerDisk: state.diskId, disk: diskId },
     `synced data of disk ${state.diskId} is gone; this node counts as a new disk ${diskId} and does not vote until it is named in the place of the old one`,
   );
   return { ...state, diskId, isCorrupt: true };
--- a/src/control/storage/idempotency-votes.ts
+++ b/src/control/storage/idempotency-votes.ts
@@ -81,7 +81,10 @@
     return Right({ disk: this.store.diskId, run: vote.run, state: vote.state });
   }
 
-  /** Records what became of a run; one that certainly never ran gives its key back. A run without the vote changes nothing. */
+  /**
+   * Records what became of a run; one that certainly never ran gives its key back. A run without the vote changes
+   * nothing.
+   */
   @messageHandler('run', RunStateNotice)
   async recordRunState(notice: RunStateNotice): HandlerResult {
     const { key, run, state } = notice;
@@ -103,7 +106,10 @@
       : Right({ disk: this.store.diskId });
   }
 
-  /** Lists what a disk that is to become a voter must hold: the votes whose keys begin with a prefix, and the names of the control keys. */
+  /**
+   * Lists what a disk that is to become a voter must hold: the votes whose keys begin with a prefix, and the names of the
+   * control keys.
+   */
   @messageHandler('held', ListVotesRequest)
   async listVotes(request: ListVotesRequest): HandlerResult {
     const disk = this.store.diskId;
--- a/src/control/storage/store-recovery.ts
+++ b/src/control/storage/store-recovery.ts
@@ -59,7 +59,7 @@
 /** What the replay of a log gave. */
 interface Replay {
   bootstrapVoterSet: unknown;
-  /** Whether each delta had its base. */
+  /** Whether all that was synced was there, and each delta had its base. */
   isComplete: boolean;
 }
 
@@ -77,23 +77,32 @@
   if (!snapshot) return hasTraces(slots, logs) ? withoutSnapshot() : undefined;
   const isLegacy = slots[index].isLegacy === true;
   const log = logs[index];
-  const nextLog = logs[1 - index];
   const registers = decodeRegisters(snapshot);
-  let replay = replayLog(registers, log, snapshot.founding);
-  let hasLostData =
-    !replay.isComplete || (!isLegacy && (generationOf(log) !== snapshot.gen || log.isCorrupt));
-  if (!snapshots[1 - index] && !isLegacy) {
-    const isNextGeneration = generationOf(nextLog) === snapshot.gen + 1;
-    if (isNextGeneration && !hasLostData) {
-      replay = replayLog(registers, nextLog, replay.bootstrapVoterSet);
-      hasLostData = !replay.isComplete;
-    }
-    // A log is written on only after the one before it is complete.
-    const isGapBetween = isNextGeneration && log.isTorn && nextLog.values.length > 1;
-    hasLostData ||= nextLog.isCorrupt || isGapBetween;
-  }
-  const state = stateOf(snapshot, replay.bootstrapVoterSet);
-  return { state, registers, hasLostData, isLegacy };
+  const replayed = replayLog(registers, log, snapshot.founding);
+  const isLogIntact = isLegacy || (generationOf(log) === snapshot.gen && !log.isCorrupt);
+  const replay = { ...replayed, isComplete: replayed.isComplete && isLogIntact };
+  const isNextLost = !snapshots[1 - index] && !isLegacy;
+  const { bootstrapVoterSet, isComplete } = isNextLost
+    ? replayNextLog(registers, replay, snapshot.gen, log, logs[1 - index])
+    : replay;
+  const state = stateOf(snapshot, bootstrapVoterSet);
+  return { state, registers, hasLostData: !isComplete, isLegacy };
+}
+
+/** Goes on with the next log, whose snapshot can't be read; where the log is an older one, only its bytes are checked. */
+function replayNextLog(
+  registers: Map<string, RegisterState>,
+  replay: Replay,
+  generation: number,
+  log: DecodedFrames,
+  nextLog: DecodedFrames,
+): Replay {
+  if (generationOf(nextLog) !== generation + 1)
+    return { ...replay, isComplete: replay.isComplete && !nextLog.isCorrupt };
+  const next = replay.isComplete ? replayLog(registers, nextLog, replay.bootstrapVoterSet) : replay;
+  // The next log has entries, so that its snapshot was complete, with more than the torn log gives.
+  const hasGap = log.isTorn && nextLog.values.length > 1;
+  return { ...next, isComplete: next.isComplete && !nextLog.isCorrupt && !hasGap };
 }
 
 function snapshotOf(slot: DecodedFrames): StoredSnapshot | undefined {
--- a/src/control/storage/store-writer.ts
+++ b/src/control/storage/store-writer.ts
@@ -120,8 +120,9 @@
       const name = `log-${this.state.generation % 2}`;
       const [error] = errorOrValue(await disk.append(name, bytes));
       if (error) {
-        logger.error({ step: error.step, peer: error.peer }, error.reason);
-        return failure('write log', 'disk', error.reason, 'failed', 'disk');
+        const { step, peer, reason } = error;
+        logger.error({ event: 'storage.log-append-failed', step, peer, file: name }, reason);
+        return failure('write log', 'disk', reason, 'failed', 'disk');
       }
       this.logBytes += bytes.length;
     }
--- a/src/control/storage/vote-table.ts
+++ b/src/control/storage/vote-table.ts
@@ -36,7 +36,10 @@
     return [...new Map([...this.previous, ...this.current]).values()];
   }
 
-  /** The votes whose keys begin with a prefix, oldest generation first; a vote that changed since may come twice, the newer one later. */
+  /**
+   * The votes whose keys begin with a prefix, oldest generation first; a vote that changed since may come twice, the newer
+   * one later.
+   */
   withPrefix(prefix: string): Vote[] {
     const votes: Vote[] = [];
     for (const generation of [this.previous, this.current])
