--- a/test/control/key-owner.test.ts
+++ b/test/control/key-owner.test.ts
@@ -12,64 +12,79 @@
 import { VersionedValue } from '../../src/shared/state/versions';
 import { Voter, VoterSet } from '../../src/shared/state/voter-set';
 import { makeNet } from '../../tools/sim/simwire';
-import { makeWorld, World } from '../../tools/sim/simworld';
-
-interface Cluster {
-  world: World;
-  owner: (by: string) => KeyOwner;
-  runUntilSettled: <T>(promise: Promise<T>) => Promise<T>;
-}
+import { makeWorld } from '../../tools/sim/simworld';
 
 /** Three voters' disks, and owners that reach them all. */
-async function makeThreeVoters(): Promise<Cluster> {
-  const world = makeWorld(3, false);
-  const net = makeNet(world);
-  const acceptors = new Map<string, Acceptor>();
-  const voters: VoterSet = { now: [] };
-  let upTo = 0;
-  async function drive<T>(promise: Promise<T>): Promise<T> {
-    let done = false;
-    function told(): void {
-      done = true;
-    }
-    void promise.then(told);
-    while (!done) await world.run((upTo += 10));
-    return promise;
+class Cluster {
+  private readonly world = makeWorld(3, false);
+  private readonly net = makeNet(this.world);
+  private readonly acceptors = new Map<string, Acceptor>();
+  private readonly voterSet: VoterSet = { now: [] };
+  private ranUntil = 0;
+
+  /** Adds a voter with an empty disk. */
+  async addVoter(name: string): Promise<void> {
+    const ports = this.net.ports(this.world.proc(`disk-${name}`, `127.30.1.${name}`));
+    const [, store] = errorOrValue(await this.runUntilSettled(openControlStore(ports, 1 << 20)));
+    this.voterSet.now.push({ disk: store!.diskId, at: name });
+    const transport = this.transportOf(`voter-${name}`);
+    this.acceptors.set(store!.diskId, new Acceptor(store!, transport, ports));
   }
-  function given(): VoterSet {
-    return voters;
+
+  /** An owner without a disk of its own. */
+  owner(ownerId: string): KeyOwner {
+    const store = { diskId: ownerId, registers: new Map(), put: succeed, flush: succeed };
+    return makeKeyOwner(store as never, this.transportOf(ownerId));
   }
-  function nothing(): void {}
-  function reachOf(by: string): VoterTransport {
-    function ask(voter: Voter, type: string, body: unknown): Promise<Result<unknown>> {
-      return dispatch([acceptors.get(voter.disk)!], type, body, undefined, by);
+
+  /** Runs virtual time on until a promise is settled. */
+  async runUntilSettled<T>(promise: Promise<T>): Promise<T> {
+    let isSettled = false;
+    function onSettled(): void {
+      isSettled = true;
     }
+    void promise.then(onSettled);
+    while (!isSettled) await this.world.run((this.ranUntil += 10));
+    return promise;
+  }
+
+  private transportOf(ownerId: string): VoterTransport {
     return {
-      ownerId: by,
+      ownerId,
       timeoutMs: 500,
-      voters: given,
-      request: ask,
+      voters: this.voters.bind(this),
+      request: this.request.bind(this, ownerId),
       onLearned: nothing,
-      learnLocally: nowhere,
+      learnLocally: learnNothing,
     };
   }
-  async function nowhere(): Promise<void> {}
-  for (const name of ['1', '2', '3']) {
-    const ports = net.ports(world.proc(`disk-${name}`, `127.30.1.${name}`));
-    const [, store] = errorOrValue(await drive(openControlStore(ports, 1 << 20)));
-    voters.now.push({ disk: store!.diskId, at: name });
-    acceptors.set(store!.diskId, new Acceptor(store!, reachOf(`voter-${name}`), ports));
-  }
-  async function blank(): Promise<Result<void>> {
-    return Right(undefined);
+
+  private voters(): VoterSet {
+    return this.voterSet;
   }
-  function owner(by: string): KeyOwner {
-    return makeKeyOwner(
-      { diskId: by, registers: new Map(), put: blank, flush: blank } as never,
-      reachOf(by),
-    );
+
+  private request(
+    ownerId: string,
+    voter: Voter,
+    type: string,
+    body: unknown,
+  ): Promise<Result<unknown>> {
+    return dispatch([this.acceptors.get(voter.disk)!], type, body, undefined, ownerId);
   }
-  return { world: world, owner, runUntilSettled: drive };
+}
+
+async function succeed(): Promise<Result<void>> {
+  return Right(undefined);
+}
+
+function nothing(): void {}
+
+async function learnNothing(): Promise<void> {}
+
+async function makeThreeVoters(): Promise<Cluster> {
+  const cluster = new Cluster();
+  for (const name of ['1', '2', '3']) await cluster.addVoter(name);
+  return cluster;
 }
 
 function onTopOf(
@@ -96,16 +111,16 @@
 
 async function outdatedOwner(): Promise<void> {
   const cluster = await makeThreeVoters();
-  const a = cluster.owner('a');
-  const b = cluster.owner('b');
-  expect((await cluster.runUntilSettled(a.change('k', onTopOf(undefined, 'one')))).isRight()).toBe(
-    true,
-  );
-  expect((await changeWithRetry(cluster, b, onTopOf('one', 'two'))).isRight()).toBe(true);
-  const result = await changeWithRetry(cluster, a, onTopOf('two', 'three'));
+  const ownerA = cluster.owner('a');
+  const ownerB = cluster.owner('b');
+  expect(
+    (await cluster.runUntilSettled(ownerA.change('k', onTopOf(undefined, 'one')))).isRight(),
+  ).toBe(true);
+  expect((await changeWithRetry(cluster, ownerB, onTopOf('one', 'two'))).isRight()).toBe(true);
+  const result = await changeWithRetry(cluster, ownerA, onTopOf('two', 'three'));
   expect(result.map(valueOf).extract()).toBe('three');
   expect(
-    (await cluster.runUntilSettled(a.change('k', onTopOf('two', 'four')))).extract(),
+    (await cluster.runUntilSettled(ownerA.change('k', onTopOf('two', 'four')))).extract(),
   ).toMatchObject({
     code: 'conflict',
     certainty: 'refused',
@@ -116,43 +131,48 @@
 async function outdatedVerdict(): Promise<void> {
   for (const code of ['stands', 'bad-deployment', 'conflict'] as const) {
     const cluster = await makeThreeVoters();
-    const a = cluster.owner('a');
-    const b = cluster.owner('b');
+    const ownerA = cluster.owner('a');
+    const ownerB = cluster.owner('b');
     function unlessOne(now: VersionedValue | undefined): Result<unknown> {
       return now?.value === 'one'
         ? failure('change', 'k', 'one stands', 'refused', code)
         : Right('x');
     }
     expect(
-      (await cluster.runUntilSettled(a.change('k', onTopOf(undefined, 'one')))).isRight(),
+      (await cluster.runUntilSettled(ownerA.change('k', onTopOf(undefined, 'one')))).isRight(),
     ).toBe(true);
-    expect((await cluster.runUntilSettled(a.change('k', unlessOne))).extract()).toMatchObject({
+    expect((await cluster.runUntilSettled(ownerA.change('k', unlessOne))).extract()).toMatchObject({
       code,
     });
-    expect((await changeWithRetry(cluster, b, onTopOf('one', 'two'))).isRight()).toBe(true);
-    expect([code, (await changeWithRetry(cluster, a, unlessOne)).map(valueOf).extract()]).toEqual([
+    expect((await changeWithRetry(cluster, ownerB, onTopOf('one', 'two'))).isRight()).toBe(true);
+    expect([
       code,
-      'x',
-    ]);
+      (await changeWithRetry(cluster, ownerA, unlessOne)).map(valueOf).extract(),
+    ]).toEqual([code, 'x']);
   }
 }
 
 /** Readers that have a key settled at the same time: one settling is under way, and one for all who came meanwhile. */
 async function sharedReacquisition(): Promise<void> {
   const cluster = await makeThreeVoters();
-  const a = cluster.owner('a');
-  expect((await cluster.runUntilSettled(a.change('k', onTopOf(undefined, 'one')))).isRight()).toBe(
-    true,
-  );
-  const first = a.reacquire('k');
+  const ownerA = cluster.owner('a');
+  expect(
+    (await cluster.runUntilSettled(ownerA.change('k', onTopOf(undefined, 'one')))).isRight(),
+  ).toBe(true);
+  const first = ownerA.reacquire('k');
   await Promise.resolve();
   await Promise.resolve();
-  const later = [a.reacquire('k'), a.reacquire('k'), a.reacquire('k'), a.reacquire('k')];
+  const later = [
+    ownerA.reacquire('k'),
+    ownerA.reacquire('k'),
+    ownerA.reacquire('k'),
+    ownerA.reacquire('k'),
+  ];
   const all = await cluster.runUntilSettled(Promise.all([first, ...later]));
   const epochs = new Set<number>();
   for (const result of all) epochs.add((result.extract() as VersionedValue).epoch);
   expect([...epochs]).toEqual([2, 3]);
-  expect((await cluster.runUntilSettled(a.reacquire('k'))).extract()).toMatchObject({
+  expect((await cluster.runUntilSettled(ownerA.reacquire('k'))).extract()).toMatchObject({
     epoch: 4,
     value: 'one',
   });
--- a/test/control/linearizable-reads.test.ts
+++ b/test/control/linearizable-reads.test.ts
@@ -14,16 +14,15 @@
 import { openControlStore, ControlStore } from '../../src/control/storage/control-store';
 import { dispatch } from '../../src/shared/transport/message-handlers';
 import { failure, errorOrValue, Result } from '../../src/shared/errors/errors';
-import { Ports } from '../../src/shared/ports/ports';
 import { CONTROL_KEYS } from '../../src/shared/state/control-keys';
 import { VersionedValue } from '../../src/shared/state/versions';
 import { Voter, VoterSet } from '../../src/shared/state/voter-set';
-import { makeNet } from '../../tools/sim/simwire';
+import { makeNet, SimNet } from '../../tools/sim/simwire';
 import { makeWorld, Proc, World } from '../../tools/sim/simworld';
 
 const KEY = 'k';
 
-/** One control machine without its duties: its disk, and what it answers. */
+/** One control machine without its background tasks: its disk, and what it answers. */
 interface Machine {
   proc: Proc;
   store: ControlStore;
@@ -33,174 +32,179 @@
 }
 
 /** Control machines whose messages reach only those that `passes` lets through. */
-interface Rig {
-  world: World;
-  machines: Map<string, Machine>;
-  initialVoters: VoterSet;
-  passes: (from: string, to: string, type: string) => boolean;
+class Cluster {
+  readonly world: World;
+  readonly machines = new Map<string, Machine>();
+  /** The voters of a machine that has learned none. */
+  initialVoters: VoterSet = { now: [] };
+  passes: (from: string, to: string, type: string) => boolean = passesAll;
   /** Holds a message up for as long as the promise lasts. */
-  delays: (from: string, to: string, type: string) => Promise<void> | undefined;
-  /** Runs virtual time on until a promise is settled. */
-  runUntilSettled: <T>(promise: Promise<T>) => Promise<T | undefined>;
-  add: (at: string) => Promise<Machine>;
-  replaceDisk: (at: string) => Promise<Machine>;
-  voterOf: (at: string) => Voter;
-}
+  delays: (from: string, to: string, type: string) => Promise<void> | undefined = withoutDelay;
+  private readonly net: SimNet;
 
-function makeRig(seed: number): Rig {
-  const world = makeWorld(seed, false);
-  const net = makeNet(world);
-  const machines = new Map<string, Machine>();
+  constructor(seed: number) {
+    this.world = makeWorld(seed, false);
+    this.net = makeNet(this.world);
+  }
 
-  function all(): boolean {
-    return true;
+  /** Adds a machine with an empty disk. */
+  async add(at: string): Promise<Machine> {
+    return this.start(at, this.world.proc(at, at));
   }
 
-  async function settled<T>(promise: Promise<T>): Promise<T | undefined> {
-    let got: { v: T } | undefined;
-    function told(value: T): void {
-      got = { v: value };
-    }
-    void promise.then(told);
-    for (let i = 0; i < 4000 && !got; i++) await world.run(world.now() + 1);
-    return got?.v;
+  /** Starts a machine again with an empty disk. */
+  async replaceDisk(at: string): Promise<Machine> {
+    const { proc } = this.machineAt(at);
+    this.world.kill(proc, true);
+    proc.files.clear();
+    this.world.revive(proc);
+    return this.start(at, proc);
   }
 
-  async function opened(ports: Ports): Promise<ControlStore> {
-    const result = await settled(openControlStore(ports, 1 << 20));
-    return errorOrValue(result!)[1]!;
+  machineAt(at: string): Machine {
+    return this.machines.get(at)!;
   }
 
-  async function add(at: string): Promise<Machine> {
-    return start(at, world.proc(at, at));
+  votersAt(names: string[]): Voter[] {
+    return names.map(this.voterOf.bind(this));
   }
 
-  async function start(at: string, proc: Proc): Promise<Machine> {
-    const ports = net.ports(proc);
-    const store = await opened(ports);
-    function voters(): VoterSet {
-      return (
-        (store.registers.get(CONTROL_KEYS.voters)?.learned?.value as VoterSet | undefined) ??
-        rig.initialVoters
-      );
-    }
-    async function ask(voter: Voter, type: string, body: unknown): Promise<Result<unknown>> {
-      await rig.delays(at, voter.at, type);
-      const to = machines.get(voter.at);
-      if (!to || (voter.at !== at && !rig.passes(at, voter.at, type)))
-        return failure(type, voter.at, 'cut off', 'unknown', 'timeout');
-      const handlers = to.handlers;
-      return dispatch(handlers, type, structuredClone(body), undefined, voter.at);
-    }
-    function nothing(): void {}
-    async function learnHere(change: VersionedValue): Promise<unknown> {
-      return acceptor.learn({ change });
+  /** Runs virtual time on until a promise is settled; undefined where it is not in time. */
+  async runUntilSettled<T>(promise: Promise<T>): Promise<T | undefined> {
+    let settled: { value: T } | undefined;
+    function onSettled(value: T): void {
+      settled = { value };
     }
-    const transport: VoterTransport = {
-      ownerId: `${at}.${store.diskId}`,
-      timeoutMs: 100,
-      voters,
-      request: ask,
-      onLearned: nothing,
-      learnLocally: learnHere,
-    };
+    void promise.then(onSettled);
+    for (let i = 0; i < 4000 && !settled; i++) await this.world.run(this.world.now() + 1);
+    return settled?.value;
+  }
+
+  private voterOf(at: string): Voter {
+    return { disk: this.machineAt(at).store.diskId, at };
+  }
+
+  private async start(at: string, proc: Proc): Promise<Machine> {
+    const ports = this.net.ports(proc);
+    const opened = await this.runUntilSettled(openControlStore(ports, 1 << 20));
+    const store = errorOrValue(opened!)[1]!;
+    const transport = this.transportOf(at, store, learnLocally);
     const acceptor = new Acceptor(store, transport, ports);
     const owner = makeKeyOwner(store, transport);
-    async function ofOwner(key: string, type: string, body: unknown): Promise<Result<unknown>> {
-      return dispatch(machine.handlers, type, body, undefined, key);
+    async function learnLocally(change: VersionedValue): Promise<unknown> {
+      return acceptor.learn({ change });
+    }
+    async function requestOwner(
+      key: string,
+      type: string,
+      body: unknown,
+    ): Promise<Result<unknown>> {
+      return dispatch(handlers, type, body, undefined, key);
     }
     const reads: ReadDependencies = {
-      store: store,
+      store,
       keyOwner: owner,
-      voters,
-      requestVoter: ask,
-      requestOwner: ofOwner,
-      learnLocally: learnHere,
+      voters: transport.voters,
+      requestVoter: this.request.bind(this, at),
+      requestOwner,
+      learnLocally,
     };
-    const machine: Machine = {
-      proc,
-      store: store,
-      owner,
-      handlers: [acceptor, new ReadHandlers(reads)],
-      reads,
-    };
-    machines.set(at, machine);
+    const handlers: object[] = [acceptor, new ReadHandlers(reads)];
+    const machine: Machine = { proc, store, owner, handlers, reads };
+    this.machines.set(at, machine);
     return machine;
   }
 
-  async function replaceDisk(at: string): Promise<Machine> {
-    const { proc } = machines.get(at)!;
-    world.kill(proc, true);
-    proc.files.clear();
-    world.revive(proc);
-    return start(at, proc);
+  private transportOf(
+    at: string,
+    store: ControlStore,
+    learnLocally: VoterTransport['learnLocally'],
+  ): VoterTransport {
+    return {
+      ownerId: `${at}.${store.diskId}`,
+      timeoutMs: 100,
+      voters: this.votersKnownTo.bind(this, store),
+      request: this.request.bind(this, at),
+      onLearned: nothing,
+      learnLocally,
+    };
   }
 
-  function voterOf(at: string): Voter {
-    return { disk: machines.get(at)!.store.diskId, at };
+  private votersKnownTo(store: ControlStore): VoterSet {
+    const learned = store.registers.get(CONTROL_KEYS.voters)?.learned;
+    return (learned?.value as VoterSet | undefined) ?? this.initialVoters;
   }
 
-  function never(): undefined {
-    return undefined;
+  private async request(
+    from: string,
+    voter: Voter,
+    type: string,
+    body: unknown,
+  ): Promise<Result<unknown>> {
+    await this.delays(from, voter.at, type);
+    const receiver = this.machines.get(voter.at);
+    if (!receiver || (voter.at !== from && !this.passes(from, voter.at, type)))
+      return failure(type, voter.at, 'cut off', 'unknown', 'timeout');
+    return dispatch(receiver.handlers, type, structuredClone(body), undefined, voter.at);
   }
+}
+
+function passesAll(): boolean {
+  return true;
+}
 
-  const rig: Rig = {
-    world: world,
-    machines,
-    initialVoters: { now: [] },
-    passes: all,
-    delays: never,
-    runUntilSettled: settled,
-    add,
-    replaceDisk,
-    voterOf,
-  };
-  return rig;
+function withoutDelay(): undefined {
+  return undefined;
 }
 
-async function makeThreeVoters(seed: number): Promise<Rig> {
-  const rig = makeRig(seed);
-  for (const at of ['a', 'b', 'c']) await rig.add(at);
-  rig.initialVoters = { now: ['a', 'b', 'c'].map(rig.voterOf) };
-  return rig;
+async function makeThreeVoters(seed: number): Promise<Cluster> {
+  const cluster = new Cluster(seed);
+  for (const at of ['a', 'b', 'c']) await cluster.add(at);
+  cluster.initialVoters = { now: cluster.votersAt(['a', 'b', 'c']) };
+  return cluster;
 }
 
-async function put(rig: Rig, at: string, key: string, value: unknown): Promise<void> {
+async function put(cluster: Cluster, at: string, key: string, value: unknown): Promise<void> {
   function make(): Result<unknown> {
     return Right(value);
   }
-  const result = await rig.runUntilSettled(rig.machines.get(at)!.owner.change(key, make));
+  const result = await cluster.runUntilSettled(cluster.machineAt(at).owner.change(key, make));
   expect(errorOrValue(result!)[0]).toBeUndefined();
 }
 
-async function reacquire(rig: Rig, at: string, key: string): Promise<void> {
-  const { owner } = rig.machines.get(at)!;
+async function reacquire(cluster: Cluster, at: string, key: string): Promise<void> {
+  const { owner } = cluster.machineAt(at);
   owner.release(key);
-  expect(errorOrValue((await rig.runUntilSettled(owner.acquire(key)))!)[0]).toBeUndefined();
+  expect(errorOrValue((await cluster.runUntilSettled(owner.acquire(key)))!)[0]).toBeUndefined();
 }
 
 /** What a read gives: a value, or the code of its fault. */
-async function read(rig: Rig, at: string): Promise<unknown> {
-  const result = await rig.runUntilSettled(readLinearizable(rig.machines.get(at)!.reads, KEY));
+async function read(cluster: Cluster, at: string): Promise<unknown> {
+  const result = await cluster.runUntilSettled(readLinearizable(cluster.machineAt(at).reads, KEY));
   const [error, n] = errorOrValue(result!);
   return error ? error.code : n?.value;
 }
 
 /** Brings a set of voters about by the steps that controllers take: the joint set, all keys anew, the new set alone. */
-async function moveVoters(rig: Rig, at: string, now: Voter[], next: Voter[]): Promise<void> {
-  await put(rig, at, CONTROL_KEYS.voters, { now, next });
-  await catchUpOnVoters(rig, at);
-  await reacquire(rig, at, KEY);
-  await put(rig, at, CONTROL_KEYS.voters, { now: next });
-  await catchUpOnVoters(rig, at);
+async function moveVoters(
+  cluster: Cluster,
+  at: string,
+  now: Voter[],
+  next: Voter[],
+): Promise<void> {
+  await put(cluster, at, CONTROL_KEYS.voters, { now, next });
+  await catchUpOnVoters(cluster, at);
+  await reacquire(cluster, at, KEY);
+  await put(cluster, at, CONTROL_KEYS.voters, { now: next });
+  await catchUpOnVoters(cluster, at);
 }
 
 /** Has those in reach learn the voters that stand at one of them, as they do when they catch up. */
-async function catchUpOnVoters(rig: Rig, from: string): Promise<void> {
-  const change = rig.machines.get(from)!.store.registers.get(CONTROL_KEYS.voters)!.learned!;
-  for (const [at, machine] of rig.machines)
-    if (rig.passes(from, at, 'learn'))
-      await rig.runUntilSettled(machine.reads.learnLocally(change));
+async function catchUpOnVoters(cluster: Cluster, from: string): Promise<void> {
+  const change = cluster.machineAt(from).store.registers.get(CONTROL_KEYS.voters)!.learned!;
+  for (const [at, machine] of cluster.machines)
+    if (cluster.passes(from, at, 'learn'))
+      await cluster.runUntilSettled(machine.reads.learnLocally(change));
 }
 
 function without(names: string[]): (from: string, to: string) => boolean {
@@ -212,45 +216,46 @@
 
 /** One machine hears of a key that was carried over to other voters, and of the voters nothing. */
 async function readsByOldVoters(): Promise<void> {
-  const rig = await makeThreeVoters(1);
-  await put(rig, 'a', KEY, 'first');
-  for (const at of ['d', 'e']) await rig.add(at);
-  rig.passes = without(['c']);
-  const [a, b, c, d, e] = ['a', 'b', 'c', 'd', 'e'].map(rig.voterOf);
-  await moveVoters(rig, 'a', [a, b, c], [a, d, c]);
-  const carried = rig.machines.get('a')!.store.registers.get(KEY)!.learned!;
-  await rig.runUntilSettled(rig.machines.get('c')!.reads.learnLocally(carried));
-  rig.passes = without(['c', 'b']);
-  await moveVoters(rig, 'a', [a, d, c], [e, d, c]);
-  rig.passes = without(['a', 'b', 'c']);
-  await reacquire(rig, 'd', KEY);
-  await put(rig, 'd', KEY, 'second');
-  rig.passes = without(['a', 'd', 'e']);
-  expect(await read(rig, 'c')).toBe('timeout');
-  rig.passes = without([]);
-  for (const at of ['c', 'd', 'e']) expect(await read(rig, at)).toBe('second');
+  const cluster = await makeThreeVoters(1);
+  await put(cluster, 'a', KEY, 'first');
+  for (const at of ['d', 'e']) await cluster.add(at);
+  cluster.passes = without(['c']);
+  const [a, b, c, d, e] = cluster.votersAt(['a', 'b', 'c', 'd', 'e']);
+  await moveVoters(cluster, 'a', [a, b, c], [a, d, c]);
+  const carried = cluster.machineAt('a').store.registers.get(KEY)!.learned!;
+  await cluster.runUntilSettled(cluster.machineAt('c').reads.learnLocally(carried));
+  cluster.passes = without(['c', 'b']);
+  await moveVoters(cluster, 'a', [a, d, c], [e, d, c]);
+  cluster.passes = without(['a', 'b', 'c']);
+  await reacquire(cluster, 'd', KEY);
+  await put(cluster, 'd', KEY, 'second');
+  cluster.passes = without(['a', 'd', 'e']);
+  expect(await read(cluster, 'c')).toBe('timeout');
+  cluster.passes = without([]);
+  for (const at of ['c', 'd', 'e']) expect(await read(cluster, at)).toBe('second');
 }
 
 /** An acquisition that was under way as the voters became joint has its change accepted by the old set, and learned by both. */
 async function learnedCounts(): Promise<void> {
-  const rig = await makeThreeVoters(2);
-  await put(rig, 'a', KEY, 'first');
-  const [a, , c] = ['a', 'b', 'c'].map(rig.voterOf);
-  const b = rig.voterOf((await rig.replaceDisk('b')).proc.name);
-  rig.initialVoters = { now: [a, b, c] };
+  const cluster = await makeThreeVoters(2);
+  await put(cluster, 'a', KEY, 'first');
+  const [a, , c] = cluster.votersAt(['a', 'b', 'c']);
+  await cluster.replaceDisk('b');
+  const [b] = cluster.votersAt(['b']);
+  cluster.initialVoters = { now: [a, b, c] };
   const change = { key: KEY, epoch: 9, by: 'a.1', number: 9, value: 'second' };
-  await rig.runUntilSettled(
-    rig.machines.get('a')!.store.put({ key: KEY, accepted: change, learned: true }),
+  await cluster.runUntilSettled(
+    cluster.machineAt('a').store.put({ key: KEY, accepted: change, learned: true }),
   );
-  await rig.runUntilSettled(rig.machines.get('b')!.store.put({ key: KEY, learned: change }));
-  rig.passes = without(['a']);
-  expect(await read(rig, 'c')).toBe('second');
+  await cluster.runUntilSettled(cluster.machineAt('b').store.put({ key: KEY, learned: change }));
+  cluster.passes = without(['a']);
+  expect(await read(cluster, 'c')).toBe('second');
 }
 
 /** An acquisition that another owner has overtaken is still under way as a read has the key settled. */
 async function reacquiresAfterReadBegan(): Promise<void> {
-  const rig = await makeThreeVoters(4);
-  await put(rig, 'a', KEY, 'first');
+  const cluster = await makeThreeVoters(4);
+  await put(cluster, 'a', KEY, 'first');
   let release: () => void = nothing;
   function keep(done: () => void): void {
     release = done;
@@ -259,48 +264,48 @@
   function learnsOfA(from: string, to: string, type: string): Promise<void> | undefined {
     return from === 'a' && to !== 'a' && type.startsWith('learn') ? held : undefined;
   }
-  rig.delays = learnsOfA;
-  const { owner, reads } = rig.machines.get('a')!;
+  cluster.delays = learnsOfA;
+  const { owner, reads } = cluster.machineAt('a');
   owner.release(KEY);
   void owner.acquire(KEY);
-  await runFor(rig, 100);
-  rig.passes = without(['a']);
-  await put(rig, 'c', KEY, 'second');
-  rig.passes = without([]);
+  await runFor(cluster, 100);
+  cluster.passes = without(['a']);
+  await put(cluster, 'c', KEY, 'second');
+  cluster.passes = without([]);
   const seen = readLinearizable(reads, KEY);
-  await runFor(rig, 100);
+  await runFor(cluster, 100);
   release();
-  expect(errorOrValue((await rig.runUntilSettled(seen))!)[1]?.value).toBe('second');
+  expect(errorOrValue((await cluster.runUntilSettled(seen))!)[1]?.value).toBe('second');
 }
 
 function nothing(): void {}
 
 /** Runs virtual time on in small steps, so that what has no timer goes on as well. */
-async function runFor(rig: Rig, ms: number): Promise<void> {
-  for (let i = 0; i < ms; i++) await rig.world.run(rig.world.now() + 1);
+async function runFor(cluster: Cluster, ms: number): Promise<void> {
+  for (let i = 0; i < ms; i++) await cluster.world.run(cluster.world.now() + 1);
 }
 
 /** A disk that hangs, or has failed a write, holds up no read, and what it tells is never older than what it has synced. */
 async function readsWithoutDisk(): Promise<void> {
-  const rig = await makeThreeVoters(3);
-  await put(rig, 'a', KEY, 'first');
+  const cluster = await makeThreeVoters(3);
+  await put(cluster, 'a', KEY, 'first');
   for (const trouble of ['stalled', 'full'] as const) {
-    for (const at of ['b', 'c']) rig.machines.get(at)!.proc.disk[trouble] = true;
-    const change = rig.machines.get('a')!.owner.change(KEY, makeOther);
-    await runFor(rig, 500);
-    const began = rig.world.now();
-    const seen = await rig.runUntilSettled(readLinearizable(rig.machines.get('b')!.reads, KEY));
-    if (trouble === 'full') expect(rig.world.now() - began).toBeLessThan(100);
+    for (const at of ['b', 'c']) cluster.machineAt(at).proc.disk[trouble] = true;
+    const change = cluster.machineAt('a').owner.change(KEY, makeOther);
+    await runFor(cluster, 500);
+    const began = cluster.world.now();
+    const seen = await cluster.runUntilSettled(readLinearizable(cluster.machineAt('b').reads, KEY));
+    if (trouble === 'full') expect(cluster.world.now() - began).toBeLessThan(100);
     expect(seen === undefined || errorOrValue(seen)[1]?.value !== 'older').toBe(true);
     for (const at of ['b', 'c']) {
-      const { proc } = rig.machines.get(at)!;
+      const { proc } = cluster.machineAt(at);
       proc.disk.full = false;
-      rig.world.stall(proc, false);
+      cluster.world.stall(proc, false);
     }
-    await rig.runUntilSettled(change);
-    await reacquire(rig, 'a', KEY);
-    for (const at of ['a', 'b', 'c']) expect(await read(rig, at)).toBe('other');
-    await put(rig, 'a', KEY, 'first');
+    await cluster.runUntilSettled(change);
+    await reacquire(cluster, 'a', KEY);
+    for (const at of ['a', 'b', 'c']) expect(await read(cluster, at)).toBe('other');
+    await put(cluster, 'a', KEY, 'first');
   }
   function makeOther(): Result<unknown> {
     return Right('other');
--- a/test/control/storage-durability.test.ts
+++ b/test/control/storage-durability.test.ts
@@ -4,11 +4,13 @@
 
 import { Right } from 'purify-ts';
 import { Acceptor } from '../../src/control/consensus/acceptor';
-import { openControlStore } from '../../src/control/storage/control-store';
+import { VoterTransport } from '../../src/control/consensus/voter-transport';
+import { ControlStore, openControlStore } from '../../src/control/storage/control-store';
 import { StoredVotes, readStoredVotes } from '../../src/control/storage/vote-files';
 import { IdempotencyVotes } from '../../src/control/storage/idempotency-votes';
 import { dispatch } from '../../src/shared/transport/message-handlers';
 import { failure, errorOrValue, Result } from '../../src/shared/errors/errors';
+import { Disk } from '../../src/shared/ports/disk';
 import { Ports } from '../../src/shared/ports/ports';
 import {
   DiskFiles,
@@ -68,114 +70,153 @@
   return back;
 }
 
-async function answeredWhenSynced(): Promise<void> {
-  const files: DiskFiles = new Map();
-  const ports = portsWithFiles(files);
-  let fails = false;
-  let held: (() => void)[] | undefined = [];
-  async function append(name: string, bytes: Uint8Array): Promise<Result<void>> {
-    function wait(go: () => void): void {
-      if (held) held.push(go);
-      else go();
-    }
-    await new Promise<void>(wait);
-    return fails
-      ? failure('append', name, 'no space', 'failed', 'disk')
-      : ports.disk.append(name, bytes);
-  }
-  async function write(name: string, bytes: Uint8Array): Promise<Result<void>> {
-    return fails
-      ? failure('write', name, 'no space', 'failed', 'disk')
-      : ports.disk.write(name, bytes);
-  }
-  const slow: Ports = { ...ports, disk: { ...ports.disk, append, write } };
-  const [, store] = errorOrValue(await openControlStore(slow, 1 << 20));
-  const set = { now: [{ disk: store!.diskId, at: '0' }] };
-  function voters(): typeof set {
-    return set;
+/** A disk that holds appends up until it is released, and fails all writes while told so. */
+class FaultyDisk {
+  fails = false;
+  private held: (() => void)[] | undefined = [];
+
+  constructor(private readonly disk: Disk) {}
+
+  port(): Disk {
+    return { read: this.disk.read, write: this.write.bind(this), append: this.append.bind(this) };
+  }
+
+  release(): void {
+    for (const go of this.held?.splice(0) ?? []) go();
+    this.held = undefined;
+  }
+
+  private async append(name: string, bytes: Uint8Array): Promise<Result<void>> {
+    await new Promise<void>(this.hold.bind(this));
+    return this.fails ? noSpace('append', name) : this.disk.append(name, bytes);
+  }
+
+  private async write(name: string, bytes: Uint8Array): Promise<Result<void>> {
+    return this.fails ? noSpace('write', name) : this.disk.write(name, bytes);
+  }
+
+  private hold(go: () => void): void {
+    if (this.held) this.held.push(go);
+    else go();
+  }
+}
+
+function noSpace(step: string, name: string): Result<void> {
+  return failure(step, name, 'no space', 'failed', 'disk');
+}
+
+/** A message to one of a voter's handlers. */
+type Message = readonly [handler: object, type: string, body: unknown];
+
+async function send([handler, type, body]: Message): Promise<Result<unknown>> {
+  return dispatch([handler], type, body, undefined, '');
+}
+
+/** The acceptor and the votes of a single voter. */
+async function startVoter(ports: Ports): Promise<{ acceptor: Acceptor; votes: IdempotencyVotes }> {
+  const [, store] = errorOrValue(await openControlStore(ports, 1 << 20));
+  const voterSet = { now: [{ disk: store!.diskId, at: '0' }] };
+  function voters(): typeof voterSet {
+    return voterSet;
   }
   function nothing(): void {}
-  async function never(): Promise<Result<unknown>> {
+  async function nobody(): Promise<Result<unknown>> {
     return failure('ask', '', 'nobody', 'refused', 'none');
   }
-  const acceptor = new Acceptor(
-    store!,
-    {
-      ownerId: 'a.1',
-      timeoutMs: 1,
-      voters,
-      request: never,
-      onLearned: nothing,
-      learnLocally: never,
-    },
-    slow,
-  );
-  const votes = new IdempotencyVotes(store!, slow, voters, 1000);
+  async function sync(): Promise<Result<void>> {
+    return Right(undefined);
+  }
+  const transport: VoterTransport = {
+    ownerId: 'a.1',
+    timeoutMs: 1,
+    voters,
+    request: nobody,
+    onLearned: nothing,
+    learnLocally: nobody,
+  };
+  const votes = new IdempotencyVotes(store!, ports, voters, 1000);
   await votes.start({
     votes: [],
     fileIndex: 0,
     generation: 0,
     disk: '',
     isCorrupt: false,
-    sync: nothingToSync,
+    sync,
   });
-  async function nothingToSync(): Promise<Result<void>> {
-    return Right(undefined);
-  }
+  return { acceptor: new Acceptor(store!, transport, ports), votes };
+}
+
+async function answeredWhenSynced(): Promise<void> {
+  const files: DiskFiles = new Map();
+  const ports = portsWithFiles(files);
+  const disk = new FaultyDisk(ports.disk);
+  const { acceptor, votes } = await startVoter({ ...ports, disk: disk.port() });
   const change = { key: 'k', epoch: 1, by: 'a.1', number: 1, value: 1 };
   const vote = { key: 'x', run: 'r1', state: 'running' };
-  const acts = [
+  const messages: Message[] = [
     [acceptor, 'learn', { change }],
     [votes, 'copy', [vote]],
     [votes, 'vote', { key: 'x', run: 'r2' }],
     [votes, 'run', { key: 'x', run: 'r1', state: 'done' }],
-  ] as const;
+  ];
   const replies: Promise<Result<unknown>>[] = [];
-  for (const [edge, type, body] of [...acts, ...acts]) {
-    replies.push(dispatch([edge], type, body, undefined, ''));
-    expect({ type, back: await isBack(replies[replies.length - 1]) }).toEqual({
-      type,
-      back: false,
-    });
+  for (const message of [...messages, ...messages]) {
+    const reply = send(message);
+    replies.push(reply);
+    const type = message[1];
+    expect({ type, back: await isBack(reply) }).toEqual({ type, back: false });
   }
-  fails = true;
-  for (const go of held.splice(0)) go();
-  held = undefined;
+  disk.fails = true;
+  disk.release();
   for (const result of await Promise.all(replies)) expect(result.isLeft()).toBe(true);
-  for (const [edge, type, body] of acts)
-    expect({ type, kept: (await dispatch([edge], type, body, undefined, '')).isRight() }).toEqual({
-      type,
-      kept: false,
-    });
-  fails = false;
-  for (const [edge, type, body] of acts)
-    expect({ type, kept: (await dispatch([edge], type, body, undefined, '')).isRight() }).toEqual({
-      type,
-      kept: true,
-    });
+  async function expectKept(kept: boolean): Promise<void> {
+    for (const message of messages) {
+      const type = message[1];
+      expect({ type, kept: (await send(message)).isRight() }).toEqual({ type, kept });
+    }
+  }
+  await expectKept(false);
+  disk.fails = false;
+  await expectKept(true);
   const after = await openStore(files);
   expect(after.registers.get('k')?.learned).toEqual(change);
 }
 
+/** The votes of a single voter, started anew from its files. */
+async function startVotes(store: ControlStore, files: DiskFiles): Promise<IdempotencyVotes> {
+  const voterSet = { now: [{ disk: store.diskId, at: '127.10.1.1:7000' }] };
+  function voters(): typeof voterSet {
+    return voterSet;
+  }
+  const votes = new IdempotencyVotes(store, portsWithFiles(files), voters, 1000);
+  await votes.start(await storedVotes(files));
+  return votes;
+}
+
+async function storedVotes(files: DiskFiles): Promise<StoredVotes> {
+  return (await readStoredVotes(portsWithFiles(files))).extract() as StoredVotes;
+}
+
+/** The keys that begin with a prefix and have a vote. */
+async function votedKeys(votes: IdempotencyVotes, begins: string): Promise<string> {
+  const listed = (await votes.listVotes({ begins })).extract() as { votes: { key: string }[] };
+  return listed.votes.map(keyOf).join();
+}
+
+function keyOf(vote: { key: string }): string {
+  return vote.key;
+}
+
 async function voteOutlivesRestarts(): Promise<void> {
   const files: DiskFiles = new Map();
-  const disk = await openStore(files);
-  const voters = { now: [{ disk: disk.diskId, at: '127.10.1.1:7000' }] };
-  function set(): typeof voters {
-    return voters;
-  }
-  async function votesOn(): Promise<IdempotencyVotes> {
-    const v = new IdempotencyVotes(disk, portsWithFiles(files), set, 1000);
-    await v.start((await readStoredVotes(portsWithFiles(files))).extract() as StoredVotes);
-    return v;
-  }
-  const one = await votesOn();
-  expect((await one.vote({ key: 'a', run: 'r1' })).extract()).toMatchObject({ run: 'r1' });
-  await one.recordRunState({ key: 'a', run: 'r1', state: 'done' });
-  await one.vote({ key: 'b', run: 'r2' });
-  await one.recordRunState({ key: 'b', run: 'r2', state: 'released' });
+  const store = await openStore(files);
+  const first = await startVotes(store, files);
+  expect((await first.vote({ key: 'a', run: 'r1' })).extract()).toMatchObject({ run: 'r1' });
+  await first.recordRunState({ key: 'a', run: 'r1', state: 'done' });
+  await first.vote({ key: 'b', run: 'r2' });
+  await first.recordRunState({ key: 'b', run: 'r2', state: 'released' });
   for (let i = 0; i < 4; i++) {
-    const again = await votesOn();
+    const again = await startVotes(store, files);
     expect((await again.vote({ key: 'a', run: 'r3' })).extract()).toMatchObject({
       run: 'r1',
       state: 'done',
@@ -183,29 +224,26 @@
     if (i === 3)
       expect((await again.vote({ key: 'b', run: 'r4' })).extract()).toMatchObject({ run: 'r4' });
   }
-  const held = [];
-  for (const begins of ['a', 'b', 'c'])
-    held.push(
-      ((await one.listVotes({ begins })).extract() as { votes: { key: string }[] }).votes
-        .map(keyOf)
-        .join(),
-    );
-  expect(held).toEqual(['a', '', '']);
-  function keyOf(x: { key: string }): string {
-    return x.key;
-  }
-  const votesOnly = new Map([...files].filter(isVotes));
-  function isVotes(x: [string, unknown]): boolean {
-    return x[0].startsWith('votes');
-  }
-  for (const x of corruptedCopies(votesOnly)) {
-    if (/emptied|gone/.test(x.what)) continue;
-    expect({
-      what: x.what,
-      spoilt: ((await readStoredVotes(portsWithFiles(x.files))).extract() as StoredVotes).isCorrupt,
-    }).toEqual({ what: x.what, spoilt: true });
+  const keys = [];
+  for (const begins of ['a', 'b', 'c']) keys.push(await votedKeys(first, begins));
+  expect(keys).toEqual(['a', '', '']);
+  await expectCorruptWhereChanged(files);
+}
+
+/** Any byte changed in a file of votes shows at the next start. */
+async function expectCorruptWhereChanged(files: DiskFiles): Promise<void> {
+  const voteFiles = new Map([...files].filter(isVoteFile));
+  for (const { what, files: changed } of corruptedCopies(voteFiles)) {
+    if (/emptied|gone/.test(what)) continue;
+    const spoilt = (await storedVotes(changed)).isCorrupt;
+    expect({ what, spoilt }).toEqual({ what, spoilt: true });
   }
 }
+
+function isVoteFile([name]: [string, unknown]): boolean {
+  return name.startsWith('votes');
+}
+
 test('a vote outlives restarts, and a released key can be run anew', voteOutlivesRestarts);
 
 test(
--- a/test/control/storage-full-disk.test.ts
+++ b/test/control/storage-full-disk.test.ts
@@ -213,10 +213,8 @@
   }
 }
 
-/** While one write is under way, and after it has failed, nothing is answered by what is in memory only. */
-async function answersWhenSynced(): Promise<void> {
-  const machine = makeMachine(5);
-  const { store: store } = (await runUntilSettled(machine.world, openFiles(machine)))!;
+/** The acceptor of a single voter, which reaches no other. */
+function acceptorOn(store: ControlStore, machine: Machine): Acceptor {
   function voters(): VoterSet {
     return { now: [{ disk: store.diskId, at: '10.1.0.1:7000' }] };
   }
@@ -232,7 +230,14 @@
     onLearned: nothing,
     learnLocally: nobody,
   };
-  const acceptor = new Acceptor(store, transport, machine.net.ports(machine.process));
+  return new Acceptor(store, transport, machine.net.ports(machine.process));
+}
+
+/** While one write is under way, and after it has failed, nothing is answered by what is in memory only. */
+async function answersWhenSynced(): Promise<void> {
+  const machine = makeMachine(5);
+  const { store: store } = (await runUntilSettled(machine.world, openFiles(machine)))!;
+  const acceptor = acceptorOn(store, machine);
   const change = { ...accepted(1), epoch: 5 };
   const asks: [string, object][] = [
     ['accept', { change }],
