--- a/src/control/consensus/accepted-versions.ts
+++ b/src/control/consensus/accepted-versions.ts
@@ -13,7 +13,7 @@
 export interface PolledVersions {
   /** The replies of a majority. */
   accepted: Result<AcceptedVersionReply[]>;
-  /** A later voter set than the one that was polled, where a voter told of it. */
+  /** A later voter set than the one that was polled, where a voter sent it. */
   newerVoterSet?: VersionedValue;
 }
 
--- a/src/control/consensus/key-owner.ts
+++ b/src/control/consensus/key-owner.ts
@@ -37,7 +37,7 @@
   owns: (key: string) => boolean;
   /** All keys that this process owns. */
   ownedKeys: () => string[];
-  /** Gives a key up; the voters are told nothing. */
+  /** Gives a key up; the voters are not notified. */
   release: (key: string) => void;
   /** Notes that another process owns a key under an epoch. */
   noteNewerEpoch: (key: string, epoch: number) => void;
--- a/src/control/consensus/proposer.ts
+++ b/src/control/consensus/proposer.ts
@@ -35,7 +35,7 @@
 
 /** Carries out prepare, accept and learn for all keys of one process, under epochs that rise for each key. */
 export class Proposer {
-  /** The highest epoch of each key that any acceptor told of. */
+  /** The highest epoch of each key that any acceptor has reported. */
   private readonly highestEpochs = new Map<string, number>();
 
   constructor(
--- a/src/control/consensus/replica-sync.ts
+++ b/src/control/consensus/replica-sync.ts
@@ -1,5 +1,5 @@
 /**
- * Brings voters up to date: each is told what it has not learned of all that is committed, and it is done once the
+ * Brings voters up to date: each is sent what it has not learned of all that is committed, and it is done once the
  * voter says that its synced disk has learned that.
  */
 
--- a/src/control/consensus/voter-request.ts
+++ b/src/control/consensus/voter-request.ts
@@ -8,7 +8,7 @@
 import { requestCompressed } from '../../shared/transport/compressed-requests';
 import { Voter } from '../../shared/state/voter-set';
 
-/** The requests that may carry whole values or long deltas; they are sent compressed. */
+/** The requests that may carry full values or long deltas; they are sent compressed. */
 const COMPRESSED_TYPES: ReadonlySet<string> = new Set(['accept', 'accept-delta', 'learn']);
 
 /** Sends a request to another controller's voter over its channel, and waits for the reply up to `timeoutMs`. */
--- a/test/control/storage-corruption.test.ts
+++ b/test/control/storage-corruption.test.ts
@@ -59,17 +59,17 @@
     expect({
       what: x.what,
       forgot: same && acceptedNumber(again) !== 4,
-      spoilt: again.isCorrupt,
+      isCorrupt: again.isCorrupt,
     }).toEqual({
       what: x.what,
       forgot: false,
-      spoilt: !same,
+      isCorrupt: !same,
     });
     const later = await openStore(x.files, 10);
-    expect({ what: x.what, disk: later.diskId, spoilt: later.isCorrupt }).toEqual({
+    expect({ what: x.what, disk: later.diskId, isCorrupt: later.isCorrupt }).toEqual({
       what: x.what,
       disk: again.diskId,
-      spoilt: again.isCorrupt,
+      isCorrupt: again.isCorrupt,
     });
   }
   expect(kept).toBeGreaterThan(files.get('slot-0')!.length + files.get('slot-1')!.length);
@@ -122,10 +122,10 @@
     expect({
       i,
       disk: store!.diskId,
-      spoilt: store!.isCorrupt,
+      isCorrupt: store!.isCorrupt,
       number: acceptedNumber(store!),
       learned: store!.registers.get('k')?.learned?.number,
-    }).toEqual({ i, disk: 'd', spoilt: false, number: 5, learned: 5 });
+    }).toEqual({ i, disk: 'd', isCorrupt: false, number: 5, learned: 5 });
     const votes = new IdempotencyVotes(store!, portsWithFiles(files), nobody, 1000);
     await votes.start(storedVotes);
     expect((await votes.listVotes({ begins: 'x' })).extract()).toMatchObject({ votes: [vote] });
--- a/test/control/storage-durability.test.ts
+++ b/test/control/storage-durability.test.ts
@@ -59,10 +59,10 @@
 /** Whether a promise has come back once all that could run has run. */
 async function isBack(promise: Promise<unknown>): Promise<boolean> {
   let back = false;
-  function told(): void {
+  function onSettled(): void {
     back = true;
   }
-  void promise.then(told);
+  void promise.then(onSettled);
   function turns(go: () => void): void {
     setImmediate(go);
   }
@@ -70,7 +70,7 @@
   return back;
 }
 
-/** A disk that holds appends up until it is released, and fails all writes while told so. */
+/** A disk that holds appends up until it is released, and fails all writes while `fails` is set. */
 class FaultyDisk {
   fails = false;
   private held: (() => void)[] | undefined = [];
@@ -235,8 +235,8 @@
   const voteFiles = new Map([...files].filter(isVoteFile));
   for (const { what, files: changed } of corruptedCopies(voteFiles)) {
     if (/emptied|gone/.test(what)) continue;
-    const spoilt = (await storedVotes(changed)).isCorrupt;
-    expect({ what, spoilt }).toEqual({ what, spoilt: true });
+    const isCorrupt = (await storedVotes(changed)).isCorrupt;
+    expect({ what, isCorrupt }).toEqual({ what, isCorrupt: true });
   }
 }
 
--- a/test/control/storage-full-disk.test.ts
+++ b/test/control/storage-full-disk.test.ts
@@ -25,10 +25,10 @@
   most = 5000,
 ): Promise<T | undefined> {
   let got: { v: T } | undefined;
-  function told(value: T): void {
+  function onSettled(value: T): void {
     got = { v: value };
   }
-  void promise.then(told);
+  void promise.then(onSettled);
   for (let i = 0; i < most && !got; i++) await world.run(world.now() + 1);
   return got?.v;
 }
@@ -116,7 +116,7 @@
       faults.push(`change ${number} is not taken though there is room`);
     faults.push(...(await lostByRestart(machine, store, acked, voted.slice(-20))));
   }
-  if (!store.isWritable()) faults.push('not fit at the end');
+  if (!store.isWritable()) faults.push('not writable at the end');
   return faults;
 }
 
--- a/test/control/storage-killed-process.test.ts
+++ b/test/control/storage-killed-process.test.ts
@@ -71,12 +71,12 @@
       expect({
         ...what,
         disk: again!.diskId,
-        spoilt: again!.isCorrupt,
+        isCorrupt: again!.isCorrupt,
         number: acceptedNumber(again!),
       }).toEqual({
         ...what,
         disk,
-        spoilt: false,
+        isCorrupt: false,
         number: 7,
       });
     }
--- a/test/control/storage-log-deltas.test.ts
+++ b/test/control/storage-log-deltas.test.ts
@@ -162,10 +162,10 @@
     ]);
     const store = await openStore({ files, bytes: 0, writes: 0 });
     const fits = base === learned;
-    expect({ fits, kept: store.diskId === 'd', spoilt: store.isCorrupt }).toEqual({
+    expect({ fits, kept: store.diskId === 'd', isCorrupt: store.isCorrupt }).toEqual({
       fits,
       kept: fits,
-      spoilt: !fits,
+      isCorrupt: !fits,
     });
     if (fits) expect(store.registers.get('k')?.accepted).toEqual(next);
   }
