--- a/src/data/gateway/reckon.ts
+++ b/src/data/gateway/cost-estimate.ts
@@ -1,35 +1,35 @@
-import { Load } from './loads';
-import { Side } from './links';
-import { Pace } from './pace';
+import { EngineLoadSnapshot } from './engine-loads';
+import { LinkEndpoint } from './transfer-estimate';
+import { ThroughputEstimate } from './throughput-estimate';
 
 /** An engine that may serve, as far as it is known. */
-export interface Able {
-  side: Side;
+export interface Candidate {
+  endpoint: LinkEndpoint;
   /** Where it is reached. */
   at: string;
   /** Requests that it runs at once. */
   batch: number;
   cacheTokens: number;
-  load: Load;
-  pace: Pace;
+  load: EngineLoadSnapshot;
+  throughput: ThroughputEstimate;
   /** How far it stands from the home of the prompt's first shared parts. */
-  rank: number;
+  preferenceRank: number;
   /** What is added where others are meant to have it: ms, and ms for each of its own reading. */
   besideMs: number;
   besideReading: number;
 }
 
 /** What a source keeps of a prompt from its front on, in tokens, and what is coming there. */
-export interface KeptAt {
-  kept: number;
-  coming: number;
+export interface CachedPrefix {
+  cachedTokens: number;
+  pendingTokens: number;
 }
 
 /** A place that parts may be taken from. */
-export interface Source {
-  side: Side;
-  at: string;
-  kept: number;
+export interface PrefixSource {
+  endpoint: LinkEndpoint;
+  address: string;
+  cachedTokens: number;
 }
 
 /** What is to be placed. */
@@ -47,18 +47,18 @@
 }
 
 /** What one engine would mean for a request. Times are ms from now. */
-export interface Reckoned {
-  able: Able;
+export interface CostEstimate {
+  candidate: Candidate;
   /** To its first event. */
-  firstMs: number;
+  firstEventMs: number;
   /** Of that, until its own prompt is begun with. */
-  waitMs: number;
+  queueMs: number;
   /** Tokens that the engine would read. */
-  unread: number;
-  pairs: number;
+  prefillTokens: number;
+  attentionPairs: number;
   /** Unread tokens of others that are ahead of it. */
-  ahead: number;
-  fetch?: { source: Source; tokens: number; ms: number };
+  queuedTokens: number;
+  prefixFetch?: { source: PrefixSource; tokens: number; ms: number };
   /** Tokens of shared parts that would be read although they were read before. */
   again: number;
   /** What is compared: the time, and what it costs others. */
@@ -101,89 +101,96 @@
 }
 
 /** Ms that reading takes an engine. */
-export function readMs(pace: Pace, unread: number, pairs: number): number {
-  return unread * pace.msPerToken + pairs * pace.msPerPair;
+export function readMs(pace: ThroughputEstimate, unread: number, pairs: number): number {
+  return unread * pace.msPerPrefillToken + pairs * pace.msPerAttentionPair;
 }
 
-function waitFor(a: Able, p: Prompt): number {
-  const { load, pace } = a;
-  let ms = load.unread * pace.msPerAhead + load.silentMs;
+function waitFor(a: Candidate, p: Prompt): number {
+  const { load, throughput: pace } = a;
+  let ms = load.prefillTokens * pace.msPerQueuedToken + load.overdueMs;
   const over = load.running + 1 - a.batch;
-  if (over > 0) ms += (over * pace.placeMs) / a.batch;
-  const need = load.memory + p.tokensIn + p.tokensOut - a.cacheTokens * ROOM;
-  if (need > 0 && load.memory > 0)
-    ms += pace.placeMs + Math.min(need, load.memory) * pace.msPerToken * PUT_BACK;
+  if (over > 0) ms += (over * pace.slotMs) / a.batch;
+  const need = load.memoryTokens + p.tokensIn + p.tokensOut - a.cacheTokens * ROOM;
+  if (need > 0 && load.memoryTokens > 0)
+    ms += pace.slotMs + Math.min(need, load.memoryTokens) * pace.msPerPrefillToken * PUT_BACK;
   return ms;
 }
 
 /** Reckons one engine, with and without each source that keeps more. */
 function reckonAt(
-  a: Able,
+  a: Candidate,
   p: Prompt,
-  own: KeptAt,
-  sources: readonly Source[],
-  moveMs: (from: Side, to: Side, bytes: number) => number,
-): Reckoned {
-  const held = Math.min(p.tokensIn, own.kept + own.coming * COMING);
+  own: CachedPrefix,
+  sources: readonly PrefixSource[],
+  moveMs: (from: LinkEndpoint, to: LinkEndpoint, bytes: number) => number,
+): CostEstimate {
+  const held = Math.min(p.tokensIn, own.cachedTokens + own.pendingTokens * COMING);
   const waitMs = waitFor(a, p);
   const full = Math.min(1, a.load.running / a.batch);
   const beside =
     a.besideMs +
-    READS * a.load.reading * a.load.reading * p.aimMs +
+    READS * a.load.prefillRatio * a.load.prefillRatio * p.aimMs +
     FULL * full * full * p.aimMs +
-    (a.side.zone === p.zone ? 0 : FAR * p.aimMs) +
-    (Math.min(a.rank, RANKS) / RANKS) * IN_ORDER * p.aimMs;
-  function by(kept: number, fetch?: Reckoned['fetch']): Reckoned {
+    (a.endpoint.zone === p.zone ? 0 : FAR * p.aimMs) +
+    (Math.min(a.preferenceRank, RANKS) / RANKS) * IN_ORDER * p.aimMs;
+  function by(kept: number, fetch?: CostEstimate['prefixFetch']): CostEstimate {
     const unread = Math.max(0, p.tokensIn - kept);
     const pairs = pairsOf(p.tokensIn, unread);
     const again = Math.max(0, Math.min(p.shared, p.known) - kept);
-    const reading = readMs(a.pace, unread, pairs);
+    const reading = readMs(a.throughput, unread, pairs);
     const moving = fetch?.ms ?? 0;
-    const firstMs = a.pace.baseMs + waitMs + moving + reading;
-    const over = Math.max(0, (firstMs + p.tokensOut * a.pace.msPerOut) * SLACK - p.leftMs);
+    const firstMs = a.throughput.baseMs + waitMs + moving + reading;
+    const over = Math.max(
+      0,
+      (firstMs + p.tokensOut * a.throughput.msPerOutputToken) * SLACK - p.leftMs,
+    );
     return {
-      able: a,
-      firstMs,
-      waitMs,
-      unread,
-      pairs,
-      ahead: a.load.unread,
-      fetch,
+      candidate: a,
+      firstEventMs: firstMs,
+      queueMs: waitMs,
+      prefillTokens: unread,
+      attentionPairs: pairs,
+      queuedTokens: a.load.prefillTokens,
+      prefixFetch: fetch,
       again,
       cost:
         firstMs +
         reading * (READING + a.besideReading) +
         moving * MOVING +
-        again * a.pace.msPerToken * AGAIN +
+        again * a.throughput.msPerPrefillToken * AGAIN +
         over +
         beside,
     };
   }
   let best = by(held);
-  const plain = readMs(a.pace, best.unread, best.pairs);
+  const plain = readMs(a.throughput, best.prefillTokens, best.attentionPairs);
   for (const s of sources) {
-    const more = Math.min(p.tokensIn, s.kept) - held;
-    if (more <= 0 || s.side.name === a.side.name) continue;
-    const ms = SETUP_MS + a.load.moveMs + moveMs(s.side, a.side, more * p.tokenBytes);
+    const more = Math.min(p.tokensIn, s.cachedTokens) - held;
+    if (more <= 0 || s.endpoint.name === a.endpoint.name) continue;
+    const ms = SETUP_MS + a.load.transferMs + moveMs(s.endpoint, a.endpoint, more * p.tokenBytes);
     const r = by(held + more, { source: s, tokens: more, ms });
-    if (r.cost < best.cost - SAVES * (plain - readMs(a.pace, r.unread, r.pairs))) best = r;
+    if (
+      r.cost <
+      best.cost - SAVES * (plain - readMs(a.throughput, r.prefillTokens, r.attentionPairs))
+    )
+      best = r;
   }
   return best;
 }
 
 /** Reckons all engines that may serve, the best first. */
-export function reckon(
+export function estimateCosts(
   p: Prompt,
-  able: readonly Able[],
-  kept: (name: string) => KeptAt,
-  sources: readonly Source[],
-  moveMs: (from: Side, to: Side, bytes: number) => number,
-): Reckoned[] {
-  const out: Reckoned[] = [];
-  for (const a of able) out.push(reckonAt(a, p, kept(a.side.name), sources, moveMs));
+  able: readonly Candidate[],
+  kept: (name: string) => CachedPrefix,
+  sources: readonly PrefixSource[],
+  moveMs: (from: LinkEndpoint, to: LinkEndpoint, bytes: number) => number,
+): CostEstimate[] {
+  const out: CostEstimate[] = [];
+  for (const a of able) out.push(reckonAt(a, p, kept(a.endpoint.name), sources, moveMs));
   return out.sort(byCost);
 }
 
-function byCost(a: Reckoned, b: Reckoned): number {
+function byCost(a: CostEstimate, b: CostEstimate): number {
   return a.cost - b.cost;
 }
--- a/src/data/gateway/choose.ts
+++ b/src/data/gateway/engine-chooser.ts
@@ -14,71 +14,77 @@
 import { timeLimitsOf } from '../../shared/settings/time-limits';
 import { Engine } from '../../shared/state/engines';
 import { CONTROL_KEYS } from '../../shared/state/control-keys';
-import { reachIndexers } from './indexers';
+import { reachIndexers } from './indexer-client';
 import { makePlacement } from './placement';
-import { EngineSpot, NoPlace, PlaceAsk, Placed, StoreSpot } from './placement-types';
-import { Ending } from './standing';
-import { Expected, saltUnder, WeightsBook } from './weights';
+import {
+  EngineEndpoint,
+  PlacementRejection,
+  PlacementRequest,
+  PlacementDecision,
+  StoreEndpoint,
+} from './placement-types';
+import { AttemptResult } from './outlier-ejection';
+import { ExpectedWeights, cacheSalt, WeightsTracker } from './weights-tracker';
 
 /** What an engine is wanted for. Times are of the clock port. */
-export interface Wanted {
+export interface SelectionRequest {
   request: CallerRequest;
   route: HttpRoute;
   pool: string;
   tenant?: TenantAccess;
-  since: number;
-  until: number;
+  arrivedAt: number;
+  deadlineAt: number;
   /** Engines that this request is kept from, by id. */
-  avoid: ReadonlySet<string>;
+  excluded: ReadonlySet<string>;
   /** Attempts before this one. */
   again: number;
 }
 
 /** The engine that a request goes to, and under what terms. */
-export interface Chosen {
+export interface EngineSelection {
   engine: Engine;
   salt?: string;
   weights?: string;
   /** 0 goes first, 9 last. */
   urgency: number;
-  fetchFrom?: string;
-  storeAt?: string;
+  fetchFromAddress?: string;
+  storeAddress?: string;
 }
 
 /** Why no engine takes a request, and when it may come again. */
-export interface Refusal {
+export interface Rejection {
   status: number;
-  why: string;
+  reason: string;
   retryAfterMs: number;
 }
 
 /** How an attempt ended; `late` was under way when its time was up. */
-export type AttemptEnd = 'done' | 'not-run' | 'doubt' | 'late' | 'caller-gone';
+export type AttemptEffect = 'done' | 'not-run' | 'doubt' | 'late' | 'caller-gone';
 
 /** An attempt as a load on its engine. */
-export interface Load {
+export interface AttemptTracker {
   /** Hears of the first event, in ms from the attempt's start. */
-  firstEvent: (ms: number) => void;
+  recordFirstEvent: (ms: number) => void;
   /** Hears of the weights that the engine runs with, by model. */
-  told: (weights: Record<string, string>) => void;
+  recordWeights: (weights: Record<string, string>) => void;
   /** Hears that another instance stands at the engine's address, or other weights are there. */
-  turnedAway: (verdict: 'not-run' | 'other-instance' | 'other-weights') => void;
-  ended: (how: AttemptEnd) => void;
+  recordRejection: (verdict: 'not-run' | 'other-instance' | 'other-weights') => void;
+  recordEnd: (how: AttemptEffect) => void;
 }
 
 /** Chooses engines for requests. */
-export interface Chooser {
-  choose: (w: Wanted) => Promise<Either<Refusal, Chosen>>;
-  began: (c: Chosen, w: Wanted) => Load;
+export interface EngineChooser {
+  choose: (w: SelectionRequest) => Promise<Either<Rejection, EngineSelection>>;
+  startAttempt: (c: EngineSelection, w: SelectionRequest) => AttemptTracker;
   stop: () => void;
 }
 
 /** What a chooser needs. */
-export interface ChooserParts {
+export interface EngineChooserDependencies {
   ports: Ports;
   settings: Settings;
   follower: Follower;
-  weights: WeightsBook;
+  weights: WeightsTracker;
   pool: (name: string) => Pool | undefined;
   stores: () => readonly PartStore[];
   /** How many routers there are, as far as it is known. */
@@ -86,7 +92,7 @@
 }
 
 /** The wall behind which engines keep a tenant's parts: its own where it is isolated, one for all others. */
-export function wallOf(tenant: TenantAccess | undefined): string {
+export function cacheScopeOf(tenant: TenantAccess | undefined): string {
   return tenant?.isolated ? tenant.name : '';
 }
 
@@ -98,20 +104,20 @@
 const AGAIN = 0.1;
 
 /** What was chosen, and what placement reckoned. */
-interface ChosenHere extends Chosen {
-  placed: Placed;
+interface ChosenHere extends EngineSelection {
+  placed: PlacementDecision;
   indexed: boolean;
 }
 
 /** Makes a chooser that reckons, for each engine, the time to a first event. */
-export function makeChooser(p: ChooserParts): Chooser {
+export function makeChooser(p: EngineChooserDependencies): EngineChooser {
   const { clock, random: dice } = p.ports;
   const bounds = timeLimitsOf(p.settings);
   const placement = makePlacement({
     now: clock.now,
-    spread: dice.next,
+    random: dice.next,
     zone: p.settings.zone,
-    pause: p.settings.contactMs * PAUSE,
+    baseEjectionMs: p.settings.contactMs * PAUSE,
   });
   const hello = helloOf(p.settings, 'router');
   const indexers = reachIndexers(p.ports, bounds, p.follower, hello, placement.loads, p.routers);
@@ -137,11 +143,13 @@
       of.push(e);
       byPool.set(e.pool ?? '', of);
     }
-    placement.keep(names);
+    placement.retain(names);
   }
 
-  function expected(e: Engine, model: string | undefined): Expected | undefined {
-    return model === undefined ? { weights: '', kind: 'now' } : p.weights.expect(e.id, model);
+  function expected(e: Engine, model: string | undefined): ExpectedWeights | undefined {
+    return model === undefined
+      ? { weights: '', kind: 'now' }
+      : p.weights.expectedWeights(e.id, model);
   }
 
   function regionOf(zone: string): string | undefined {
@@ -149,8 +157,12 @@
   }
 
   /** The engines that may serve, each with the text that its parts are kept under. */
-  function spots(w: Wanted): { spots: EngineSpot[]; weights: Map<string, string>; named: string } {
-    const out: EngineSpot[] = [];
+  function spots(w: SelectionRequest): {
+    spots: EngineEndpoint[];
+    weights: Map<string, string>;
+    named: string;
+  } {
+    const out: EngineEndpoint[] = [];
     const weights = new Map<string, string>();
     let named = '';
     for (const e of engines(w.pool)) {
@@ -161,22 +173,22 @@
       weights.set(e.id, x.weights);
       out.push({
         id: e.id,
-        at: e.at,
+        address: e.at,
         zone: e.zone,
         region: regionOf(e.zone),
         batch: e.batch,
-        salt: saltUnder(wallOf(w.tenant), x.weights),
+        salt: cacheSalt(cacheScopeOf(w.tenant), x.weights),
       });
     }
     return { spots: out, weights, named };
   }
 
-  function storeSpots(): StoreSpot[] {
-    const out: StoreSpot[] = [];
+  function storeSpots(): StoreEndpoint[] {
+    const out: StoreEndpoint[] = [];
     for (const s of p.stores())
       out.push({
         name: s.name,
-        at: s.at,
+        address: s.at,
         zone: s.zone,
         region: regionOf(s.zone),
         linkMbps: s.linkMbps,
@@ -184,7 +196,7 @@
     return out;
   }
 
-  function askOf(w: Wanted, at: EngineSpot[], named: string): PlaceAsk {
+  function askOf(w: SelectionRequest, at: EngineEndpoint[], named: string): PlacementRequest {
     const pool = p.pool(w.pool);
     const now = clock.now();
     return {
@@ -197,29 +209,29 @@
         engines: at,
         stores: storeSpots(),
       },
-      wall: saltUnder(wallOf(w.tenant), named),
-      parts: w.request.parts,
-      tokensIn: w.request.tokensIn,
-      tokensOut: w.request.tokensOut,
-      aimMs: Math.max(1, w.route.aimMs - (now - w.since)),
-      leftMs: w.until - now,
+      cacheScope: cacheSalt(cacheScopeOf(w.tenant), named),
+      blocks: w.request.parts,
+      promptTokens: w.request.tokensIn,
+      maxOutputTokens: w.request.tokensOut,
+      latencyTargetMs: Math.max(1, w.route.aimMs - (now - w.arrivedAt)),
+      remainingMs: w.deadlineAt - now,
       routePriority: w.route.priority,
       tenantPriority: w.tenant?.priority ?? 0,
       tenant: w.tenant?.name,
-      repeatable: w.route.kind === 'safe' || w.route.resumable,
-      avoid: w.avoid,
+      isIdempotent: w.route.kind === 'safe' || w.route.resumable,
+      excluded: w.excluded,
     };
   }
 
-  async function choose(w: Wanted): Promise<Either<Refusal, Chosen>> {
+  async function choose(w: SelectionRequest): Promise<Either<Rejection, EngineSelection>> {
     const s = spots(w);
     const ask = askOf(w, s.spots, s.named);
     const kept = new Map<string, OverlapReply>();
-    const salts = placement.wantsIndex(ask);
+    const salts = placement.saltsToQuery(ask);
     if (salts.length > 0)
-      await Promise.all([indexers.renewLoads(w.route.aimMs * INDEX_WAIT), ...salts.map(overlap)]);
+      await Promise.all([indexers.refreshLoads(w.route.aimMs * INDEX_WAIT), ...salts.map(overlap)]);
     async function overlap(salt: string): Promise<void> {
-      const answer = await indexers.overlap(
+      const answer = await indexers.queryOverlap(
         { model: w.request.model ?? '', salt, parts: wireParts(w) },
         w.route.aimMs * INDEX_WAIT,
       );
@@ -227,22 +239,22 @@
     }
     const o = placement.place(ask, kept);
     if (o.isLeft()) return Left(refusalOf(o.extract(), w));
-    const placed = o.extract() as Placed;
-    const { able, fetch } = placed.reckoned;
+    const placed = o.extract() as PlacementDecision;
+    const { candidate: able, prefixFetch: fetch } = placed.estimate;
     const engine = engines(w.pool).find(same);
-    if (!engine) return Left(refusalOf({ why: 'no-engine', retryAfterMs: 0 }, w));
+    if (!engine) return Left(refusalOf({ reason: 'no-engine', retryAfterMs: 0 }, w));
     function same(e: Engine): boolean {
-      return e.id === able.side.name;
+      return e.id === able.endpoint.name;
     }
     const weights = s.weights.get(engine.id);
-    const salt = saltUnder(wallOf(w.tenant), weights ?? '');
+    const salt = cacheSalt(cacheScopeOf(w.tenant), weights ?? '');
     const c: ChosenHere = {
       engine,
       weights: weights === '' ? undefined : weights,
       salt,
       urgency: placed.urgency,
-      fetchFrom: fetch?.source.at,
-      storeAt: placed.storeAt,
+      fetchFromAddress: fetch?.source.address,
+      storeAddress: placed.storeAddress,
       placed,
       indexed: salts.length > 0,
     };
@@ -254,35 +266,35 @@
     return undefined;
   }
 
-  function wireParts(w: Wanted): WireBlock[] {
+  function wireParts(w: SelectionRequest): WireBlock[] {
     const out: WireBlock[] = [];
     for (const x of w.request.parts) out.push([x.hash, x.size]);
     return out;
   }
 
-  function refusalOf(no: NoPlace, w: Wanted): Refusal {
+  function refusalOf(no: PlacementRejection, w: SelectionRequest): Rejection {
     return {
       status: 503,
-      why: no.why === 'no-engine' ? 'no engine can take this now' : 'every place is taken',
+      reason: no.reason === 'no-engine' ? 'no engine can take this now' : 'every place is taken',
       retryAfterMs: Math.max(no.retryAfterMs, w.route.aimMs * AGAIN),
     };
   }
 
-  function began(chosen: Chosen, w: Wanted): Load {
+  function began(chosen: EngineSelection, w: SelectionRequest): AttemptTracker {
     const c = chosen as ChosenHere;
-    const u = placement.began(c.placed);
+    const u = placement.start(c.placed);
     if (c.indexed)
-      indexers.placed({
+      indexers.notifyPlaced({
         model: w.request.model ?? '',
         salt: c.salt ?? '',
         engine: c.engine.id,
         parts: wireParts(w),
-        store: storeName(c.storeAt),
+        store: storeName(c.storeAddress),
       });
-    let how: Ending | undefined;
+    let how: AttemptResult | undefined;
 
     function told(weights: Record<string, string>): void {
-      p.weights.told(c.engine.id, weights);
+      p.weights.recordReported(c.engine.id, weights);
     }
 
     function turnedAway(verdict: 'not-run' | 'other-instance' | 'other-weights'): void {
@@ -290,18 +302,23 @@
       if (verdict === 'other-instance') gone.add(c.engine.id);
     }
 
-    function ended(end: AttemptEnd): void {
-      if (end === 'done') u.ended('answered');
-      else if (end === 'caller-gone' || end === 'late') u.ended('given-up');
-      else u.ended(end === 'not-run' && how ? how : 'failed');
+    function ended(end: AttemptEffect): void {
+      if (end === 'done') u.recordEnd('answered');
+      else if (end === 'caller-gone' || end === 'late') u.recordEnd('given-up');
+      else u.recordEnd(end === 'not-run' && how ? how : 'failed');
     }
 
-    return { firstEvent: u.first, told, turnedAway, ended };
+    return {
+      recordFirstEvent: u.recordFirstEvent,
+      recordWeights: told,
+      recordRejection: turnedAway,
+      recordEnd: ended,
+    };
   }
 
   function stop(): void {
     indexers.stop();
   }
 
-  return { choose, began, stop };
+  return { choose, startAttempt: began, stop };
 }
--- a/src/data/gateway/pools.ts
+++ b/src/data/gateway/engine-connections.ts
@@ -19,22 +19,22 @@
 /** Kept connections to engines; what was used last is used first. */
 export interface EngineConnections {
   /** Takes a connection to an engine; `most` is what the engine takes from all callers. */
-  take: (e: Engine, most: number) => Promise<Result<HttpConnection>>;
+  acquire: (e: Engine, most: number) => Promise<Result<HttpConnection>>;
   /** Takes back a connection that was not used. */
-  giveBack: (e: Engine, c: HttpConnection) => void;
+  release: (e: Engine, c: HttpConnection) => void;
   /** Hears for how long an engine keeps an idle connection. */
-  told: (e: Engine, keepS: number | undefined) => void;
+  recordKeepAlive: (e: Engine, keepS: number | undefined) => void;
   /** Hears that bytes came from an engine. */
-  heard: (e: Engine) => void;
+  recordActivity: (e: Engine) => void;
   /** When bytes last came from an engine on any connection. */
-  heardAt: (e: Engine) => number;
+  lastActivityAt: (e: Engine) => number;
   /** Asks, by a new connection, whether an engine's machine is still there. */
-  reaches: (e: Engine) => Promise<boolean>;
+  isReachable: (e: Engine) => Promise<boolean>;
   /** Hears that an engine mixes answers up. */
-  garbles: (e: Engine) => void;
+  quarantine: (e: Engine) => void;
   /** Hears which engines there are. */
-  renew: (ids: ReadonlySet<string>) => void;
-  idleMs: (ms: number) => void;
+  retain: (ids: ReadonlySet<string>) => void;
+  setCallerIdleMs: (ms: number) => void;
   stop: () => void;
 }
 
@@ -178,5 +178,16 @@
   }
 
   let off = clock.setTimer(s.contactMs * KEEP, trimAll);
-  return { take, giveBack, told, heard, heardAt, reaches, garbles, renew, idleMs, stop };
+  return {
+    acquire: take,
+    release: giveBack,
+    recordKeepAlive: told,
+    recordActivity: heard,
+    lastActivityAt: heardAt,
+    isReachable: reaches,
+    quarantine: garbles,
+    retain: renew,
+    setCallerIdleMs: idleMs,
+    stop,
+  };
 }
--- a/src/data/gateway/loads.ts
+++ b/src/data/gateway/engine-loads.ts
@@ -1,49 +1,49 @@
 import { EngineLoad } from '../../shared/contracts/indexer';
 
 /** One request in flight at an engine. */
-export interface Flight {
+export interface InFlightLoad {
   engine: string;
   /** Prompt tokens that the engine is taken to have to read for it. */
-  unread: number;
+  prefillTokens: number;
   /** Tokens of memory that it takes. */
-  memory: number;
+  memoryTokens: number;
   sentAt: number;
   /** Ms to its first event as reckoned. */
-  dueMs: number;
+  expectedFirstEventMs: number;
   /** Ms that a move of parts to its engine takes. */
-  moveMs: number;
-  firstAt?: number;
+  transferMs: number;
+  firstEventAt?: number;
 }
 
 /** What runs at one engine. */
-export interface Load {
+export interface EngineLoadSnapshot {
   running: number;
   /** Prompt tokens still to be read. */
-  unread: number;
+  prefillTokens: number;
   /** Requests whose first event is still awaited, of this router's own. */
-  awaiting: number;
-  memory: number;
-  moveMs: number;
+  awaitingFirstEvent: number;
+  memoryTokens: number;
+  transferMs: number;
   /** Ms for which an awaited first event has been overdue without any word from the engine. */
-  silentMs: number;
+  overdueMs: number;
   /** The share of the time for which it has lately been reading prompts. */
-  reading: number;
+  prefillRatio: number;
 }
 
 /** Requests in flight by engine: this router's own, and those of all others as the load board told them. */
-export interface Loads {
-  began: (f: Flight) => void;
-  first: (f: Flight) => void;
-  ended: (f: Flight) => void;
-  of: (engine: string) => Load;
+export interface EngineLoads {
+  recordStart: (f: InFlightLoad) => void;
+  recordFirstEvent: (f: InFlightLoad) => void;
+  recordEnd: (f: InFlightLoad) => void;
+  snapshot: (engine: string) => EngineLoadSnapshot;
   /** Own loads for the board. */
-  own: () => EngineLoad[];
+  ownLoads: () => EngineLoad[];
   /** Takes what the board told of all others. */
-  others: (list: EngineLoad[], full: boolean) => void;
+  applyBoard: (list: EngineLoad[], full: boolean) => void;
   /** Forgets what the board told, as it is silent. */
-  noBoard: () => void;
+  discardBoard: () => void;
   /** Forgets engines that are gone. */
-  keep: (names: ReadonlySet<string>) => void;
+  retain: (names: ReadonlySet<string>) => void;
   hasBoard: () => boolean;
 }
 
@@ -55,67 +55,73 @@
 const MUCH_UNREAD = 500;
 
 /** Makes the books. */
-export function makeLoads(now: () => number): Loads {
-  const flights = new Map<string, Set<Flight>>();
+export function makeLoads(now: () => number): EngineLoads {
+  const flights = new Map<string, Set<InFlightLoad>>();
   const heard = new Map<string, number>();
   const reading = new Map<string, number>();
   let sampledAt = now();
   const told = new Map<string, { running: number; unread: number; held: number }>();
   let board = false;
 
-  function began(f: Flight): void {
-    const set = flights.get(f.engine) ?? new Set<Flight>();
+  function began(f: InFlightLoad): void {
+    const set = flights.get(f.engine) ?? new Set<InFlightLoad>();
     set.add(f);
     flights.set(f.engine, set);
   }
 
-  function first(f: Flight): void {
-    if (f.firstAt === undefined) f.firstAt = now();
+  function first(f: InFlightLoad): void {
+    if (f.firstEventAt === undefined) f.firstEventAt = now();
     heard.set(f.engine, now());
   }
 
-  function ended(f: Flight): void {
+  function ended(f: InFlightLoad): void {
     const set = flights.get(f.engine);
     set?.delete(f);
     if (set?.size === 0) flights.delete(f.engine);
   }
 
-  function left(f: Flight, t: number): number {
-    if (f.firstAt !== undefined) return 0;
-    return f.unread * Math.max(LEAST_LEFT, 1 - (t - f.sentAt) / Math.max(1, f.dueMs));
+  function left(f: InFlightLoad, t: number): number {
+    if (f.firstEventAt !== undefined) return 0;
+    return (
+      f.prefillTokens *
+      Math.max(LEAST_LEFT, 1 - (t - f.sentAt) / Math.max(1, f.expectedFirstEventMs))
+    );
   }
 
-  function ownOf(engine: string): Load {
+  function ownOf(engine: string): EngineLoadSnapshot {
     const t = now();
-    const l: Load = {
+    const l: EngineLoadSnapshot = {
       running: 0,
-      unread: 0,
-      awaiting: 0,
-      memory: 0,
-      moveMs: 0,
-      silentMs: 0,
-      reading: reading.get(engine) ?? 0,
+      prefillTokens: 0,
+      awaitingFirstEvent: 0,
+      memoryTokens: 0,
+      transferMs: 0,
+      overdueMs: 0,
+      prefillRatio: reading.get(engine) ?? 0,
     };
     for (const f of flights.get(engine) ?? []) {
       l.running++;
-      l.unread += left(f, t);
-      if (f.firstAt === undefined) {
-        l.awaiting++;
-        l.silentMs = Math.max(l.silentMs, t - Math.max(f.sentAt, heard.get(engine) ?? 0) - f.dueMs);
+      l.prefillTokens += left(f, t);
+      if (f.firstEventAt === undefined) {
+        l.awaitingFirstEvent++;
+        l.overdueMs = Math.max(
+          l.overdueMs,
+          t - Math.max(f.sentAt, heard.get(engine) ?? 0) - f.expectedFirstEventMs,
+        );
       }
-      l.memory += f.memory;
-      l.moveMs += Math.max(0, f.moveMs - (t - f.sentAt));
+      l.memoryTokens += f.memoryTokens;
+      l.transferMs += Math.max(0, f.transferMs - (t - f.sentAt));
     }
     return l;
   }
 
-  function of(engine: string): Load {
+  function of(engine: string): EngineLoadSnapshot {
     const l = ownOf(engine);
     const o = told.get(engine);
     if (!o) return l;
     l.running += o.running;
-    l.unread += o.unread;
-    l.memory += Math.max(o.unread, o.held);
+    l.prefillTokens += o.unread;
+    l.memoryTokens += Math.max(o.unread, o.held);
     return l;
   }
 
@@ -125,7 +131,8 @@
     const fresh = 1 - Math.exp((sampledAt - t) / LATELY_MS);
     sampledAt = t;
     for (const engine of new Set([...flights.keys(), ...told.keys(), ...reading.keys()])) {
-      const reads = ownOf(engine).unread + (told.get(engine)?.unread ?? 0) > MUCH_UNREAD ? 1 : 0;
+      const reads =
+        ownOf(engine).prefillTokens + (told.get(engine)?.unread ?? 0) > MUCH_UNREAD ? 1 : 0;
       const share = (reading.get(engine) ?? 0) * (1 - fresh) + reads * fresh;
       if (share < 0.01) reading.delete(engine);
       else reading.set(engine, share);
@@ -137,7 +144,7 @@
     const out: EngineLoad[] = [];
     for (const engine of flights.keys()) {
       const l = ownOf(engine);
-      out.push([engine, l.running, Math.round(l.unread), l.memory]);
+      out.push([engine, l.running, Math.round(l.prefillTokens), l.memoryTokens]);
     }
     return out;
   }
@@ -166,5 +173,15 @@
     for (const id of reading.keys()) if (!names.has(id)) reading.delete(id);
   }
 
-  return { began, first, ended, of, own, others, noBoard, hasBoard, keep };
+  return {
+    recordStart: began,
+    recordFirstEvent: first,
+    recordEnd: ended,
+    snapshot: of,
+    ownLoads: own,
+    applyBoard: others,
+    discardBoard: noBoard,
+    hasBoard,
+    retain: keep,
+  };
 }
--- a/src/data/gateway/forward.ts
+++ b/src/data/gateway/forwarding.ts
@@ -2,16 +2,16 @@
 import { RawHeaders, StreamEvent } from '../../shared/platform-adapter/platform-adapter';
 import { OperationError, errorOrValue } from '../../shared/errors/errors';
 import { HttpConnection, RawIncomingRequest, RawHttpResponse } from '../../shared/ports/raw-http';
-import { AttemptEnd, Chosen, Load, Wanted } from './choose';
-import { RequestInFlight } from './in-flight';
-import { GatewayParts } from './parts';
+import { AttemptEffect, EngineSelection, AttemptTracker, SelectionRequest } from './engine-chooser';
+import { InFlightRequest } from './in-flight-requests';
+import { GatewayDependencies } from './gateway-dependencies';
 
 /** What became of an attempt: `not-sent` never reached an engine; `not-run` is the engine's word; `doubt` may have run and gave nothing; `broken` gave a part; `late` was under way when the time was up. */
-export type Attempted =
+export type AttemptOutcome =
   'answered' | 'not-sent' | 'not-run' | 'doubt' | 'broken' | 'late' | 'caller-gone';
 
 /** A request on its way, over all its attempts. */
-export interface Taken {
+export interface AdmittedRequest {
   request: CallerRequest;
   route: HttpRoute;
   tenant?: TenantAccess;
@@ -22,7 +22,7 @@
   sentAt: number;
   /** Whether it may run more than once, or be taken up where it broke off. */
   repeatable: boolean;
-  inFlight: RequestInFlight;
+  inFlight: InFlightRequest;
   /** Whether an attempt may have run. */
   doubted: boolean;
   /** The last event that went to the caller. */
@@ -36,9 +36,18 @@
 }
 
 /** What a request asks of the engine that is to be chosen now. */
-export function wantedOf(x: Taken): Wanted {
+export function wantedOf(x: AdmittedRequest): SelectionRequest {
   const { request, route, pool, tenant, until, avoid, sent } = x;
-  return { request, route, pool, tenant, since: x.inFlight.arrivedAt, until, avoid, again: sent };
+  return {
+    request,
+    route,
+    pool,
+    tenant,
+    arrivedAt: x.inFlight.arrivedAt,
+    deadlineAt: until,
+    excluded: avoid,
+    again: sent,
+  };
 }
 
 /** How long an engine that is there may be silent on all its connections before what may be repeated goes elsewhere, as multiples of the route's aims. */
@@ -46,19 +55,19 @@
 
 /** Sends a request to an engine and passes its answer back; `more` says whether another attempt may follow. */
 export async function forward(
-  g: GatewayParts,
+  g: GatewayDependencies,
   call: RawIncomingRequest,
-  x: Taken,
-  c: Chosen,
+  x: AdmittedRequest,
+  c: EngineSelection,
   connection: HttpConnection,
-  load: Load,
+  load: AttemptTracker,
   more: boolean,
-): Promise<Attempted> {
+): Promise<AttemptOutcome> {
   const { clock } = g.ports;
   const began = clock.now();
   const left = x.until - began;
   x.sentAt = began;
-  const worded = g.dialect.engines.attempt(
+  const worded = g.adapter.engines.attempt(
     { method: call.method, target: call.target, headers: call.headers, body: x.body },
     {
       instance: c.engine.id,
@@ -67,8 +76,8 @@
       salt: c.salt,
       weights: c.weights,
       urgency: c.urgency,
-      fetchFrom: c.fetchFrom,
-      storeAt: c.storeAt,
+      fetchFrom: c.fetchFromAddress,
+      storeAt: c.storeAddress,
       lastEvent: x.lastEvent,
     },
   );
@@ -81,32 +90,37 @@
     watch?.stop();
     return lost(call, x, load, f);
   }
-  g.connections.heard(c.engine);
+  g.connections.recordActivity(c.engine);
   const o = await takeAnswer(g, call, x, c, reply, load, more);
   watch?.stop();
   return o;
 }
 
 /** What became of an attempt that gave no whole answer. */
-function lost(call: RawIncomingRequest, x: Taken, load: Load, f: OperationError): Attempted {
+function lost(
+  call: RawIncomingRequest,
+  x: AdmittedRequest,
+  load: AttemptTracker,
+  f: OperationError,
+): AttemptOutcome {
   if (call.aborted.aborted) {
-    load.ended('caller-gone');
+    load.recordEnd('caller-gone');
     return 'caller-gone';
   }
   if (f.certainty === 'refused') {
-    load.ended('not-run');
+    load.recordEnd('not-run');
     return 'not-sent';
   }
-  load.ended(f.code === 'timeout' ? 'late' : 'doubt');
+  load.recordEnd(f.code === 'timeout' ? 'late' : 'doubt');
   return f.code === 'timeout' ? late(x) : doubt(x);
 }
 
 /** Watches an engine for as long as an attempt lasts: where it is silent on all its connections for an aim, it is asked whether it is still there; where it stays silent, it is taken for lost, but never while no other engine would take the request. */
 function watchSilence(
-  g: GatewayParts,
+  g: GatewayDependencies,
   call: RawIncomingRequest,
-  x: Taken,
-  c: Chosen,
+  x: AdmittedRequest,
+  c: EngineSelection,
 ): { signal: AbortSignal; stop: () => void } {
   const { clock } = g.ports;
   const began = clock.now();
@@ -116,7 +130,7 @@
   let stopped = false;
   let off = clock.setTimer(soon, look);
   function silent(): number {
-    return clock.now() - Math.max(began, g.connections.heardAt(c.engine));
+    return clock.now() - Math.max(began, g.connections.lastActivityAt(c.engine));
   }
   function look(): void {
     if (silent() < soon) off = clock.setTimer(soon - silent(), look);
@@ -124,9 +138,10 @@
   }
   /** Asks in any case, so that bytes that arrived while the event loop was held up are read before it judges. */
   async function judge(): Promise<void> {
-    const reached = await g.connections.reaches(c.engine);
+    const reached = await g.connections.isReachable(c.engine);
     const there = reached && silent() < most;
-    const goes = !there && g.budget.left(x.pool) && (await g.chooser.choose(wantedOf(x))).isRight();
+    const goes =
+      !there && g.budget.hasBudget(x.pool) && (await g.chooser.choose(wantedOf(x))).isRight();
     if (stopped) return;
     if (goes && silent() >= soon) {
       x.inFlight.silentEngines++;
@@ -141,49 +156,49 @@
 }
 
 async function takeAnswer(
-  g: GatewayParts,
+  g: GatewayDependencies,
   call: RawIncomingRequest,
-  x: Taken,
-  c: Chosen,
+  x: AdmittedRequest,
+  c: EngineSelection,
   reply: RawHttpResponse,
-  load: Load,
+  load: AttemptTracker,
   more: boolean,
-): Promise<Attempted> {
-  const head = g.dialect.engines.head(reply.status, reply.headersByName);
+): Promise<AttemptOutcome> {
+  const head = g.adapter.engines.head(reply.status, reply.headersByName);
   if (head.id !== x.request.id) {
-    g.connections.garbles(c.engine);
+    g.connections.quarantine(c.engine);
     reply.cancel();
-    load.ended('doubt');
+    load.recordEnd('doubt');
     return doubt(x);
   }
-  g.connections.told(c.engine, head.keepS);
-  load.told(byModel(x, head.weights));
+  g.connections.recordKeepAlive(c.engine, head.keepS);
+  load.recordWeights(byModel(x, head.weights));
   const verdict =
     head.verdict === 'other-instance' && head.instance === c.engine.id
       ? 'other-weights'
       : head.verdict;
   if (verdict === 'not-run' || verdict === 'other-instance' || verdict === 'other-weights') {
     void readOut(reply);
-    load.turnedAway(verdict);
-    load.ended('not-run');
+    load.recordRejection(verdict);
+    load.recordEnd('not-run');
     return 'not-run';
   }
   if (verdict === 'doubt' || (x.inFlight.answerBegan && !isSuccess(reply.status))) {
     reply.cancel();
-    load.ended('doubt');
+    load.recordEnd('doubt');
     return doubt(x);
   }
-  if (reply.status >= 500 && x.repeatable && more && g.budget.left(x.pool)) {
+  if (reply.status >= 500 && x.repeatable && more && g.budget.hasBudget(x.pool)) {
     void readOut(reply);
-    load.ended('doubt');
+    load.recordEnd('doubt');
     return doubt(x);
   }
   const o = await passBack(g, call, x, c, reply, load);
-  load.ended(ENDS[o]);
+  load.recordEnd(ENDS[o]);
   return o;
 }
 
-const ENDS: Record<Attempted, AttemptEnd> = {
+const ENDS: Record<AttemptOutcome, AttemptEffect> = {
   answered: 'done',
   'not-sent': 'not-run',
   'not-run': 'not-run',
@@ -193,20 +208,20 @@
   'caller-gone': 'caller-gone',
 };
 
-function late(x: Taken): Attempted {
+function late(x: AdmittedRequest): AttemptOutcome {
   x.doubted = true;
   return 'late';
 }
 
 /** Weights by model; what names no model is the request's. */
-function byModel(x: Taken, weights: Record<string, string>): Record<string, string> {
+function byModel(x: AdmittedRequest, weights: Record<string, string>): Record<string, string> {
   const { '': own, ...named } = weights;
   return own === undefined || x.request.model === undefined
     ? named
     : { ...named, [x.request.model]: own };
 }
 
-function doubt(x: Taken): Attempted {
+function doubt(x: AdmittedRequest): AttemptOutcome {
   x.doubted = true;
   return x.inFlight.answerBegan ? 'broken' : 'doubt';
 }
@@ -225,16 +240,16 @@
 
 /** Passes an answer back as it comes; of a stream that may be taken up elsewhere, whole events only. */
 async function passBack(
-  g: GatewayParts,
+  g: GatewayDependencies,
   call: RawIncomingRequest,
-  x: Taken,
-  c: Chosen,
+  x: AdmittedRequest,
+  c: EngineSelection,
   reply: RawHttpResponse,
-  load: Load,
-): Promise<Attempted> {
+  load: AttemptTracker,
+): Promise<AttemptOutcome> {
   const cutter =
-    x.route.resumable && isSuccess(reply.status) ? g.dialect.engines.events() : undefined;
-  const headers = g.dialect.engines.passBack(reply.headers);
+    x.route.resumable && isSuccess(reply.status) ? g.adapter.engines.events() : undefined;
+  const headers = g.adapter.engines.passBack(reply.headers);
   let any = false;
   for (;;) {
     const [f, p] = errorOrValue(await reply.nextChunk());
@@ -244,8 +259,8 @@
     }
     if (f) return f.code === 'timeout' ? late(x) : doubt(x);
     if (p === undefined) break;
-    g.connections.heard(c.engine);
-    if (!any) load.firstEvent(g.ports.clock.now() - x.sentAt);
+    g.connections.recordActivity(c.engine);
+    if (!any) load.recordFirstEvent(g.ports.clock.now() - x.sentAt);
     any = true;
     const bytes = cutter ? wholeEvents(x, cutter.take(p), load) : p;
     if (bytes === undefined) {
@@ -265,12 +280,16 @@
 }
 
 /** The bytes of whole events; nothing where an event came that was passed on already. */
-function wholeEvents(x: Taken, events: StreamEvent[], load: Load): Uint8Array | undefined {
+function wholeEvents(
+  x: AdmittedRequest,
+  events: StreamEvent[],
+  load: AttemptTracker,
+): Uint8Array | undefined {
   for (const e of events) {
     if (e.id !== undefined && x.lastEvent !== undefined && Number(e.id) <= Number(x.lastEvent))
       return undefined;
     x.lastEvent = e.id ?? x.lastEvent;
-    if (e.weights !== undefined) load.told(byModel(x, { '': e.weights }));
+    if (e.weights !== undefined) load.recordWeights(byModel(x, { '': e.weights }));
   }
   function bytesOf(e: { bytes: Uint8Array }): Uint8Array {
     return e.bytes;
@@ -279,7 +298,12 @@
 }
 
 /** Gives the head once; a stream that may be taken up elsewhere tells no length. */
-function giveHead(call: RawIncomingRequest, x: Taken, status: number, headers: RawHeaders): void {
+function giveHead(
+  call: RawIncomingRequest,
+  x: AdmittedRequest,
+  status: number,
+  headers: RawHeaders,
+): void {
   if (x.inFlight.answerBegan) return;
   x.inFlight.answerBegan = true;
   if (!x.route.resumable) return call.writeHead(status, headers);
--- a/src/data/gateway/gateway.ts
+++ b/src/data/gateway/gateway.ts
@@ -11,15 +11,15 @@
 import { Engine } from '../../shared/state/engines';
 import { CONTROL_KEYS } from '../../shared/state/control-keys';
 import { VersionedValue } from '../../shared/state/versions';
-import { makeRetryBudget } from './budget';
-import { makeChooser } from './choose';
-import { makeDrain } from './drain';
-import { trackInFlight } from './in-flight';
-import { GatewayCounts, GatewayParts } from './parts';
-import { keepConnections } from './pools';
-import { serveRequest } from './request';
-import { makeRouteTable, RouteTable } from './routes';
-import { makeWeightsBook, WeightsEdge } from './weights';
+import { makeRetryBudget } from './retry-budget';
+import { makeChooser } from './engine-chooser';
+import { makeDrain } from './graceful-drain';
+import { trackInFlight } from './in-flight-requests';
+import { GatewayCounts, GatewayDependencies } from './gateway-dependencies';
+import { keepConnections } from './engine-connections';
+import { serveRequest } from './request-handling';
+import { makeRouteTable, RouteTable } from './route-table';
+import { makeWeightsBook, WeightsMessages } from './weights-tracker';
 
 /** The request path of a router that speaks by a dialect. */
 export interface Gateway {
@@ -51,12 +51,12 @@
   const http: RawHttpNetwork = ports.rawHttp;
   const { clock } = ports;
   const counts: GatewayCounts = {
-    asked: 0,
-    done: 0,
-    refused: 0,
+    received: 0,
+    answered: 0,
+    rejected: 0,
     unknown: 0,
     attempts: 0,
-    furtherAttempts: 0,
+    retries: 0,
     resumed: 0,
     callersGone: 0,
   };
@@ -77,7 +77,7 @@
   }
 
   function pool(name: string): Pool | undefined {
-    return current?.pool(name);
+    return current?.poolOf(name);
   }
 
   function stores(): readonly PartStore[] {
@@ -116,7 +116,7 @@
   }
 
   function ready(): boolean {
-    return serves() && !draining.isLeaving();
+    return serves() && !draining.isDraining();
   }
 
   function stands(e: Engine): boolean {
@@ -131,23 +131,23 @@
     settings.weightsBoundMs * OLDER,
     settings.contactMs * OUT_OF_TOUCH,
   );
-  edges.push(new WeightsEdge(weights));
+  edges.push(new WeightsMessages(weights));
   const connections = keepConnections(clock, http, settings, routers);
   const chooser = makeChooser({ ports, settings, follower, weights, pool, stores, routers });
   const budget = makeRetryBudget(clock, settings, routers);
-  const parts: GatewayParts = {
+  const parts: GatewayDependencies = {
     ports,
     settings,
-    dialect,
+    adapter: dialect,
     chooser,
     connections,
     budget,
     counts,
-    table,
-    stands,
-    draining,
+    routes: table,
+    isEngineActive: stands,
+    drain: draining,
     inFlight,
-    runsOnce: new Set(),
+    singleRunIds: new Set(),
   };
 
   function limits(): ServeLimits {
@@ -155,15 +155,15 @@
     return {
       headerTimeoutMs: l?.headerTimeoutMs ?? settings.contactMs * FIRST_LIMITS.header,
       idleTimeoutMs: l?.idleTimeoutMs ?? settings.contactMs * FIRST_LIMITS.idle,
-      closing: draining.isLeaving(),
+      closing: draining.isDraining(),
     };
   }
 
   async function taken(call: RawIncomingRequest): Promise<void> {
-    const request = inFlight.began();
+    const request = inFlight.add();
     await serveRequest(parts, call, request).catch(broke);
     await call.written;
-    inFlight.ended(request);
+    inFlight.remove(request);
     function broke(e: Error): void {
       ports.logger.error({ step: 'serve request', peer: call.peer }, e.stack ?? e.message);
       call.destroy();
@@ -185,7 +185,7 @@
   function changed(n: VersionedValue): void {
     if (n.key === CONTROL_KEYS.engines) renewEngines(n.value as Engine[]);
     if (n.key.startsWith(CONTROL_KEYS.weights))
-      weights.named(n.value as NamedWeights, follower.hasLease());
+      weights.recordNaming(n.value as NamedWeights, follower.hasLease());
     if (n.key === CONTROL_KEYS.deployment) renew((n.value as DeploymentValue).doc);
   }
 
@@ -194,8 +194,8 @@
       return !e.leaving;
     }
     listed = new Set(list.filter(stays).map(idOf));
-    connections.renew(new Set(list.map(idOf)));
-    weights.listed(list);
+    connections.retain(new Set(list.map(idOf)));
+    weights.recordEngines(list);
   }
 
   function idOf(e: Engine): string {
@@ -210,7 +210,7 @@
         d.extract().join('; '),
       );
     current = makeRouteTable(d.extract() as Deployment, current);
-    connections.idleMs(current.limits.idleTimeoutMs);
+    connections.setCallerIdleMs(current.limits.idleTimeoutMs);
     server!.setLimits(limits());
   }
 
--- a/src/data/gateway/drain.ts
+++ b/src/data/gateway/graceful-drain.ts
@@ -5,7 +5,7 @@
 import { RawListener } from '../../shared/ports/raw-http';
 import { Settings } from '../../shared/settings/settings';
 import { StallMonitor } from '../../shared/observability/event-loop-stalls';
-import { InFlight } from './in-flight';
+import { InFlightRequests } from './in-flight-requests';
 
 /** How much of the grace a drain takes at the most. */
 const DRAIN = 0.93;
@@ -23,12 +23,12 @@
 const LOOK = 0.02;
 
 /** The leaving of a router. */
-export interface Drain {
-  isLeaving: () => boolean;
+export interface GracefulDrain {
+  isDraining: () => boolean;
   /** How long ago this router was told to end, in ms. */
-  leavingMs: () => number | undefined;
+  drainingMs: () => number | undefined;
   /** Whether a request may be taken whose time is over at `until`, in ms of the clock port. */
-  takes: (until: number) => boolean;
+  admits: (until: number) => boolean;
   /** Whether the drain's time is over: no further attempt begins. */
   isOver: () => boolean;
   /** Begins to leave. */
@@ -44,9 +44,9 @@
   clock: Clock,
   log: Logger,
   settings: Settings,
-  requests: InFlight,
+  requests: InFlightRequests,
   stalls: StallMonitor,
-): Drain {
+): GracefulDrain {
   const endsAfterMs = settings.graceMs * DRAIN;
   let began: number | undefined;
   let over = false;
@@ -126,5 +126,5 @@
     log.notice(fields, what);
   }
 
-  return { isLeaving, leavingMs, takes, isOver, begin, run, close };
+  return { isDraining: isLeaving, drainingMs: leavingMs, admits: takes, isOver, begin, run, close };
 }
--- a/src/data/gateway/in-flight.ts
+++ b/src/data/gateway/in-flight-requests.ts
@@ -5,12 +5,12 @@
 import { Settings } from '../../shared/settings/settings';
 
 /** A request on its way through a router. Times are of the clock port, in ms. */
-export interface RequestInFlight {
+export interface InFlightRequest {
   arrivedAt: number;
   id?: string;
   route?: string;
   /** When its own time and its route's are over. */
-  until?: number;
+  deadlineAt?: number;
   /** The engine of its newest attempt. */
   engine?: string;
   /** Attempts that were sent to engines. */
@@ -35,27 +35,27 @@
   | 'time-up';
 
 /** Keeps the requests in flight. */
-export interface InFlight {
-  began: () => RequestInFlight;
-  ended: (request: RequestInFlight) => void;
+export interface InFlightRequests {
+  add: () => InFlightRequest;
+  remove: (request: InFlightRequest) => void;
   count: () => number;
-  all: () => Iterable<RequestInFlight>;
+  all: () => Iterable<InFlightRequest>;
   /** Logs once that a request was cut off; `leavingMs` is the time since this router was told to end. */
-  cutOff: (request: RequestInFlight, cause: CutOffCause, leavingMs?: number) => void;
+  cutOff: (request: InFlightRequest, cause: CutOffCause, leavingMs?: number) => void;
 }
 
 /** Lines that are logged within `contactMs`; cut-offs beyond them are counted in the next line. */
 const MOST_LINES = 20;
 
 /** Makes the set of requests in flight. */
-export function trackInFlight(clock: Clock, log: Logger, settings: Settings): InFlight {
-  const requests = new Set<RequestInFlight>();
+export function trackInFlight(clock: Clock, log: Logger, settings: Settings): InFlightRequests {
+  const requests = new Set<InFlightRequest>();
   let windowBegan = -Infinity;
   let lines = 0;
   let unlogged = 0;
 
-  function began(): RequestInFlight {
-    const request: RequestInFlight = {
+  function began(): InFlightRequest {
+    const request: InFlightRequest = {
       arrivedAt: clock.now(),
       attempts: 0,
       silentEngines: 0,
@@ -66,7 +66,7 @@
     return request;
   }
 
-  function ended(request: RequestInFlight): void {
+  function ended(request: InFlightRequest): void {
     requests.delete(request);
   }
 
@@ -74,7 +74,7 @@
     return requests.size;
   }
 
-  function all(): Iterable<RequestInFlight> {
+  function all(): Iterable<InFlightRequest> {
     return requests;
   }
 
@@ -88,7 +88,7 @@
     return ++lines <= MOST_LINES;
   }
 
-  function cutOff(request: RequestInFlight, cause: CutOffCause, leavingMs?: number): void {
+  function cutOff(request: InFlightRequest, cause: CutOffCause, leavingMs?: number): void {
     if (request.isCutOff) return;
     request.isCutOff = true;
     if (!mayLog()) {
@@ -103,7 +103,7 @@
       route: request.route,
       cause,
       ageMs: Math.round(now - request.arrivedAt),
-      leftMs: request.until === undefined ? undefined : Math.round(request.until - now),
+      leftMs: request.deadlineAt === undefined ? undefined : Math.round(request.deadlineAt - now),
       attempts: request.attempts,
       silentEngines: request.silentEngines,
       answerBegan: request.answerBegan,
@@ -114,5 +114,5 @@
     log.notice(fields, `cut off: ${cause}`);
   }
 
-  return { began, ended, count, all, cutOff };
+  return { add: began, remove: ended, count, all, cutOff };
 }
--- a/src/data/gateway/indexers.ts
+++ b/src/data/gateway/indexer-client.ts
@@ -12,16 +12,16 @@
 import { Ports } from '../../shared/ports/ports';
 import { TimeLimits } from '../../shared/settings/time-limits';
 import { Member } from '../../shared/state/members';
-import { Loads } from './loads';
+import { EngineLoads } from './engine-loads';
 
 /** What a router says to indexers. */
-export interface Indexers {
+export interface IndexerClient {
   /** Asks how much of a prompt each source keeps; nothing where no indexer answers in time. */
-  overlap: (q: OverlapRequest, withinMs: number) => Promise<OverlapReply | undefined>;
+  queryOverlap: (q: OverlapRequest, withinMs: number) => Promise<OverlapReply | undefined>;
   /** Tells all indexers of a request that was placed, and the board of what it adds to its engine. */
-  placed: (p: PlacementNotice) => void;
+  notifyPlaced: (p: PlacementNotice) => void;
   /** Brings what is known of other routers' loads up to now; waits no longer than that. */
-  renewLoads: (withinMs: number) => Promise<void>;
+  refreshLoads: (withinMs: number) => Promise<void>;
   stop: () => void;
 }
 
@@ -38,9 +38,9 @@
   bounds: TimeLimits,
   follower: Follower,
   hello: Hello,
-  loads: Loads,
+  loads: EngineLoads,
   routers: () => number | undefined,
-): Indexers {
+): IndexerClient {
   const helds = makeConnectionPool(ports, {
     hello,
     handlers: [],
@@ -111,7 +111,7 @@
       const to = board!;
       const own: EngineLoad[] = [];
       const now = new Map<string, string>();
-      for (const l of loads.own()) {
+      for (const l of loads.ownLoads()) {
         const text = l.join(' ');
         now.set(l[0], text);
         if (full || to.said.get(l[0]) !== text) own.push(l);
@@ -122,15 +122,15 @@
       if (board !== to) return;
       if (f) {
         board = undefined;
-        loads.noBoard();
+        loads.discardBoard();
         return;
       }
       const answer = a as LoadReply;
-      loads.others(answer.others, answer.full);
+      loads.applyBoard(answer.others, answer.full);
       return;
     }
     board = undefined;
-    loads.noBoard();
+    loads.discardBoard();
   }
 
   async function tellOn(): Promise<void> {
@@ -153,5 +153,5 @@
 
   void follower.memberChanges.observe(changed);
   void tellOn();
-  return { overlap, placed, renewLoads, stop };
+  return { queryOverlap: overlap, notifyPlaced: placed, refreshLoads: renewLoads, stop };
 }
--- a/src/data/gateway/standing.ts
+++ b/src/data/gateway/outlier-ejection.ts
@@ -1,16 +1,16 @@
 /** How an attempt at an engine ended: with its answer, turned away unrun, without an answer that can be told to be the engine's, or given up by the caller. */
-export type Ending = 'answered' | 'turned-away' | 'failed' | 'given-up';
+export type AttemptResult = 'answered' | 'turned-away' | 'failed' | 'given-up';
 
 /** Which engines are left alone, as attempts there failed or were turned away, and for how long. */
-export interface Standings {
+export interface OutlierEjection {
   /** Of these, the ones that may be used; those on trial only one request at a time, and not by one that may not repeat where others are. */
-  able: (names: readonly string[], repeatable: boolean) => string[];
-  began: (name: string) => void;
+  available: (names: readonly string[], repeatable: boolean) => string[];
+  recordStart: (name: string) => void;
   /** Hears how an attempt ended that began at `at`. */
-  ended: (name: string, how: Ending, at: number) => void;
+  recordEnd: (name: string, how: AttemptResult, at: number) => void;
   /** Ms until the first of these may be used. */
-  nextIn: (names: readonly string[]) => number;
-  keep: (names: ReadonlySet<string>) => void;
+  msUntilAvailable: (names: readonly string[]) => number;
+  retain: (names: ReadonlySet<string>) => void;
 }
 
 interface Standing {
@@ -31,7 +31,11 @@
 const MOST_DOUBLINGS = 5;
 
 /** Makes the standings; `pause` is the first rest in ms, and `now` the steady clock. */
-export function makeStandings(now: () => number, spread: () => number, pause: number): Standings {
+export function makeStandings(
+  now: () => number,
+  spread: () => number,
+  pause: number,
+): OutlierEjection {
   const all = new Map<string, Standing>();
 
   function of(name: string): Standing {
@@ -77,7 +81,7 @@
       s.restedAt + pause * 2 ** Math.min(MOST_DOUBLINGS, doublings) * (0.8 + 0.4 * spread());
   }
 
-  function ended(name: string, how: Ending, at: number): void {
+  function ended(name: string, how: AttemptResult, at: number): void {
     const s = of(name);
     s.trying = Math.max(0, s.trying - 1);
     if (how === 'answered') {
@@ -108,5 +112,11 @@
     for (const n of all.keys()) if (!names.has(n)) all.delete(n);
   }
 
-  return { able, began, ended, nextIn, keep };
+  return {
+    available: able,
+    recordStart: began,
+    recordEnd: ended,
+    msUntilAvailable: nextIn,
+    retain: keep,
+  };
 }
--- a/src/data/gateway/placement-types.ts
+++ b/src/data/gateway/placement-types.ts
@@ -1,16 +1,16 @@
 import { Either } from 'purify-ts';
 import { PromptBlock } from '../../shared/contracts/engine';
 import { OverlapReply } from '../../shared/contracts/indexer';
-import { Links } from './links';
-import { Loads } from './loads';
-import { Paces } from './pace';
-import { Reckoned } from './reckon';
-import { Ending, Standings } from './standing';
+import { TransferEstimator } from './transfer-estimate';
+import { EngineLoads } from './engine-loads';
+import { ThroughputEstimator } from './throughput-estimate';
+import { CostEstimate } from './cost-estimate';
+import { AttemptResult, OutlierEjection } from './outlier-ejection';
 
 /** An engine of the pool, as the list has it. */
-export interface EngineSpot {
+export interface EngineEndpoint {
   id: string;
-  at: string;
+  address: string;
   zone: string;
   region?: string;
   batch?: number;
@@ -19,9 +19,9 @@
 }
 
 /** A store of kept parts. */
-export interface StoreSpot {
+export interface StoreEndpoint {
   name: string;
-  at: string;
+  address: string;
   zone: string;
   region?: string;
   linkMbps: number;
@@ -34,76 +34,79 @@
   cacheTokens: number;
   tokenBytes: number;
   linkMbps: number;
-  engines: EngineSpot[];
-  stores: StoreSpot[];
+  engines: EngineEndpoint[];
+  stores: StoreEndpoint[];
 }
 
 /** One request that wants an engine. */
-export interface PlaceAsk {
+export interface PlacementRequest {
   pool: PoolView;
   /** Stands for the wall and the weights that are named. */
-  wall: string;
-  parts: readonly PromptBlock[];
-  tokensIn: number;
-  tokensOut: number;
+  cacheScope: string;
+  blocks: readonly PromptBlock[];
+  promptTokens: number;
+  maxOutputTokens: number;
   /** Ms of its aim that are left, and of the time that it may take. */
-  aimMs: number;
-  leftMs: number;
+  latencyTargetMs: number;
+  remainingMs: number;
   /** Ranks; 0 is the highest. */
   routePriority: number;
   tenantPriority: number;
   tenant?: string;
-  repeatable: boolean;
-  avoid: ReadonlySet<string>;
+  isIdempotent: boolean;
+  excluded: ReadonlySet<string>;
 }
 
 /** Where a request goes. */
-export interface Placed {
-  ask: PlaceAsk;
-  reckoned: Reckoned;
+export interface PlacementDecision {
+  request: PlacementRequest;
+  estimate: CostEstimate;
   urgency: number;
   /** The store that is to get the parts that are read. */
-  storeAt?: string;
-  home: string;
+  storeAddress?: string;
+  affinityKey: string;
 }
 
 /** Why a request is refused at once, and in how many ms a place is to be expected. */
-export interface NoPlace {
-  why: 'no-engine' | 'full' | 'too-late';
+export interface PlacementRejection {
+  reason: 'no-engine' | 'full' | 'too-late';
   retryAfterMs: number;
 }
 
 /** A request under way at its engine. */
-export interface Underway {
-  first: () => void;
-  ended: (how: Ending) => void;
+export interface PlacedRequest {
+  recordFirstEvent: () => void;
+  recordEnd: (how: AttemptResult) => void;
 }
 
 /** How engines are compared: `full` reckons all that is known, `affinity` takes the home, `least-busy` the engine with the least at work. */
-export type PlaceWay = 'full' | 'affinity' | 'least-busy';
+export type PlacementStrategy = 'full' | 'affinity' | 'least-busy';
 
 /** Places requests at engines. */
 export interface Placement {
   /** The salts under which an index is worth asking for this request. */
-  wantsIndex: (ask: PlaceAsk) => string[];
+  saltsToQuery: (ask: PlacementRequest) => string[];
   /** Places a request; `kept` is what an index answered by salt. */
-  place: (ask: PlaceAsk, kept: ReadonlyMap<string, OverlapReply>) => Either<NoPlace, Placed>;
-  began: (p: Placed) => Underway;
-  loads: Loads;
-  paces: Paces;
-  links: Links;
-  standings: Standings;
+  place: (
+    ask: PlacementRequest,
+    kept: ReadonlyMap<string, OverlapReply>,
+  ) => Either<PlacementRejection, PlacementDecision>;
+  start: (p: PlacementDecision) => PlacedRequest;
+  loads: EngineLoads;
+  throughput: ThroughputEstimator;
+  transfers: TransferEstimator;
+  ejection: OutlierEjection;
   /** Forgets engines and stores that are gone. */
-  keep: (names: ReadonlySet<string>) => void;
+  retain: (names: ReadonlySet<string>) => void;
 }
 
 /** What placement stands on. */
-export interface PlaceWays {
+export interface PlacementOptions {
   now: () => number;
-  spread: () => number;
+  random: () => number;
   /** The zone that requests are sent from. */
   zone: string;
   /** The first rest of an engine that failed, in ms. */
-  pause: number;
-  way?: PlaceWay;
+  baseEjectionMs: number;
+  strategy?: PlacementStrategy;
 }
--- a/src/data/gateway/placement.ts
+++ b/src/data/gateway/placement.ts
@@ -1,22 +1,29 @@
 import { Either, Left, Right } from 'purify-ts';
 import { PromptBlock } from '../../shared/contracts/engine';
 import { OverlapReply } from '../../shared/contracts/indexer';
-import { Homes, makeHomes } from './homes';
-import { makeLinks, Side } from './links';
-import { Flight, makeLoads } from './loads';
-import { makePaces } from './pace';
-import { Able, KeptAt, Prompt, reckon, Reckoned, Source } from './reckon';
-import { Ending, makeStandings } from './standing';
+import { PreferredReplicas, makeHomes } from './preferred-replicas';
+import { makeLinks, LinkEndpoint } from './transfer-estimate';
+import { InFlightLoad, makeLoads } from './engine-loads';
+import { makePaces } from './throughput-estimate';
+import {
+  Candidate,
+  CachedPrefix,
+  Prompt,
+  estimateCosts,
+  CostEstimate,
+  PrefixSource,
+} from './cost-estimate';
+import { AttemptResult, makeStandings } from './outlier-ejection';
 
 import {
-  EngineSpot,
-  StoreSpot,
-  PlaceAsk,
-  Placed,
-  NoPlace,
-  Underway,
+  EngineEndpoint,
+  StoreEndpoint,
+  PlacementRequest,
+  PlacementDecision,
+  PlacementRejection,
+  PlacedRequest,
   Placement,
-  PlaceWays,
+  PlacementOptions,
 } from './placement-types';
 
 /** A prompt that reads in under this share of its aim is placed without asking an index. */
@@ -51,15 +58,15 @@
 const FAIR = 1.5;
 
 /** Makes the placement. */
-export function makePlacement(ways: PlaceWays): Placement {
-  const homes: Homes = makeHomes();
+export function makePlacement(ways: PlacementOptions): Placement {
+  const homes: PreferredReplicas = makeHomes();
   const paces = makePaces();
   const links = makeLinks();
   const loads = makeLoads(ways.now);
-  const standings = makeStandings(ways.now, ways.spread, ways.pause);
+  const standings = makeStandings(ways.now, ways.random, ways.baseEjectionMs);
   const recent = new Map<string, string[]>();
   const tenants = new Map<string, number>();
-  const way = ways.way ?? 'full';
+  const way = ways.strategy ?? 'full';
 
   function sharedOf(parts: readonly PromptBlock[]): number {
     let t = 0;
@@ -67,29 +74,32 @@
     return t;
   }
 
-  function wantsIndex(ask: PlaceAsk): string[] {
-    if (way !== 'full' || ask.parts.length === 0) return [];
+  function wantsIndex(ask: PlacementRequest): string[] {
+    if (way !== 'full' || ask.blocks.length === 0) return [];
     if (isQuick(ask)) return [];
     const salts = new Set<string>();
     for (const e of ask.pool.engines) salts.add(e.salt);
     return [...salts];
   }
 
-  function isQuick(ask: PlaceAsk): boolean {
-    return ask.tokensIn * paces.of(ask.pool.name, '').msPerToken <= QUICK * ask.aimMs;
+  function isQuick(ask: PlacementRequest): boolean {
+    return (
+      ask.promptTokens * paces.estimate(ask.pool.name, '').msPerPrefillToken <=
+      QUICK * ask.latencyTargetMs
+    );
   }
 
-  function homeOf(ask: PlaceAsk): string {
-    return `${ask.wall} ${ask.parts[Math.max(0, ask.parts.length - 2)]?.hash ?? ''}`;
+  function homeOf(ask: PlacementRequest): string {
+    return `${ask.cacheScope} ${ask.blocks[Math.max(0, ask.blocks.length - 2)]?.hash ?? ''}`;
   }
 
-  function sideOf(e: EngineSpot | StoreSpot, name: string, mbps: number): Side {
-    return { name, zone: e.zone, region: e.region, mbps };
+  function sideOf(e: EngineEndpoint | StoreEndpoint, name: string, mbps: number): LinkEndpoint {
+    return { name, zone: e.zone, region: e.region, linkMbps: mbps };
   }
 
   /** How far each engine stands from the home of its zone: a prompt has one home in each, so that it need not cross zones. */
-  function ranksOf(ask: PlaceAsk, home: string): Map<string, number> {
-    const all = homes.ranks(home, ask.pool.engines.map(idOf));
+  function ranksOf(ask: PlacementRequest, home: string): Map<string, number> {
+    const all = homes.rank(home, ask.pool.engines.map(idOf));
     const order = [...ask.pool.engines].sort(byRank);
     const count = new Map<string, number>();
     const out = new Map<string, number>();
@@ -99,13 +109,13 @@
       out.set(e.id, n);
     }
     return out;
-    function byRank(a: EngineSpot, b: EngineSpot): number {
+    function byRank(a: EngineEndpoint, b: EngineEndpoint): number {
       return all.get(a.id)! - all.get(b.id)!;
     }
   }
 
   /** Engines that long prompts are rather sent to: most of each zone's, in an order that all routers share. */
-  function forLong(ask: PlaceAsk): Set<string> {
+  function forLong(ask: PlacementRequest): Set<string> {
     const ranks = ranksOf(ask, ask.pool.name);
     const count = new Map<string, number>();
     for (const e of ask.pool.engines) count.set(e.zone, (count.get(e.zone) ?? 0) + 1);
@@ -120,95 +130,115 @@
   }
 
   function guess(
-    ask: PlaceAsk,
+    ask: PlacementRequest,
     home: string,
     ranks: Map<string, number>,
-  ): { here: (name: string) => KeptAt; there: (name: string) => KeptAt } {
-    const shared = sharedOf(ask.parts);
+  ): { here: (name: string) => CachedPrefix; there: (name: string) => CachedPrefix } {
+    const shared = sharedOf(ask.blocks);
     const placed = recent.get(home) ?? [];
-    function by(home: number): (name: string) => KeptAt {
-      function keptAt(name: string): KeptAt {
-        if (placed.includes(name)) return { kept: shared * PLACED_KEEPS, coming: 0 };
-        return { kept: ranks.get(name) === 0 ? shared * home : 0, coming: 0 };
+    function by(home: number): (name: string) => CachedPrefix {
+      function keptAt(name: string): CachedPrefix {
+        if (placed.includes(name)) return { cachedTokens: shared * PLACED_KEEPS, pendingTokens: 0 };
+        return { cachedTokens: ranks.get(name) === 0 ? shared * home : 0, pendingTokens: 0 };
       }
       return keptAt;
     }
     return { here: by(HOME_KEEPS), there: by(recent.size < FEW ? 0 : GUESSED) };
   }
 
-  function told(kept: OverlapReply): (name: string) => KeptAt {
-    const m = new Map<string, KeptAt>();
-    for (const [source, k, coming] of kept) m.set(source, { kept: k, coming });
-    function keptAt(name: string): KeptAt {
-      return m.get(name) ?? { kept: 0, coming: 0 };
+  function told(kept: OverlapReply): (name: string) => CachedPrefix {
+    const m = new Map<string, CachedPrefix>();
+    for (const [source, k, coming] of kept)
+      m.set(source, { cachedTokens: k, pendingTokens: coming });
+    function keptAt(name: string): CachedPrefix {
+      return m.get(name) ?? { cachedTokens: 0, pendingTokens: 0 };
     }
     return keptAt;
   }
 
-  function sourcesOf(ask: PlaceAsk, salt: string, keptAt: (name: string) => KeptAt): Source[] {
-    const out: Source[] = [];
-    const up = new Set(standings.able(ask.pool.engines.map(idOf), false));
+  function sourcesOf(
+    ask: PlacementRequest,
+    salt: string,
+    keptAt: (name: string) => CachedPrefix,
+  ): PrefixSource[] {
+    const out: PrefixSource[] = [];
+    const up = new Set(standings.available(ask.pool.engines.map(idOf), false));
     for (const e of ask.pool.engines) {
-      const { kept } = keptAt(e.id);
+      const { cachedTokens: kept } = keptAt(e.id);
       if (kept > 0 && e.salt === salt && up.has(e.id))
-        out.push({ side: sideOf(e, e.id, ask.pool.linkMbps), at: e.at, kept });
+        out.push({
+          endpoint: sideOf(e, e.id, ask.pool.linkMbps),
+          address: e.address,
+          cachedTokens: kept,
+        });
     }
     for (const s of ask.pool.stores) {
-      const { kept } = keptAt(s.name);
-      if (kept > 0) out.push({ side: sideOf(s, s.name, s.linkMbps), at: s.at, kept });
+      const { cachedTokens: kept } = keptAt(s.name);
+      if (kept > 0)
+        out.push({
+          endpoint: sideOf(s, s.name, s.linkMbps),
+          address: s.address,
+          cachedTokens: kept,
+        });
     }
     return out;
   }
 
-  function idOf(e: EngineSpot): string {
+  function idOf(e: EngineEndpoint): string {
     return e.id;
   }
 
-  function cost(r: Reckoned): number {
-    if (way === 'affinity') return r.able.rank;
+  function cost(r: CostEstimate): number {
+    if (way === 'affinity') return r.candidate.preferenceRank;
     if (way === 'least-busy')
-      return r.able.load.running + r.able.load.unread / Math.max(1, r.able.cacheTokens);
-    return r.cost * (1 + SPREAD * ways.spread());
+      return (
+        r.candidate.load.running +
+        r.candidate.load.prefillTokens / Math.max(1, r.candidate.cacheTokens)
+      );
+    return r.cost * (1 + SPREAD * ways.random());
   }
 
-  function place(ask: PlaceAsk, kept: ReadonlyMap<string, OverlapReply>): Either<NoPlace, Placed> {
+  function place(
+    ask: PlacementRequest,
+    kept: ReadonlyMap<string, OverlapReply>,
+  ): Either<PlacementRejection, PlacementDecision> {
     const names: string[] = [];
-    for (const e of ask.pool.engines) if (!ask.avoid.has(e.id)) names.push(e.id);
-    const fit = new Set(standings.able(names, ask.repeatable));
+    for (const e of ask.pool.engines) if (!ask.excluded.has(e.id)) names.push(e.id);
+    const fit = new Set(standings.available(names, ask.isIdempotent));
     if (fit.size === 0)
       return Left({
-        why: 'no-engine',
-        retryAfterMs: Math.max(ways.pause, standings.nextIn(names)),
+        reason: 'no-engine',
+        retryAfterMs: Math.max(ways.baseEjectionMs, standings.msUntilAvailable(names)),
       });
     const home = homeOf(ask);
     const ranks = ranksOf(ask, home);
     const quick = isQuick(ask);
     const side = forLong(ask);
-    const bySalt = new Map<string, Able[]>();
-    const all: Able[] = [];
+    const bySalt = new Map<string, Candidate[]>();
+    const all: Candidate[] = [];
     for (const e of ask.pool.engines) {
       if (!fit.has(e.id)) continue;
-      const a: Able = {
-        side: sideOf(e, e.id, ask.pool.linkMbps),
-        at: e.at,
+      const a: Candidate = {
+        endpoint: sideOf(e, e.id, ask.pool.linkMbps),
+        at: e.address,
         batch: Math.max(1, e.batch ?? ask.pool.batch),
         cacheTokens: ask.pool.cacheTokens,
-        load: loads.of(e.id),
-        pace: paces.of(ask.pool.name, e.id),
-        rank: ranks.get(e.id)!,
-        besideMs: quick && side.has(e.id) ? ask.aimMs * QUICK_SIDE : 0,
+        load: loads.snapshot(e.id),
+        throughput: paces.estimate(ask.pool.name, e.id),
+        preferenceRank: ranks.get(e.id)!,
+        besideMs: quick && side.has(e.id) ? ask.latencyTargetMs * QUICK_SIDE : 0,
         besideReading: !quick && !side.has(e.id) ? LONG_ASIDE : 0,
       };
       all.push(a);
       bySalt.set(e.salt, [...(bySalt.get(e.salt) ?? []), a]);
     }
-    let best: { r: Reckoned; cost: number } | undefined;
+    let best: { r: CostEstimate; cost: number } | undefined;
     for (const [salt, able] of bySalt) {
       const answer = way === 'full' ? kept.get(salt) : undefined;
       const by = answer ? told(answer) : undefined;
       const { here, there } = by ? { here: by, there: by } : guess(ask, home, ranks);
       const sources = way === 'full' ? sourcesOf(ask, salt, there) : [];
-      for (const r of reckon(promptOf(ask, answer), able, here, sources, links.moveMs)) {
+      for (const r of estimateCosts(promptOf(ask, answer), able, here, sources, links.transferMs)) {
         const c = cost(r);
         if (!best || c < best.cost) best = { r, cost: c };
       }
@@ -217,70 +247,76 @@
     if (no) return Left(no);
     const salt = ask.pool.engines.find(isBest)!.salt;
     return Right({
-      ask,
-      reckoned: best!.r,
+      request: ask,
+      estimate: best!.r,
       urgency: urgencyOf(ask),
-      storeAt: storeFor(ask, home, kept.get(salt)),
-      home,
+      storeAddress: storeFor(ask, home, kept.get(salt)),
+      affinityKey: home,
     });
-    function isBest(e: EngineSpot): boolean {
-      return e.id === best!.r.able.side.name;
+    function isBest(e: EngineEndpoint): boolean {
+      return e.id === best!.r.candidate.endpoint.name;
     }
   }
 
   /** The prompt, with how much of what it shares was read before: as an index told, or all where none did. */
-  function promptOf(ask: PlaceAsk, answer: OverlapReply | undefined): Prompt {
-    const shared = sharedOf(ask.parts);
+  function promptOf(ask: PlacementRequest, answer: OverlapReply | undefined): Prompt {
+    const shared = sharedOf(ask.blocks);
     let known = answer ? 0 : shared;
     for (const [, k, coming] of answer ?? []) known = Math.max(known, k + coming);
     return {
-      tokensIn: ask.tokensIn,
-      tokensOut: ask.tokensOut,
+      tokensIn: ask.promptTokens,
+      tokensOut: ask.maxOutputTokens,
       shared,
       known,
       tokenBytes: ask.pool.tokenBytes,
-      aimMs: ask.aimMs,
-      leftMs: ask.leftMs,
+      aimMs: ask.latencyTargetMs,
+      leftMs: ask.remainingMs,
       zone: ways.zone,
     };
   }
 
   /** The store that lacks something of what the prompt shares: the same one for a part at every router. */
   function storeFor(
-    ask: PlaceAsk,
+    ask: PlacementRequest,
     home: string,
     answer: OverlapReply | undefined,
   ): string | undefined {
     if (!answer || ask.pool.stores.length === 0) return undefined;
-    const ranks = homes.ranks(home, ask.pool.stores.map(nameOf));
-    const shared = sharedOf(ask.parts);
-    if (shared < ask.tokensIn * STORED) return undefined;
+    const ranks = homes.rank(home, ask.pool.stores.map(nameOf));
+    const shared = sharedOf(ask.blocks);
+    if (shared < ask.promptTokens * STORED) return undefined;
     for (const s of ask.pool.stores) {
       if (ranks.get(s.name) !== 0) continue;
-      const { kept, coming } = told(answer)(s.name);
-      return kept + coming < shared ? s.at : undefined;
+      const { cachedTokens: kept, pendingTokens: coming } = told(answer)(s.name);
+      return kept + coming < shared ? s.address : undefined;
     }
     return undefined;
   }
 
-  function nameOf(s: StoreSpot): string {
+  function nameOf(s: StoreEndpoint): string {
     return s.name;
   }
 
   /** A request is refused only where places are taken, and its time would pass in waiting for one. */
-  function refusal(ask: PlaceAsk, able: readonly Able[], r: Reckoned): NoPlace | undefined {
+  function refusal(
+    ask: PlacementRequest,
+    able: readonly Candidate[],
+    r: CostEstimate,
+  ): PlacementRejection | undefined {
     let running = 0;
     let places = 0;
     for (const a of able) {
       running += Math.min(a.batch, a.load.running);
       places += a.batch;
     }
-    if (running < places * PRESSED || r.able.load.running < r.able.batch) return undefined;
-    const own = r.firstMs - r.waitMs;
-    if (own < ask.leftMs && r.firstMs >= ask.leftMs) return { why: 'full', retryAfterMs: r.waitMs };
-    if (own >= ask.aimMs || r.firstMs < ask.aimMs) return undefined;
-    return r.waitMs > ask.aimMs * (overShare(ask.tenant) ? 1 : 2)
-      ? { why: 'too-late', retryAfterMs: r.waitMs }
+    if (running < places * PRESSED || r.candidate.load.running < r.candidate.batch)
+      return undefined;
+    const own = r.firstEventMs - r.queueMs;
+    if (own < ask.remainingMs && r.firstEventMs >= ask.remainingMs)
+      return { reason: 'full', retryAfterMs: r.queueMs };
+    if (own >= ask.latencyTargetMs || r.firstEventMs < ask.latencyTargetMs) return undefined;
+    return r.queueMs > ask.latencyTargetMs * (overShare(ask.tenant) ? 1 : 2)
+      ? { reason: 'too-late', retryAfterMs: r.queueMs }
       : undefined;
   }
 
@@ -290,7 +326,7 @@
     return (tenants.get(tenant ?? '') ?? 0) * tenants.size > all * FAIR;
   }
 
-  function urgencyOf(ask: PlaceAsk): number {
+  function urgencyOf(ask: PlacementRequest): number {
     return Math.min(LAST, ask.routePriority * 2 + Math.min(1, ask.tenantPriority));
   }
 
@@ -304,62 +340,80 @@
     }
   }
 
-  function began(p: Placed): Underway {
-    const { ask, reckoned: r } = p;
-    const engine = r.able.side.name;
+  function began(p: PlacementDecision): PlacedRequest {
+    const { request: ask, estimate: r } = p;
+    const engine = r.candidate.endpoint.name;
     const tenant = ask.tenant ?? '';
-    const f: Flight = {
+    const f: InFlightLoad = {
       engine,
-      unread: r.unread,
-      memory: ask.tokensIn + ask.tokensOut,
+      prefillTokens: r.prefillTokens,
+      memoryTokens: ask.promptTokens + ask.maxOutputTokens,
       sentAt: ways.now(),
-      dueMs: r.firstMs,
-      moveMs: r.fetch?.ms ?? 0,
+      expectedFirstEventMs: r.firstEventMs,
+      transferMs: r.prefixFetch?.ms ?? 0,
     };
-    loads.began(f);
-    standings.began(engine);
+    loads.recordStart(f);
+    standings.recordStart(engine);
     tenants.set(tenant, (tenants.get(tenant) ?? 0) + 1);
-    remember(p.home, engine);
+    remember(p.affinityKey, engine);
     let over = false;
 
     function first(): void {
-      if (f.firstAt !== undefined) return;
-      loads.first(f);
-      const ms = f.firstAt! - f.sentAt;
-      if (r.fetch && r.waitMs > r.firstMs * MUCH) return;
-      if (r.fetch)
-        links.learn(r.fetch.source.side.name, engine, ms > r.firstMs * SLOW + r.fetch.ms);
+      if (f.firstEventAt !== undefined) return;
+      loads.recordFirstEvent(f);
+      const ms = f.firstEventAt! - f.sentAt;
+      if (r.prefixFetch && r.queueMs > r.firstEventMs * MUCH) return;
+      if (r.prefixFetch)
+        links.observe(
+          r.prefixFetch.source.endpoint.name,
+          engine,
+          ms > r.firstEventMs * SLOW + r.prefixFetch.ms,
+        );
       else
-        paces.learn(ask.pool.name, engine, {
-          ms,
-          tokens: r.unread,
-          pairs: r.pairs,
-          ahead: r.ahead,
+        paces.observeFirstEvent(ask.pool.name, engine, {
+          firstEventMs: ms,
+          prefillTokens: r.prefillTokens,
+          attentionPairs: r.attentionPairs,
+          queuedTokens: r.queuedTokens,
         });
     }
 
-    function ended(how: Ending): void {
+    function ended(how: AttemptResult): void {
       if (over) return;
       over = true;
-      loads.ended(f);
-      standings.ended(engine, how, f.sentAt);
+      loads.recordEnd(f);
+      standings.recordEnd(engine, how, f.sentAt);
       const left = (tenants.get(tenant) ?? 1) - 1;
       if (left > 0) tenants.set(tenant, left);
       else tenants.delete(tenant);
-      if (how === 'answered') paces.learnPlace(ask.pool.name, ways.now() - f.sentAt);
-      if (how !== 'turned-away' && f.firstAt !== undefined)
-        paces.learnOut(ask.pool.name, engine, ways.now() - f.firstAt, ask.tokensOut);
+      if (how === 'answered') paces.observeSlot(ask.pool.name, ways.now() - f.sentAt);
+      if (how !== 'turned-away' && f.firstEventAt !== undefined)
+        paces.observeDecode(
+          ask.pool.name,
+          engine,
+          ways.now() - f.firstEventAt,
+          ask.maxOutputTokens,
+        );
     }
 
-    return { first, ended };
+    return { recordFirstEvent: first, recordEnd: ended };
   }
 
   function keep(names: ReadonlySet<string>): void {
-    paces.keep(names);
-    links.keep(names);
-    standings.keep(names);
-    loads.keep(names);
+    paces.retain(names);
+    links.retain(names);
+    standings.retain(names);
+    loads.retain(names);
   }
 
-  return { wantsIndex, place, began, loads, paces, links, standings, keep };
+  return {
+    saltsToQuery: wantsIndex,
+    place,
+    start: began,
+    loads,
+    throughput: paces,
+    transfers: links,
+    ejection: standings,
+    retain: keep,
+  };
 }
--- a/src/data/gateway/homes.ts
+++ b/src/data/gateway/preferred-replicas.ts
@@ -1,7 +1,7 @@
 /** Orders names for a key by rendezvous hash, cheaply: the same at every router, and a name that comes or goes moves only its own keys. */
-export interface Homes {
+export interface PreferredReplicas {
   /** Ranks by name, 0 is the home. */
-  ranks: (key: string, names: readonly string[]) => Map<string, number>;
+  rank: (key: string, names: readonly string[]) => Map<string, number>;
 }
 
 const MOST_NAMES = 4096;
@@ -20,7 +20,7 @@
 }
 
 /** Makes the ranking; hashes of names are kept, as the same ones come again. */
-export function makeHomes(): Homes {
+export function makeHomes(): PreferredReplicas {
   const hashes = new Map<string, number>();
 
   function hashOf(name: string): number {
@@ -48,5 +48,5 @@
     return a.name < b.name ? 1 : -1;
   }
 
-  return { ranks };
+  return { rank: ranks };
 }
--- a/src/data/gateway/request.ts
+++ b/src/data/gateway/request-handling.ts
@@ -1,11 +1,11 @@
 import { errorOrValue } from '../../shared/errors/errors';
 import { CallerRequest, HttpRoute, TenantAccess } from '../../shared/state/deployment';
 import { HttpConnection, RawIncomingRequest } from '../../shared/ports/raw-http';
-import { Chosen, Load, Refusal } from './choose';
-import { Attempted, forward, Taken, wantedOf } from './forward';
-import { CutOffCause, RequestInFlight } from './in-flight';
-import { GatewayParts } from './parts';
-import { drawPool, RouteTable } from './routes';
+import { EngineSelection, AttemptTracker, Rejection } from './engine-chooser';
+import { AttemptOutcome, forward, AdmittedRequest, wantedOf } from './forwarding';
+import { CutOffCause, InFlightRequest } from './in-flight-requests';
+import { GatewayDependencies } from './gateway-dependencies';
+import { drawPool, RouteTable } from './route-table';
 
 /** Connections to engines that may fail before a request is given up, as a multiple of its attempts. */
 const CONNECTS = 3;
@@ -37,46 +37,46 @@
 
 /** Serves one request: read, allow, route, choose, forward, events back. */
 export async function serveRequest(
-  g: GatewayParts,
+  g: GatewayDependencies,
   call: RawIncomingRequest,
-  inFlight: RequestInFlight,
+  inFlight: InFlightRequest,
 ): Promise<void> {
-  g.counts.asked++;
+  g.counts.received++;
   const x = await admit(g, call, inFlight);
   if (!x) return;
-  g.budget.asked(x.pool);
+  g.budget.recordRequest(x.pool);
   const { id } = x.request;
-  if (!x.repeatable && g.runsOnce.has(id)) return giveUp(g, call, BAD_GATEWAY);
-  if (!x.repeatable) g.runsOnce.add(id);
+  if (!x.repeatable && g.singleRunIds.has(id)) return giveUp(g, call, BAD_GATEWAY);
+  if (!x.repeatable) g.singleRunIds.add(id);
   const end = await attempt(g, call, x);
-  if (!x.repeatable) g.runsOnce.delete(id);
+  if (!x.repeatable) g.singleRunIds.delete(id);
   finish(g, call, x, end);
 }
 
 /** Reads a request and judges whether it is taken; nothing where it was answered already. */
 async function admit(
-  g: GatewayParts,
+  g: GatewayDependencies,
   call: RawIncomingRequest,
-  inFlight: RequestInFlight,
-): Promise<Taken | undefined> {
+  inFlight: InFlightRequest,
+): Promise<AdmittedRequest | undefined> {
   const q = await read(g, call);
   if (!q) return undefined;
-  const table = g.table();
+  const table = g.routes();
   if (!table) return refuse(g, call, comeAgain(g, NO_DEPLOYMENT));
   const a = allow(g, call, table, q.request);
   if (!a) return undefined;
   const { timeoutMs } = a.route;
   const until = inFlight.arrivedAt + Math.min(q.request.deadlineMs ?? timeoutMs, timeoutMs);
-  if (!g.draining.takes(until)) return refuse(g, call, comeAgain(g, LEAVING));
+  if (!g.drain.admits(until)) return refuse(g, call, comeAgain(g, LEAVING));
   inFlight.id = q.request.id;
   inFlight.route = a.route.name;
-  inFlight.until = until;
+  inFlight.deadlineAt = until;
   return {
     request: q.request,
     route: a.route,
     tenant: a.tenant,
     pool: a.pool,
-    maxConnections: table.pool(a.pool)?.maxConnections ?? 1,
+    maxConnections: table.poolOf(a.pool)?.maxConnections ?? 1,
     body: q.body,
     until,
     sentAt: inFlight.arrivedAt,
@@ -91,41 +91,45 @@
 
 /** How the attempts of a request came to their end. */
 interface AttemptsEnd {
-  last?: Attempted;
+  last?: AttemptOutcome;
   /** Why an answer that has begun is cut off. */
   cause: CutOffCause;
   /** The refusal of what no engine has run. */
-  refusal: Refusal;
+  refusal: Rejection;
 }
 
 /** Sends a request to engines in turn until one has answered, or none may be tried any more. */
-async function attempt(g: GatewayParts, call: RawIncomingRequest, x: Taken): Promise<AttemptsEnd> {
+async function attempt(
+  g: GatewayDependencies,
+  call: RawIncomingRequest,
+  x: AdmittedRequest,
+): Promise<AttemptsEnd> {
   const { clock } = g.ports;
   const { maxAttempts } = x.route;
   const end: AttemptsEnd = { cause: 'attempts-used-up', refusal: unreachable(x.route) };
   for (let tried = 0; x.sent < maxAttempts && tried < maxAttempts * CONNECTS; tried++) {
     if (call.aborted.aborted || x.until - clock.now() < g.settings.transitMs * WORTH)
       return { ...end, cause: 'time-up' };
-    if (g.draining.isOver()) return end;
+    if (g.drain.isOver()) return end;
     const wanted = wantedOf(x);
     const chosen = await g.chooser.choose(wanted);
     if (chosen.isLeft()) return { ...end, refusal: chosen.extract(), cause: 'no-engine' };
     const c = chosen.unsafeCoerce();
-    const load = g.chooser.began(c, wanted);
+    const load = g.chooser.startAttempt(c, wanted);
     x.avoid.add(c.engine.id);
     const connection = await connect(g, x, c, load);
     if (!connection) continue;
     const isTimeUp = clock.now() >= x.until || call.aborted.aborted;
-    if (isTimeUp || (x.sent > 0 && !g.budget.spend(x.pool))) {
-      load.ended('caller-gone');
-      g.connections.giveBack(c.engine, connection);
+    if (isTimeUp || (x.sent > 0 && !g.budget.trySpend(x.pool))) {
+      load.recordEnd('caller-gone');
+      g.connections.release(c.engine, connection);
       return { ...end, cause: isTimeUp ? 'time-up' : 'retry-budget' };
     }
     countAttempt(g, x, c);
     end.last = await forward(g, call, x, c, connection, load, x.sent + 1 < maxAttempts);
     x.inFlight.abandonAttempt = undefined;
     if (end.last !== 'not-sent') x.sent++;
-    if (g.draining.isOver()) return end;
+    if (g.drain.isOver()) return end;
     if (end.last === 'late') return { ...end, cause: 'time-up' };
     if (end.last === 'broken' && !canResume(x)) return { ...end, cause: 'engine-broke-off' };
     if (end.last === 'answered' || end.last === 'caller-gone') return end;
@@ -136,26 +140,26 @@
 
 /** Takes a connection to the engine that was chosen; nothing where there is none, or the engine has gone meanwhile. */
 async function connect(
-  g: GatewayParts,
-  x: Taken,
-  c: Chosen,
-  load: Load,
+  g: GatewayDependencies,
+  x: AdmittedRequest,
+  c: EngineSelection,
+  load: AttemptTracker,
 ): Promise<HttpConnection | undefined> {
-  const [f, connection] = errorOrValue(await g.connections.take(c.engine, x.maxConnections));
+  const [f, connection] = errorOrValue(await g.connections.acquire(c.engine, x.maxConnections));
   if (f) {
-    if (f.code === 'no-connection') load.turnedAway('not-run');
-    load.ended('not-run');
+    if (f.code === 'no-connection') load.recordRejection('not-run');
+    load.recordEnd('not-run');
     return undefined;
   }
-  if (g.stands(c.engine)) return connection;
-  load.ended('not-run');
-  g.connections.giveBack(c.engine, connection);
+  if (g.isEngineActive(c.engine)) return connection;
+  load.recordEnd('not-run');
+  g.connections.release(c.engine, connection);
   return undefined;
 }
 
-function countAttempt(g: GatewayParts, x: Taken, c: Chosen): void {
+function countAttempt(g: GatewayDependencies, x: AdmittedRequest, c: EngineSelection): void {
   g.counts.attempts++;
-  if (x.sent > 0) g.counts.furtherAttempts++;
+  if (x.sent > 0) g.counts.retries++;
   if (x.inFlight.answerBegan) g.counts.resumed++;
   x.inFlight.engine = c.engine.id;
   x.inFlight.attempts++;
@@ -163,12 +167,12 @@
 
 /** Ends a request whose attempts have ended. */
 function finish(
-  g: GatewayParts,
+  g: GatewayDependencies,
   call: RawIncomingRequest,
-  x: Taken,
+  x: AdmittedRequest,
   { last, cause, refusal }: AttemptsEnd,
 ): void {
-  if (last === 'answered') g.counts.done++;
+  if (last === 'answered') g.counts.answered++;
   else if (last === 'caller-gone' || call.aborted.aborted) g.counts.callersGone++;
   else if (x.inFlight.answerBegan) breakOff(g, call, x.inFlight, cause);
   else if (x.doubted) {
@@ -177,19 +181,19 @@
   } else refuse(g, call, refusal);
 }
 
-function canResume(x: Taken): boolean {
+function canResume(x: AdmittedRequest): boolean {
   return x.route.resumable && (!x.inFlight.answerBegan || x.lastEvent !== undefined);
 }
 
-async function read(g: GatewayParts, call: RawIncomingRequest): Promise<Read | undefined> {
-  const limits = g.table()?.limits;
+async function read(g: GatewayDependencies, call: RawIncomingRequest): Promise<Read | undefined> {
+  const limits = g.routes()?.limits;
   if (limits && headerBytes(call) > limits.maxHeaderBytes)
     return answer(g, call, 431, 'the headers are too large');
   const [f, body] = errorOrValue(await call.body(limits?.maxBodyBytes ?? g.settings.bodyMostBytes));
   if (f && !limits) return refuse(g, call, comeAgain(g, NO_DEPLOYMENT));
   if (f) return answer(g, call, f.code === 'too-large' ? 413 : 400, f.reason);
-  if (!g.table()) return refuse(g, call, comeAgain(g, NO_DEPLOYMENT));
-  const r = g.dialect.callers.read(call.method, call.target, call.headersByName);
+  if (!g.routes()) return refuse(g, call, comeAgain(g, NO_DEPLOYMENT));
+  const r = g.adapter.callers.read(call.method, call.target, call.headersByName);
   if (r.isLeft()) return answer(g, call, 400, r.extract());
   return { request: r.extract() as CallerRequest, body };
 }
@@ -202,12 +206,12 @@
 }
 
 function allow(
-  g: GatewayParts,
+  g: GatewayDependencies,
   call: RawIncomingRequest,
   table: RouteTable,
   q: CallerRequest,
 ): Allowed | undefined {
-  const route = table.find(q.host, q.path);
+  const route = table.findRoute(q.host, q.path);
   if (!route) return answer(g, call, 404, 'no route');
   const tenant = q.credential === undefined ? undefined : table.tenantOf(q.credential);
   if (!route.public && !tenant) return answer(g, call, 401, 'the key is not known');
@@ -228,42 +232,47 @@
   call.end(bytes);
 }
 
-function answer(g: GatewayParts, call: RawIncomingRequest, status: number, why: string): undefined {
-  g.counts.refused++;
+function answer(
+  g: GatewayDependencies,
+  call: RawIncomingRequest,
+  status: number,
+  why: string,
+): undefined {
+  g.counts.rejected++;
   say(call, status, why);
   return undefined;
 }
 
 /** Refuses what has not run and never will, with a time to come again. */
-function refuse(g: GatewayParts, call: RawIncomingRequest, r: Refusal): undefined {
-  g.counts.refused++;
-  say(call, r.status, r.why, ['Retry-After', (r.retryAfterMs / 1000).toFixed(3)]);
+function refuse(g: GatewayDependencies, call: RawIncomingRequest, r: Rejection): undefined {
+  g.counts.rejected++;
+  say(call, r.status, r.reason, ['Retry-After', (r.retryAfterMs / 1000).toFixed(3)]);
   return undefined;
 }
 
 /** A refusal whose cause lies in this router. */
-function comeAgain(g: GatewayParts, why: string): Refusal {
-  return { status: 503, why, retryAfterMs: g.settings.contactMs * AGAIN.contact };
+function comeAgain(g: GatewayDependencies, why: string): Rejection {
+  return { status: 503, reason: why, retryAfterMs: g.settings.contactMs * AGAIN.contact };
 }
 
 /** The refusal where no engine could be connected to. */
-function unreachable(route: HttpRoute): Refusal {
-  return { status: 503, why: 'no engine can be reached', retryAfterMs: route.aimMs * AGAIN.aim };
+function unreachable(route: HttpRoute): Rejection {
+  return { status: 503, reason: 'no engine can be reached', retryAfterMs: route.aimMs * AGAIN.aim };
 }
 
 /** Gives up what may have run. */
-function giveUp(g: GatewayParts, call: RawIncomingRequest, status: number): void {
+function giveUp(g: GatewayDependencies, call: RawIncomingRequest, status: number): void {
   g.counts.unknown++;
   say(call, status, 'the engine was lost; the request may have run');
 }
 
 function breakOff(
-  g: GatewayParts,
+  g: GatewayDependencies,
   call: RawIncomingRequest,
-  inFlight: RequestInFlight,
+  inFlight: InFlightRequest,
   cause: CutOffCause,
 ): void {
   g.counts.unknown++;
-  g.inFlight.cutOff(inFlight, cause, g.draining.leavingMs());
+  g.inFlight.cutOff(inFlight, cause, g.drain.drainingMs());
   call.destroy();
 }
--- a/src/data/gateway/budget.ts
+++ b/src/data/gateway/retry-budget.ts
@@ -9,11 +9,11 @@
 /** Pays for a request's attempts after its first. */
 export interface RetryBudget {
   /** Counts a request for a pool. */
-  asked: (pool: string) => void;
+  recordRequest: (pool: string) => void;
   /** Whether one further attempt is left. */
-  left: (pool: string) => boolean;
+  hasBudget: (pool: string) => boolean;
   /** Spends one further attempt, where one is left. */
-  spend: (pool: string) => boolean;
+  trySpend: (pool: string) => boolean;
 }
 
 interface Window {
@@ -78,5 +78,5 @@
     return true;
   }
 
-  return { asked, left, spend };
+  return { recordRequest: asked, hasBudget: left, trySpend: spend };
 }
--- a/src/data/gateway/routes.ts
+++ b/src/data/gateway/route-table.ts
@@ -22,9 +22,9 @@
 export interface RouteTable {
   limits: CallerLimits;
   /** The route of that host with the longest prefix that begins the path. */
-  find: (host: string, path: string) => HttpRoute | undefined;
+  findRoute: (host: string, path: string) => HttpRoute | undefined;
   tenantOf: (key: string) => TenantAccess | undefined;
-  pool: (name: string) => Pool | undefined;
+  poolOf: (name: string) => Pool | undefined;
   stores: readonly PartStore[];
   /** What the next deployment's table is made from. */
   index: RouteIndex;
@@ -106,9 +106,9 @@
 
   return {
     limits: d.limits,
-    find,
+    findRoute: find,
     tenantOf: keys.get.bind(keys),
-    pool: pools.get.bind(pools),
+    poolOf: pools.get.bind(pools),
     stores: d.stores,
     index,
   };
--- a/src/data/gateway/pace.ts
+++ b/src/data/gateway/throughput-estimate.ts
@@ -1,43 +1,43 @@
 /** How fast an engine is taken to be: ms to a first event = baseMs + msPerToken x own tokens read + msPerPair x pairs of tokens attended to + msPerAhead x unread tokens of others. */
-export interface Pace {
+export interface ThroughputEstimate {
   baseMs: number;
-  msPerToken: number;
-  msPerPair: number;
-  msPerAhead: number;
+  msPerPrefillToken: number;
+  msPerAttentionPair: number;
+  msPerQueuedToken: number;
   /** Ms for which a request keeps its place. */
-  placeMs: number;
+  slotMs: number;
   /** Ms for each token that it gives after the first event. */
-  msPerOut: number;
+  msPerOutputToken: number;
 }
 
 /** What was seen of one request: ms to its first event, the tokens and pairs that were to be read for it, and the unread tokens of others there when it was sent. */
-export interface PaceSeen {
-  ms: number;
-  tokens: number;
-  pairs: number;
-  ahead: number;
+export interface FirstEventSample {
+  firstEventMs: number;
+  prefillTokens: number;
+  attentionPairs: number;
+  queuedTokens: number;
 }
 
 /** Learns how fast engines are from what attempts show. */
-export interface Paces {
-  of: (pool: string, engine: string) => Pace;
-  learn: (pool: string, engine: string, seen: PaceSeen) => void;
+export interface ThroughputEstimator {
+  estimate: (pool: string, engine: string) => ThroughputEstimate;
+  observeFirstEvent: (pool: string, engine: string, seen: FirstEventSample) => void;
   /** Ms for which a request kept its place. */
-  learnPlace: (pool: string, ms: number) => void;
+  observeSlot: (pool: string, ms: number) => void;
   /** Ms from a request's first event to its end, and the most tokens that it might give. */
-  learnOut: (pool: string, engine: string, ms: number, tokens: number) => void;
+  observeDecode: (pool: string, engine: string, ms: number, tokens: number) => void;
   /** Forgets engines that are gone. */
-  keep: (engines: ReadonlySet<string>) => void;
+  retain: (engines: ReadonlySet<string>) => void;
 }
 
 /** First guesses, left after a few answers. */
-const FIRST: Pace = {
+const FIRST: ThroughputEstimate = {
   baseMs: 25,
-  msPerToken: 0.02,
-  msPerPair: 3e-7,
-  msPerAhead: 0.015,
-  placeMs: 150,
-  msPerOut: 8,
+  msPerPrefillToken: 0.02,
+  msPerAttentionPair: 3e-7,
+  msPerQueuedToken: 0.015,
+  slotMs: 150,
+  msPerOutputToken: 8,
 };
 /** The share of an error that the pool's figures take up, at first and in the long run. */
 const POOL_FIRST = 0.4;
@@ -66,7 +66,7 @@
 }
 
 /** Makes the learner: robust steps on the parts of the time, and one factor for each engine, as engines of one pool differ in speed. */
-export function makePaces(): Paces {
+export function makePaces(): ThroughputEstimator {
   const pools = new Map<string, PoolPace>();
   const factors = new Map<string, number>();
   const outs = new Map<string, number>();
@@ -80,24 +80,24 @@
         pair: 1,
         ahead: 1,
         count: 0,
-        placeMs: FIRST.placeMs,
-        msPerOut: FIRST.msPerOut,
+        placeMs: FIRST.slotMs,
+        msPerOut: FIRST.msPerOutputToken,
       };
       pools.set(pool, p);
     }
     return p;
   }
 
-  function of(pool: string, engine: string): Pace {
+  function of(pool: string, engine: string): ThroughputEstimate {
     const p = poolOf(pool);
     const f = factors.get(engine) ?? 1;
     return {
       baseMs: FIRST.baseMs * p.base * f,
-      msPerToken: FIRST.msPerToken * p.token * f,
-      msPerPair: FIRST.msPerPair * p.pair * f,
-      msPerAhead: FIRST.msPerAhead * p.ahead * f,
-      placeMs: p.placeMs,
-      msPerOut: outs.get(engine) ?? p.msPerOut,
+      msPerPrefillToken: FIRST.msPerPrefillToken * p.token * f,
+      msPerAttentionPair: FIRST.msPerAttentionPair * p.pair * f,
+      msPerQueuedToken: FIRST.msPerQueuedToken * p.ahead * f,
+      slotMs: p.placeMs,
+      msPerOutputToken: outs.get(engine) ?? p.msPerOut,
     };
   }
 
@@ -105,17 +105,17 @@
     return Math.min(most, Math.max(least, x));
   }
 
-  function learn(pool: string, engine: string, seen: PaceSeen): void {
+  function learn(pool: string, engine: string, seen: FirstEventSample): void {
     const p = poolOf(pool);
     const f = factors.get(engine) ?? 1;
     const xs = [
       FIRST.baseMs,
-      FIRST.msPerToken * seen.tokens,
-      FIRST.msPerPair * seen.pairs,
-      FIRST.msPerAhead * seen.ahead,
+      FIRST.msPerPrefillToken * seen.prefillTokens,
+      FIRST.msPerAttentionPair * seen.attentionPairs,
+      FIRST.msPerQueuedToken * seen.queuedTokens,
     ];
     const due = xs[0] * p.base + xs[1] * p.token + xs[2] * p.pair + xs[3] * p.ahead;
-    const error = within(seen.ms / f - due, -MOST_ERROR * due, MOST_ERROR * due);
+    const error = within(seen.firstEventMs / f - due, -MOST_ERROR * due, MOST_ERROR * due);
     const step = Math.max(POOL_LAST, POOL_FIRST / (1 + p.count / 8));
     const norm = xs[0] * xs[0] + xs[1] * xs[1] + xs[2] * xs[2] + xs[3] * xs[3];
     p.count++;
@@ -123,7 +123,7 @@
     p.token = within(p.token + (step * error * xs[1]) / norm, LEAST, MOST);
     p.pair = within(p.pair + (step * error * xs[2]) / norm, LEAST, MOST);
     p.ahead = within(p.ahead + (step * error * xs[3]) / norm, LEAST, MOST);
-    const ratio = within(seen.ms / (due * f), 1 - MOST_ERROR, 1 + MOST_ERROR);
+    const ratio = within(seen.firstEventMs / (due * f), 1 - MOST_ERROR, 1 + MOST_ERROR);
     const log = Math.log(f) * (1 - FADE) + ENGINE_STEP * Math.log(ratio);
     factors.set(engine, within(Math.exp(log), 1 / 4, 4));
   }
@@ -147,5 +147,11 @@
     for (const id of outs.keys()) if (!engines.has(id)) outs.delete(id);
   }
 
-  return { of, learn, learnPlace, learnOut, keep };
+  return {
+    estimate: of,
+    observeFirstEvent: learn,
+    observeSlot: learnPlace,
+    observeDecode: learnOut,
+    retain: keep,
+  };
 }
--- a/src/data/gateway/links.ts
+++ b/src/data/gateway/transfer-estimate.ts
@@ -1,18 +1,18 @@
 /** How slow moves of kept parts are, by source, learned from requests that fetched. */
-export interface Links {
+export interface TransferEstimator {
   /** Ms to move so many bytes between two places over the slower of two links. */
-  moveMs: (from: Side, to: Side, bytes: number) => number;
+  transferMs: (from: LinkEndpoint, to: LinkEndpoint, bytes: number) => number;
   /** What a request that fetched showed: whether the move took far longer than reckoned. */
-  learn: (from: string, to: string, slower: boolean) => void;
-  keep: (names: ReadonlySet<string>) => void;
+  observe: (from: string, to: string, slower: boolean) => void;
+  retain: (names: ReadonlySet<string>) => void;
 }
 
 /** One end of a move. */
-export interface Side {
+export interface LinkEndpoint {
   name: string;
   zone: string;
   region?: string;
-  mbps: number;
+  linkMbps: number;
 }
 
 const BETWEEN_ZONES = 2;
@@ -23,15 +23,15 @@
 const MOST_SLOW = 32;
 
 /** Makes the learner: a link that was slow counts as slow until moves show otherwise, and is forgiven little by little. */
-export function makeLinks(): Links {
+export function makeLinks(): TransferEstimator {
   const slow = new Map<string, number>();
 
   function slowOf(name: string): number {
     return slow.get(name) ?? 1;
   }
 
-  function moveMs(from: Side, to: Side, bytes: number): number {
-    const mbps = Math.min(from.mbps, to.mbps);
+  function moveMs(from: LinkEndpoint, to: LinkEndpoint, bytes: number): number {
+    const mbps = Math.min(from.linkMbps, to.linkMbps);
     if (!(mbps > 0)) return Infinity;
     const far =
       from.zone === to.zone
@@ -51,5 +51,5 @@
     for (const n of slow.keys()) if (!names.has(n)) slow.delete(n);
   }
 
-  return { moveMs, learn, keep };
+  return { transferMs: moveMs, observe: learn, retain: keep };
 }
--- a/src/data/gateway/weights.ts
+++ b/src/data/gateway/weights-tracker.ts
@@ -6,27 +6,27 @@
 import { Engine } from '../../shared/state/engines';
 
 /** The weights that a fresh request is sent under: `now` are the named ones or newer, `old` ones may serve for some time yet; an engine that is `loading` turns requests away until it is done. */
-export interface Expected {
+export interface ExpectedWeights {
   weights: string;
   kind: 'now' | 'old' | 'loading';
 }
 
 /** What a router knows of which engine runs with which weights. */
-export interface WeightsBook {
+export interface WeightsTracker {
   /** Hears the news of a model; `live` is whether this router heard it as it was made, not on catching up. */
-  named: (v: NamedWeights, live: boolean) => void;
+  recordNaming: (v: NamedWeights, live: boolean) => void;
   /** Takes the list of engines. */
-  listed: (engines: readonly Engine[]) => void;
+  recordEngines: (engines: readonly Engine[]) => void;
   /** Hears from an engine's answer, also one that turned a request away, which weights it runs with, by model. */
-  told: (instance: string, weights: Record<string, string>) => void;
+  recordReported: (instance: string, weights: Record<string, string>) => void;
   /** Hears that engines are about to take up weights, so that nothing fresh is sent there until they have them or `withinMs` has passed. */
-  loading: (instances: readonly string[], withinMs: number) => void;
+  recordLoading: (instances: readonly string[], withinMs: number) => void;
   /** The weights to expect of an engine for a fresh request; none where it may not serve one. */
-  expect: (instance: string, model: string) => Expected | undefined;
+  expectedWeights: (instance: string, model: string) => ExpectedWeights | undefined;
 }
 
 /** Makes the book. Older weights serve fresh requests for `stopMs` from when the newer naming was heard, or for `lateMs` where it was only caught up on. An engine's weights never fall within one life, so the newest that any source tells are what it has. */
-export function makeWeightsBook(clock: Clock, stopMs: number, lateMs: number): WeightsBook {
+export function makeWeightsBook(clock: Clock, stopMs: number, lateMs: number): WeightsTracker {
   const names = new Map<string, NamedWeights>();
   const since = new Map<string, number>();
   const has = new Map<string, Map<string, string>>();
@@ -83,7 +83,7 @@
     );
   }
 
-  function expect(instance: string, model: string): Expected | undefined {
+  function expect(instance: string, model: string): ExpectedWeights | undefined {
     const w = has.get(instance)?.get(model);
     const v = names.get(model);
     if (w === undefined) return v && { weights: v.weights, kind: 'now' };
@@ -97,39 +97,45 @@
     return heard !== undefined && clock.now() - heard < stopMs;
   }
 
-  return { named, listed, told, loading, expect };
+  return {
+    recordNaming: named,
+    recordEngines: listed,
+    recordReported: told,
+    recordLoading: loading,
+    expectedWeights: expect,
+  };
 }
 
-class LoadingTold {
+class LoadingNotice {
   @bodyField('list') engines!: string[];
   @bodyField('number') within!: number;
 }
 
-class LoadedTold {
+class LoadedNotice {
   @bodyField('string') engine!: string;
   @bodyField('object') weights!: Record<string, string>;
 }
 
 /** What the core says of engines that take up weights, ahead of the list. */
-export class WeightsEdge {
-  constructor(private readonly book: WeightsBook) {}
+export class WeightsMessages {
+  constructor(private readonly book: WeightsTracker) {}
 
   /** Hears that engines are about to take up weights; within 0 they no longer are. */
-  @messageHandler('loading', LoadingTold)
-  async loading(m: LoadingTold): HandlerResult {
-    this.book.loading(m.engines, m.within);
+  @messageHandler('loading', LoadingNotice)
+  async loading(m: LoadingNotice): HandlerResult {
+    this.book.recordLoading(m.engines, m.within);
     return Right(true);
   }
 
   /** Hears that an engine has them. */
-  @messageHandler('loaded', LoadedTold)
-  async loaded(m: LoadedTold): HandlerResult {
-    this.book.told(m.engine, m.weights);
+  @messageHandler('loaded', LoadedNotice)
+  async loaded(m: LoadedNotice): HandlerResult {
+    this.book.recordReported(m.engine, m.weights);
     return Right(true);
   }
 }
 
 /** The text under which an engine keeps and finds parts: parts of other weights or of another wall are never found. */
-export function saltUnder(wall: string, weights: string): string {
+export function cacheSalt(wall: string, weights: string): string {
   return `${wall}:${weights}`;
 }
--- a/test/control/deployment-reading.test.ts
+++ b/test/control/deployment-reading.test.ts
@@ -1,5 +1,5 @@
 import { platform } from '../../platform/dialect';
-import { makeRouteTable, RouteTable } from '../../src/data/gateway/routes';
+import { makeRouteTable, RouteTable } from '../../src/data/gateway/route-table';
 import { Deployment } from '../../src/shared/state/deployment';
 
 type Item = Record<string, unknown>;
@@ -48,7 +48,7 @@
 
 function found(table: RouteTable): unknown[] {
   const out: unknown[] = [];
-  for (const n of NAMES) out.push(table.find(`${n[0]}.example`, `/${n}/x`));
+  for (const n of NAMES) out.push(table.findRoute(`${n[0]}.example`, `/${n}/x`));
   return out;
 }
 
--- a/test/control/weights.test.ts
+++ b/test/control/weights.test.ts
@@ -1,9 +1,9 @@
 import {
   makeWeightsBook,
-  saltUnder,
-  WeightsBook,
-  WeightsEdge,
-} from '../../src/data/gateway/weights';
+  cacheSalt,
+  WeightsTracker,
+  WeightsMessages,
+} from '../../src/data/gateway/weights-tracker';
 import { dispatch } from '../../src/shared/transport/message-handlers';
 import { Clock } from '../../src/shared/ports/clock';
 import { compareWeights, lacks } from '../../src/shared/state/weights';
@@ -13,7 +13,7 @@
 const LATE = 2000;
 
 interface Desk {
-  book: WeightsBook;
+  book: WeightsTracker;
   pass: (ms: number) => void;
 }
 
@@ -54,97 +54,97 @@
 
 function servesOldForATime(): void {
   const { book, pass } = desk();
-  book.listed([engine('a', '1'), engine('b', '2')]);
-  expect(book.expect('a', 'm1')).toEqual({ weights: '1', kind: 'now' });
-  book.named({ model: 'm1', weights: '2', older: ['*'] }, true);
-  expect(book.expect('a', 'm1')).toEqual({ weights: '1', kind: 'old' });
-  expect(book.expect('b', 'm1')).toEqual({ weights: '2', kind: 'now' });
+  book.recordEngines([engine('a', '1'), engine('b', '2')]);
+  expect(book.expectedWeights('a', 'm1')).toEqual({ weights: '1', kind: 'now' });
+  book.recordNaming({ model: 'm1', weights: '2', older: ['*'] }, true);
+  expect(book.expectedWeights('a', 'm1')).toEqual({ weights: '1', kind: 'old' });
+  expect(book.expectedWeights('b', 'm1')).toEqual({ weights: '2', kind: 'now' });
   pass(STOP - 1);
-  expect(book.expect('a', 'm1')?.kind).toBe('old');
+  expect(book.expectedWeights('a', 'm1')?.kind).toBe('old');
   pass(1);
-  expect(book.expect('a', 'm1')).toBeUndefined();
-  expect(book.expect('b', 'm1')).toEqual({ weights: '2', kind: 'now' });
+  expect(book.expectedWeights('a', 'm1')).toBeUndefined();
+  expect(book.expectedWeights('b', 'm1')).toEqual({ weights: '2', kind: 'now' });
 }
 
 function eachByItsOwnTime(): void {
   const { book, pass } = desk();
-  book.listed([engine('a', '1'), engine('b', '2')]);
-  book.named({ model: 'm1', weights: '2', older: ['*'] }, true);
+  book.recordEngines([engine('a', '1'), engine('b', '2')]);
+  book.recordNaming({ model: 'm1', weights: '2', older: ['*'] }, true);
   pass(STOP / 2);
-  book.named({ model: 'm1', weights: '3', older: ['*', '2'] }, true);
+  book.recordNaming({ model: 'm1', weights: '3', older: ['*', '2'] }, true);
   pass(STOP / 2);
-  expect(book.expect('a', 'm1')).toBeUndefined();
-  expect(book.expect('b', 'm1')?.kind).toBe('old');
+  expect(book.expectedWeights('a', 'm1')).toBeUndefined();
+  expect(book.expectedWeights('b', 'm1')?.kind).toBe('old');
   pass(STOP / 2);
-  expect(book.expect('b', 'm1')).toBeUndefined();
+  expect(book.expectedWeights('b', 'm1')).toBeUndefined();
 }
 
 function caughtUp(): void {
   const { book, pass } = desk();
-  book.listed([engine('a', '1')]);
-  book.named({ model: 'm1', weights: '2', older: ['*'] }, false);
+  book.recordEngines([engine('a', '1')]);
+  book.recordNaming({ model: 'm1', weights: '2', older: ['*'] }, false);
   pass(LATE - 1);
-  expect(book.expect('a', 'm1')?.kind).toBe('old');
+  expect(book.expectedWeights('a', 'm1')?.kind).toBe('old');
   pass(1);
-  expect(book.expect('a', 'm1')).toBeUndefined();
+  expect(book.expectedWeights('a', 'm1')).toBeUndefined();
 }
 
 function endedIsTooLate(): void {
   const { book } = desk();
-  book.listed([engine('a', '1')]);
-  book.named({ model: 'm1', weights: '2', older: ['*'] }, true);
-  book.named({ model: 'm1', weights: '2', older: [] }, true);
-  expect(book.expect('a', 'm1')).toBeUndefined();
+  book.recordEngines([engine('a', '1')]);
+  book.recordNaming({ model: 'm1', weights: '2', older: ['*'] }, true);
+  book.recordNaming({ model: 'm1', weights: '2', older: [] }, true);
+  expect(book.expectedWeights('a', 'm1')).toBeUndefined();
 }
 
 function answersGoBeforeTheList(): void {
   const { book } = desk();
-  book.listed([engine('a', '1', '7')]);
-  book.named({ model: 'm1', weights: '2', older: ['*'] }, true);
-  book.told('a', { m1: '2' });
-  book.listed([engine('a', '1', '7')]);
-  expect(book.expect('a', 'm1')).toEqual({ weights: '2', kind: 'now' });
-  expect(book.expect('a', 'm2')).toEqual({ weights: '7', kind: 'now' });
-  book.told('a', { m1: '3' });
-  expect(book.expect('a', 'm1')).toEqual({ weights: '3', kind: 'now' });
-  book.listed([]);
-  book.listed([engine('a', '1', '7')]);
-  expect(book.expect('a', 'm1')).toEqual({ weights: '1', kind: 'old' });
+  book.recordEngines([engine('a', '1', '7')]);
+  book.recordNaming({ model: 'm1', weights: '2', older: ['*'] }, true);
+  book.recordReported('a', { m1: '2' });
+  book.recordEngines([engine('a', '1', '7')]);
+  expect(book.expectedWeights('a', 'm1')).toEqual({ weights: '2', kind: 'now' });
+  expect(book.expectedWeights('a', 'm2')).toEqual({ weights: '7', kind: 'now' });
+  book.recordReported('a', { m1: '3' });
+  expect(book.expectedWeights('a', 'm1')).toEqual({ weights: '3', kind: 'now' });
+  book.recordEngines([]);
+  book.recordEngines([engine('a', '1', '7')]);
+  expect(book.expectedWeights('a', 'm1')).toEqual({ weights: '1', kind: 'old' });
 }
 
 function loadingIsLeftAlone(): void {
   const { book, pass } = desk();
-  book.listed([engine('a', '1', '7'), engine('b', '1')]);
-  book.named({ model: 'm1', weights: '2', older: ['*'] }, true);
-  book.loading(['a'], 900);
-  expect(book.expect('a', 'm1')).toEqual({ weights: '2', kind: 'loading' });
-  expect(book.expect('a', 'm2')).toEqual({ weights: '7', kind: 'now' });
-  expect(book.expect('b', 'm1')?.kind).toBe('old');
+  book.recordEngines([engine('a', '1', '7'), engine('b', '1')]);
+  book.recordNaming({ model: 'm1', weights: '2', older: ['*'] }, true);
+  book.recordLoading(['a'], 900);
+  expect(book.expectedWeights('a', 'm1')).toEqual({ weights: '2', kind: 'loading' });
+  expect(book.expectedWeights('a', 'm2')).toEqual({ weights: '7', kind: 'now' });
+  expect(book.expectedWeights('b', 'm1')?.kind).toBe('old');
   pass(900);
-  expect(book.expect('a', 'm1')?.kind).toBe('old');
-  book.loading(['a'], 900);
-  book.told('a', { m1: '2' });
-  expect(book.expect('a', 'm1')?.kind).toBe('now');
+  expect(book.expectedWeights('a', 'm1')?.kind).toBe('old');
+  book.recordLoading(['a'], 900);
+  book.recordReported('a', { m1: '2' });
+  expect(book.expectedWeights('a', 'm1')?.kind).toBe('now');
 }
 
 async function coreSays(): Promise<void> {
   const { book } = desk();
-  const edge = [new WeightsEdge(book)];
-  book.listed([engine('a', '1')]);
-  book.named({ model: 'm1', weights: '2', older: ['*'] }, true);
+  const edge = [new WeightsMessages(book)];
+  book.recordEngines([engine('a', '1')]);
+  book.recordNaming({ model: 'm1', weights: '2', older: ['*'] }, true);
   await dispatch(edge, 'loading', { engines: ['a'], within: 900 }, undefined, 'core');
-  expect(book.expect('a', 'm1')?.kind).toBe('loading');
+  expect(book.expectedWeights('a', 'm1')?.kind).toBe('loading');
   await dispatch(edge, 'loading', { engines: ['a'], within: 0 }, undefined, 'core');
-  expect(book.expect('a', 'm1')?.kind).toBe('old');
+  expect(book.expectedWeights('a', 'm1')?.kind).toBe('old');
   await dispatch(edge, 'loaded', { engine: 'a', weights: { m1: '2' } }, undefined, 'core');
-  expect(book.expect('a', 'm1')).toEqual({ weights: '2', kind: 'now' });
+  expect(book.expectedWeights('a', 'm1')).toEqual({ weights: '2', kind: 'now' });
   expect((await dispatch(edge, 'loading', { engines: 'a' }, undefined, 'core')).isLeft()).toBe(
     true,
   );
 }
 
 function saltsHoldWeights(): void {
-  expect(saltUnder('w', '1')).not.toBe(saltUnder('w', '2'));
+  expect(cacheSalt('w', '1')).not.toBe(cacheSalt('w', '2'));
 }
 
 test('whole numbers rise by size, others by their naming', ordersWeights);
--- a/test/data/gateway-connections.test.ts
+++ b/test/data/gateway-connections.test.ts
@@ -1,5 +1,5 @@
-import { keepConnections } from '../../src/data/gateway/pools';
-import { makeRetryBudget } from '../../src/data/gateway/budget';
+import { keepConnections } from '../../src/data/gateway/engine-connections';
+import { makeRetryBudget } from '../../src/data/gateway/retry-budget';
 import { failure, errorOrValue, Result } from '../../src/shared/errors/errors';
 import { Clock } from '../../src/shared/ports/clock';
 import { HttpConnection, RawHttpNetwork } from '../../src/shared/ports/raw-http';
@@ -111,31 +111,31 @@
 async function usedAgain(): Promise<void> {
   const w = hands();
   const k = keepConnections(w.clock, w.http, { ...defaultSettings(), contactMs: 3000 }, two);
-  k.told(engine, 2);
-  const a = (await k.take(engine, 100)).unsafeCoerce();
-  const b = (await k.take(engine, 100)).unsafeCoerce();
+  k.recordKeepAlive(engine, 2);
+  const a = (await k.acquire(engine, 100)).unsafeCoerce();
+  const b = (await k.acquire(engine, 100)).unsafeCoerce();
   w.made[0].idle();
   w.made[1].idle();
-  expect((await k.take(engine, 100)).unsafeCoerce()).toBe(b);
-  expect((await k.take(engine, 100)).unsafeCoerce()).toBe(a);
+  expect((await k.acquire(engine, 100)).unsafeCoerce()).toBe(b);
+  expect((await k.acquire(engine, 100)).unsafeCoerce()).toBe(a);
   w.made[0].idle();
   w.move(1300);
-  expect((await k.take(engine, 100)).unsafeCoerce()).toBe(w.made[2]);
+  expect((await k.acquire(engine, 100)).unsafeCoerce()).toBe(w.made[2]);
   w.made[2].idle();
   w.made[2].end(true);
   await w.made[2].closed;
   w.made[1].idle();
-  expect((await k.take(engine, 100)).unsafeCoerce()).toBe(w.made[3]);
+  expect((await k.acquire(engine, 100)).unsafeCoerce()).toBe(w.made[3]);
   k.stop();
 }
 
 async function shared(): Promise<void> {
   const w = hands();
   const k = keepConnections(w.clock, w.http, defaultSettings(), two);
-  for (let i = 0; i < 4; i++) expect((await k.take(engine, 10)).isRight()).toBe(true);
-  const [f] = errorOrValue(await k.take(engine, 10));
+  for (let i = 0; i < 4; i++) expect((await k.acquire(engine, 10)).isRight()).toBe(true);
+  const [f] = errorOrValue(await k.acquire(engine, 10));
   expect(f).toMatchObject({ certainty: 'refused', code: 'no-connection' });
-  k.renew(new Set());
+  k.retain(new Set());
   w.made[0].idle();
   expect(w.made[0].isReusable()).toBe(false);
   k.stop();
@@ -144,16 +144,16 @@
 async function darkMachine(): Promise<void> {
   const w = hands();
   const k = keepConnections(w.clock, w.http, defaultSettings(), two);
-  await k.take(engine, 100);
+  await k.acquire(engine, 100);
   w.made[0].idle();
-  expect(await k.reaches(engine)).toBe(true);
+  expect(await k.isReachable(engine)).toBe(true);
   expect(w.made.length).toBe(2);
   w.dark(true);
-  const both = [k.reaches(engine), k.reaches(engine)];
+  const both = [k.isReachable(engine), k.isReachable(engine)];
   expect(both[0]).toBe(both[1]);
   expect(await Promise.all(both)).toEqual([false, false]);
   expect(w.made.map(isFit)).toEqual([false, false]);
-  expect((await k.take(engine, 100)).isLeft()).toBe(true);
+  expect((await k.acquire(engine, 100)).isLeft()).toBe(true);
   k.stop();
 }
 
@@ -172,7 +172,7 @@
     { ...defaultSettings(), retryWindowMs: 10000, retryRatio: 0.2, retrySlack: 50 },
     known,
   );
-  for (let i = 0; i < 50; i++) b.asked('p');
+  for (let i = 0; i < 50; i++) b.recordRequest('p');
   expect(spendAll(b)).toBe(8);
   w.move(10501);
   expect(spendAll(b)).toBe(4);
@@ -186,11 +186,11 @@
 }
 
 function spendAll(b: {
-  spend: (pool: string) => boolean;
-  left: (pool: string) => boolean;
+  trySpend: (pool: string) => boolean;
+  hasBudget: (pool: string) => boolean;
 }): number {
   let n = 0;
-  while (b.left('p') && b.spend('p')) n++;
+  while (b.hasBudget('p') && b.trySpend('p')) n++;
   return n;
 }
 
--- a/test/data/gateway-doubt.test.ts
+++ b/test/data/gateway-doubt.test.ts
@@ -170,7 +170,7 @@
     settings: { retryWindowMs: 60000, retryRatio: 0.2, retrySlack: 0, contactMs: 1 },
   });
   for (let i = 0; i < 50; i++) expect((await ask(rig.at)).status).toBe(503);
-  const { attempts, furtherAttempts } = rig.gateway.counts;
+  const { attempts, retries: furtherAttempts } = rig.gateway.counts;
   expect(attempts).toBe(a.calls.length + b.calls.length);
   expect(furtherAttempts).toBeGreaterThan(0);
   expect(furtherAttempts).toBeLessThanOrEqual(10);
@@ -299,7 +299,7 @@
     deployment: deployment([route({ maxAttempts: 1 })]),
   });
   for (let i = 0; i < 4; i++) expect(await ask(rig.at)).toMatchObject({ status: 200, body: FIVE });
-  expect(rig.gateway.counts.furtherAttempts).toBe(0);
+  expect(rig.gateway.counts.retries).toBe(0);
   await rig.close();
 }
 
--- a/test/data/gateway-leave.test.ts
+++ b/test/data/gateway-leave.test.ts
@@ -98,7 +98,7 @@
   expect({
     gone: gone.calls.length,
     stays: stays.calls.length,
-    further: rig.gateway.counts.furtherAttempts,
+    further: rig.gateway.counts.retries,
   }).toEqual({ gone: 0, stays: 1, further: 0 });
   await rig.close();
 }
--- a/tools/compatibility/scenarios.ts
+++ b/tools/compatibility/scenarios.ts
@@ -3,8 +3,8 @@
  */
 
 import { makeRollOutDesk } from '../../test/control/rolloutdesk';
-import { Indexers, reachIndexers } from '../../src/data/gateway/indexers';
-import { Loads } from '../../src/data/gateway/loads';
+import { IndexerClient, reachIndexers } from '../../src/data/gateway/indexer-client';
+import { EngineLoads } from '../../src/data/gateway/engine-loads';
 import { timeLimitsOf } from '../../src/shared/settings/time-limits';
 import { openChannel, HelloHandlers } from '../../src/shared/transport/connections';
 import { followCore, Follower } from '../../src/shared/replication/follower';
@@ -40,7 +40,7 @@
 }
 
 /** A gateway's side of the load board and of queries, over indexers at these addresses. */
-function gatewayAt(probe: Probe, ats: readonly string[], own: EngineLoad[]): Indexers {
+function gatewayAt(probe: Probe, ats: readonly string[], own: EngineLoad[]): IndexerClient {
   function ownLoads(): EngineLoad[] {
     return own;
   }
@@ -54,7 +54,7 @@
   function routers(): number {
     return 2;
   }
-  const loads = { own: ownLoads, others: nothing, noBoard: nothing } as unknown as Loads;
+  const loads = { ownLoads, applyBoard: nothing, discardBoard: nothing } as unknown as EngineLoads;
   const membership = makePushStream<Member[]>().stream;
   const follower = { members, memberChanges: membership } as unknown as Follower;
   const bounds = timeLimitsOf(defaultSettings());
@@ -77,12 +77,12 @@
   const other = gatewayAt(makeProbe(world, net, '127.10.8.2'), ats, [['engine-2', 1, 0]]);
   await world.run(world.now() + 2000);
   const asked = { model: 'm', salt: SALT, parts: PROMPT };
-  await settled(world, reach.overlap(asked, 1000));
-  reach.placed({ ...asked, engine: 'engine-1' });
-  reach.placed({ ...asked, engine: 'engine-2', store: 'store-1' });
+  await settled(world, reach.queryOverlap(asked, 1000));
+  reach.notifyPlaced({ ...asked, engine: 'engine-1' });
+  reach.notifyPlaced({ ...asked, engine: 'engine-2', store: 'store-1' });
   own[0] = ['engine-1', 3, 400];
   await world.run(world.now() + 1000);
-  await settled(world, reach.overlap({ ...asked, parts: [['unknown', 5]] }, 1000));
+  await settled(world, reach.queryOverlap({ ...asked, parts: [['unknown', 5]] }, 1000));
   reach.stop();
   other.stop();
   await missEvents(scene);
--- a/tools/sim/placing.ts
+++ b/tools/sim/placing.ts
@@ -3,13 +3,13 @@
 import { EngineLoad, OverlapReply } from '../../src/shared/contracts/indexer';
 import { makePlacement } from '../../src/data/gateway/placement';
 import {
-  EngineSpot,
-  PlaceAsk,
+  EngineEndpoint,
+  PlacementRequest,
   Placement,
-  PlaceWay,
-  Placed,
+  PlacementStrategy,
+  PlacementDecision,
   PoolView,
-  Underway,
+  PlacedRequest,
 } from '../../src/data/gateway/placement-types';
 import { RandomSource } from '../../src/shared/ports/random';
 import { makeAgenda } from './agenda';
@@ -31,12 +31,12 @@
   looked: boolean;
   readyAt: number;
   firstAt?: number;
-  placed: Placed;
-  under: Underway;
+  placed: PlacementDecision;
+  under: PlacedRequest;
 }
 
 interface SimEngine {
-  spot: EngineSpot;
+  spot: EngineEndpoint;
   pace: number;
   running: Job[];
   waiting: Job[];
@@ -56,7 +56,11 @@
 const STRIDE = 7;
 
 /** Plays one way of placing in a world. */
-export function playPlacing(world: PlacingWorld, way: PlaceWay, seed: number): PlacingResult {
+export function playPlacing(
+  world: PlacingWorld,
+  way: PlacementStrategy,
+  seed: number,
+): PlacingResult {
   const dice: RandomSource = seededDice(seed);
   const agenda = makeAgenda();
   const { at } = agenda;
@@ -64,7 +68,7 @@
   const engines: SimEngine[] = [];
   for (let i = 0; i < world.engines; i++) {
     engines.push({
-      spot: { id: `e${i}`, at: `10.0.0.${i}:80`, zone: `z${i % world.zones}`, salt: '' },
+      spot: { id: `e${i}`, address: `10.0.0.${i}:80`, zone: `z${i % world.zones}`, salt: '' },
       pace: i % 3 === 2 ? world.slow : 1,
       running: [],
       waiting: [],
@@ -83,17 +87,19 @@
     linkMbps: 1.1e6,
     engines: engines.map(spotOf),
     stores:
-      world.storeTokens > 0 ? [{ name: 's', at: '10.0.1.1:80', zone: 'z1', linkMbps: 4e5 }] : [],
+      world.storeTokens > 0
+        ? [{ name: 's', address: '10.0.1.1:80', zone: 'z1', linkMbps: 4e5 }]
+        : [],
   };
   const routers: Placement[] = [];
   for (let i = 0; i < world.routers; i++)
     routers.push(
       makePlacement({
         now: clock,
-        spread: dice.next,
+        random: dice.next,
         zone: `z${i % world.zones}`,
-        pause: 300,
-        way,
+        baseEjectionMs: 300,
+        strategy: way,
       }),
     );
   const things: PromptBlock[] = [];
@@ -111,7 +117,7 @@
     return now;
   }
 
-  function spotOf(e: SimEngine): EngineSpot {
+  function spotOf(e: SimEngine): EngineEndpoint {
     return e.spot;
   }
 
@@ -164,22 +170,22 @@
     const r = routers[Math.floor(dice.next() * routers.length)];
     const out =
       STRIDE * Math.max(1, Math.round(Math.min(long ? 68 : 26, lognormal(long ? 17 : 6.4, 1.4))));
-    const ask: PlaceAsk = {
+    const ask: PlacementRequest = {
       pool,
-      wall: '',
-      parts,
-      tokensIn: all,
-      tokensOut: out,
-      aimMs: long ? LONG_AIM : SHORT_AIM,
-      leftMs: 6000,
+      cacheScope: '',
+      blocks: parts,
+      promptTokens: all,
+      maxOutputTokens: out,
+      latencyTargetMs: long ? LONG_AIM : SHORT_AIM,
+      remainingMs: 6000,
       routePriority: long ? 1 : 0,
       tenantPriority: 0,
-      repeatable: !long,
-      avoid: new Set(),
+      isIdempotent: !long,
+      excluded: new Set(),
     };
     requests++;
     const kept = new Map<string, OverlapReply>();
-    for (const salt of r.wantsIndex(ask)) kept.set(salt, overlap(parts));
+    for (const salt of r.saltsToQuery(ask)) kept.set(salt, overlap(parts));
     at(now + (kept.size > 0 ? 3 : 1), go);
     function go(): void {
       const o = r.place(ask, kept);
@@ -188,14 +194,14 @@
         (long ? longs : shorts).push(Infinity);
         return;
       }
-      const placed = o.extract() as Placed;
+      const placed = o.extract() as PlacementDecision;
       const engine = engines.find(same)!;
       function same(e: SimEngine): boolean {
-        return e.spot.id === placed.reckoned.able.side.name;
+        return e.spot.id === placed.estimate.candidate.endpoint.name;
       }
       const job: Job = {
         parts,
-        tokensIn: ask.tokensIn,
+        tokensIn: ask.promptTokens,
         out,
         urgency: placed.urgency,
         cameAt: now,
@@ -206,25 +212,25 @@
         looked: false,
         readyAt: now + SETUP_MS,
         placed,
-        under: r.began(placed),
+        under: r.start(placed),
       };
-      const fetch = placed.reckoned.fetch;
+      const fetch = placed.estimate.prefixFetch;
       let from = storeKept;
       if (fetch) {
-        from = fetch.source.side.name === 's' ? storeKept : engines.find(bySource)!.kept;
+        from = fetch.source.endpoint.name === 's' ? storeKept : engines.find(bySource)!.kept;
         const has = from.tokensOf(parts) - engine.kept.tokensOf(parts);
         if (has > 0) {
-          const far = fetch.source.side.zone === engine.spot.zone ? 1 : 2;
+          const far = fetch.source.endpoint.zone === engine.spot.zone ? 1 : 2;
           engine.moveUntil =
             Math.max(now, engine.moveUntil) +
-            (has * pool.tokenBytes * 8 * far) / (fetch.source.side.mbps * 1000);
+            (has * pool.tokenBytes * 8 * far) / (fetch.source.endpoint.linkMbps * 1000);
           job.readyAt = engine.moveUntil + SETUP_MS;
           moved += has;
           at(engine.moveUntil, gotParts);
         }
       }
       function bySource(e: SimEngine): boolean {
-        return e.spot.id === fetch!.source.side.name;
+        return e.spot.id === fetch!.source.endpoint.name;
       }
       function gotParts(): void {
         for (const x of parts) {
@@ -298,22 +304,22 @@
       for (const [i, p] of j.parts.entries()) {
         keep(e, p);
         if (i < j.parts.length - 1) everRead.add(p.hash);
-        if (j.placed.storeAt) put(p);
+        if (j.placed.storeAddress) put(p);
       }
       j.firstAt = now;
-      j.under.first();
+      j.under.recordFirstEvent();
       (j.long ? longs : shorts).push(now - j.cameAt);
     }
     if (j.given < j.out) return;
     e.running.splice(e.running.indexOf(j), 1);
     if (j.long && now - j.cameAt < 6000) ended++;
-    j.under.ended('answered');
+    j.under.recordEnd('answered');
   }
 
   function board(): void {
     const all = routers.map(ownOf);
     function ownOf(r: Placement): EngineLoad[] {
-      return r.loads.own();
+      return r.loads.ownLoads();
     }
     at(now + world.lagMs * 0.5, tell);
     at(now + world.lagMs * 0.5, board);
@@ -329,7 +335,7 @@
         }
         const out: EngineLoad[] = [];
         for (const [id, s] of sum) out.push([id, ...s]);
-        r.loads.others(out, true);
+        r.loads.applyBoard(out, true);
       }
     }
   }
--- a/tools/sim/placingscore.ts
+++ b/tools/sim/placingscore.ts
@@ -2,11 +2,11 @@
  * What one way of placing is worth.
  */
 
-import { PlaceWay } from '../../src/data/gateway/placement-types';
+import { PlacementStrategy } from '../../src/data/gateway/placement-types';
 
 /** What came of one way of placing. */
 export interface PlacingResult {
-  way: PlaceWay;
+  way: PlacementStrategy;
   requests: number;
   refused: number;
   /** Shares inside the aim. */
