--- a/src/data/gateway/engine-chooser.ts
+++ b/src/data/gateway/engine-chooser.ts
@@ -15,7 +15,7 @@
 import { Engine } from '../../shared/state/engines';
 import { CONTROL_KEYS } from '../../shared/state/control-keys';
 import { reachIndexers } from './indexer-client';
-import { makePlacement } from './placement';
+import { Placement } from './placement';
 import {
   EngineEndpoint,
   PlacementRejection,
@@ -113,7 +113,7 @@
 export function makeChooser(p: EngineChooserDependencies): EngineChooser {
   const { clock, random: dice } = p.ports;
   const bounds = timeLimitsOf(p.settings);
-  const placement = makePlacement({
+  const placement = new Placement({
     now: clock.now,
     random: dice.next,
     zone: p.settings.zone,
@@ -298,13 +298,13 @@
     }
 
     function turnedAway(verdict: 'not-run' | 'other-instance' | 'other-weights'): void {
-      how = verdict === 'not-run' ? 'turned-away' : 'given-up';
+      how = verdict === 'not-run' ? 'rejected' : 'cancelled';
       if (verdict === 'other-instance') gone.add(c.engine.id);
     }
 
     function ended(end: AttemptEffect): void {
       if (end === 'done') u.recordEnd('answered');
-      else if (end === 'caller-gone' || end === 'late') u.recordEnd('given-up');
+      else if (end === 'caller-gone' || end === 'late') u.recordEnd('cancelled');
       else u.recordEnd(end === 'not-run' && how ? how : 'failed');
     }
 
--- a/src/data/gateway/engine-loads.ts
+++ b/src/data/gateway/engine-loads.ts
@@ -1,187 +1,191 @@
+/**
+ * The load of each engine: this router's own requests in flight there, and the sums of all other routers as the load
+ * board reported them last.
+ */
+
 import { EngineLoad } from '../../shared/contracts/indexer';
 
-/** One request in flight at an engine. */
+/** A request in flight at an engine, as a load. */
 export interface InFlightLoad {
   engine: string;
   /** Prompt tokens that the engine is taken to have to read for it. */
   prefillTokens: number;
-  /** Tokens of memory that it takes. */
+  /** Tokens of the engine's KV cache that it takes. */
   memoryTokens: number;
+  /** Ms of the clock. */
   sentAt: number;
-  /** Ms to its first event as reckoned. */
+  /** Estimated ms from `sentAt` to its first event. */
   expectedFirstEventMs: number;
-  /** Ms that a move of parts to its engine takes. */
+  /** Ms that the transfer of a cached prefix to its engine takes. */
   transferMs: number;
+  /** When its first event came, in ms of the clock. */
   firstEventAt?: number;
 }
 
-/** What runs at one engine. */
+/** The load of one engine at one moment. */
 export interface EngineLoadSnapshot {
+  /** Requests in flight, of all routers. */
   running: number;
-  /** Prompt tokens still to be read. */
+  /** Prompt tokens still to be read, of all routers. */
   prefillTokens: number;
-  /** Requests whose first event is still awaited, of this router's own. */
+  /** Requests of this router whose first event has not come. */
   awaitingFirstEvent: number;
+  /** Tokens of the KV cache that are taken, of all routers. */
   memoryTokens: number;
+  /** Ms that transfers to the engine still take. */
   transferMs: number;
-  /** Ms for which an awaited first event has been overdue without any word from the engine. */
+  /** Ms for which a first event has been overdue without any event from the engine; 0 where none is. */
   overdueMs: number;
   /** The share of the time for which it has lately been reading prompts. */
   prefillRatio: number;
 }
 
-/** Requests in flight by engine: this router's own, and those of all others as the load board told them. */
-export interface EngineLoads {
-  recordStart: (f: InFlightLoad) => void;
-  recordFirstEvent: (f: InFlightLoad) => void;
-  recordEnd: (f: InFlightLoad) => void;
-  snapshot: (engine: string) => EngineLoadSnapshot;
-  /** Own loads for the board. */
-  ownLoads: () => EngineLoad[];
-  /** Takes what the board told of all others. */
-  applyBoard: (list: EngineLoad[], full: boolean) => void;
-  /** Forgets what the board told, as it is silent. */
-  discardBoard: () => void;
-  /** Forgets engines that are gone. */
-  retain: (names: ReadonlySet<string>) => void;
-  hasBoard: () => boolean;
+interface BoardLoad {
+  running: number;
+  prefillTokens: number;
+  memoryTokens: number;
 }
 
-/** The least of a request's unread tokens that counts until its first event comes. */
-const LEAST_LEFT = 0.15;
-
-/** How far back the share of reading looks, in ms, and the unread tokens from which an engine counts as reading. */
-const LATELY_MS = 1500;
-const MUCH_UNREAD = 500;
-
-/** Makes the books. */
-export function makeLoads(now: () => number): EngineLoads {
-  const flights = new Map<string, Set<InFlightLoad>>();
-  const heard = new Map<string, number>();
-  const reading = new Map<string, number>();
-  let sampledAt = now();
-  const told = new Map<string, { running: number; unread: number; held: number }>();
-  let board = false;
-
-  function began(f: InFlightLoad): void {
-    const set = flights.get(f.engine) ?? new Set<InFlightLoad>();
-    set.add(f);
-    flights.set(f.engine, set);
-  }
+/** The share of a request's prefill tokens that counts at the least until its first event comes. */
+const MIN_PREFILL_LEFT_RATIO = 0.15;
+/** The time constant of the average by which `prefillRatio` looks back. */
+const PREFILL_AVERAGE_MS = 1500;
+/** Prefill tokens beyond which an engine counts as reading prompts. */
+const MIN_READING_TOKENS = 500;
+/** Averages under this are forgotten. */
+const MIN_PREFILL_RATIO = 0.01;
+
+/** The prefill tokens of a request that are left at `now`: they are taken to be read evenly until its first event. */
+function prefillTokensLeft(load: InFlightLoad, now: number): number {
+  if (load.firstEventAt !== undefined) return 0;
+  const leftRatio = 1 - (now - load.sentAt) / Math.max(1, load.expectedFirstEventMs);
+  return load.prefillTokens * Math.max(MIN_PREFILL_LEFT_RATIO, leftRatio);
+}
 
-  function first(f: InFlightLoad): void {
-    if (f.firstEventAt === undefined) f.firstEventAt = now();
-    heard.set(f.engine, now());
+/** Adds a request in flight to its engine's load; `lastEventAt` is when any first event last came from the engine. */
+function addInFlight(
+  snapshot: EngineLoadSnapshot,
+  load: InFlightLoad,
+  now: number,
+  lastEventAt: number,
+): void {
+  snapshot.running++;
+  snapshot.prefillTokens += prefillTokensLeft(load, now);
+  if (load.firstEventAt === undefined) {
+    const silentMs = now - Math.max(load.sentAt, lastEventAt);
+    snapshot.awaitingFirstEvent++;
+    snapshot.overdueMs = Math.max(snapshot.overdueMs, silentMs - load.expectedFirstEventMs);
   }
+  snapshot.memoryTokens += load.memoryTokens;
+  snapshot.transferMs += Math.max(0, load.transferMs - (now - load.sentAt));
+}
 
-  function ended(f: InFlightLoad): void {
-    const set = flights.get(f.engine);
-    set?.delete(f);
-    if (set?.size === 0) flights.delete(f.engine);
+/** Tracks the loads of engines. Times are ms of the clock that it is given. */
+export class EngineLoads {
+  private readonly inFlight = new Map<string, Set<InFlightLoad>>();
+  private readonly lastEventAt = new Map<string, number>();
+  private readonly prefillRatios = new Map<string, number>();
+  private readonly board = new Map<string, BoardLoad>();
+  private sampledAt: number;
+
+  constructor(private readonly now: () => number) {
+    this.sampledAt = now();
   }
 
-  function left(f: InFlightLoad, t: number): number {
-    if (f.firstEventAt !== undefined) return 0;
-    return (
-      f.prefillTokens *
-      Math.max(LEAST_LEFT, 1 - (t - f.sentAt) / Math.max(1, f.expectedFirstEventMs))
-    );
+  /** Counts a request from when it is sent. */
+  recordStart(load: InFlightLoad): void {
+    const loads = this.inFlight.get(load.engine) ?? new Set<InFlightLoad>();
+    loads.add(load);
+    this.inFlight.set(load.engine, loads);
   }
 
-  function ownOf(engine: string): EngineLoadSnapshot {
-    const t = now();
-    const l: EngineLoadSnapshot = {
-      running: 0,
-      prefillTokens: 0,
-      awaitingFirstEvent: 0,
-      memoryTokens: 0,
-      transferMs: 0,
-      overdueMs: 0,
-      prefillRatio: reading.get(engine) ?? 0,
-    };
-    for (const f of flights.get(engine) ?? []) {
-      l.running++;
-      l.prefillTokens += left(f, t);
-      if (f.firstEventAt === undefined) {
-        l.awaitingFirstEvent++;
-        l.overdueMs = Math.max(
-          l.overdueMs,
-          t - Math.max(f.sentAt, heard.get(engine) ?? 0) - f.expectedFirstEventMs,
-        );
-      }
-      l.memoryTokens += f.memoryTokens;
-      l.transferMs += Math.max(0, f.transferMs - (t - f.sentAt));
-    }
-    return l;
+  /** Records that a request's first event came. */
+  recordFirstEvent(load: InFlightLoad): void {
+    const now = this.now();
+    load.firstEventAt ??= now;
+    this.lastEventAt.set(load.engine, now);
   }
 
-  function of(engine: string): EngineLoadSnapshot {
-    const l = ownOf(engine);
-    const o = told.get(engine);
-    if (!o) return l;
-    l.running += o.running;
-    l.prefillTokens += o.unread;
-    l.memoryTokens += Math.max(o.unread, o.held);
-    return l;
+  /** Counts a request no longer. */
+  recordEnd(load: InFlightLoad): void {
+    const loads = this.inFlight.get(load.engine);
+    loads?.delete(load);
+    if (loads?.size === 0) this.inFlight.delete(load.engine);
   }
 
-  /** Takes note of which engines are reading just now. */
-  function sample(): void {
-    const t = now();
-    const fresh = 1 - Math.exp((sampledAt - t) / LATELY_MS);
-    sampledAt = t;
-    for (const engine of new Set([...flights.keys(), ...told.keys(), ...reading.keys()])) {
-      const reads =
-        ownOf(engine).prefillTokens + (told.get(engine)?.unread ?? 0) > MUCH_UNREAD ? 1 : 0;
-      const share = (reading.get(engine) ?? 0) * (1 - fresh) + reads * fresh;
-      if (share < 0.01) reading.delete(engine);
-      else reading.set(engine, share);
-    }
+  /** The load of an engine now, of all routers. */
+  snapshot(engine: string): EngineLoadSnapshot {
+    const snapshot = this.ownSnapshot(engine);
+    const others = this.board.get(engine);
+    if (!others) return snapshot;
+    snapshot.running += others.running;
+    snapshot.prefillTokens += others.prefillTokens;
+    snapshot.memoryTokens += Math.max(others.prefillTokens, others.memoryTokens);
+    return snapshot;
   }
 
-  function own(): EngineLoad[] {
-    sample();
-    const out: EngineLoad[] = [];
-    for (const engine of flights.keys()) {
-      const l = ownOf(engine);
-      out.push([engine, l.running, Math.round(l.prefillTokens), l.memoryTokens]);
+  /** This router's own loads for the load board; each call also samples which engines are reading prompts. */
+  ownLoads(): EngineLoad[] {
+    this.samplePrefill();
+    const report: EngineLoad[] = [];
+    for (const engine of this.inFlight.keys()) {
+      const own = this.ownSnapshot(engine);
+      report.push([engine, own.running, Math.round(own.prefillTokens), own.memoryTokens]);
     }
-    return out;
+    return report;
   }
 
-  function others(list: EngineLoad[], full: boolean): void {
-    board = true;
-    if (full) told.clear();
-    for (const [engine, running, unread, held] of list) {
-      if (running === 0 && unread === 0) told.delete(engine);
-      else told.set(engine, { running, unread, held: held ?? 0 });
+  /** Takes the sums of all other routers: those that changed, or all of them where `isFull`. */
+  applyBoard(loads: readonly EngineLoad[], isFull: boolean): void {
+    if (isFull) this.board.clear();
+    for (const [engine, running, prefillTokens, memoryTokens] of loads) {
+      if (running === 0 && prefillTokens === 0) this.board.delete(engine);
+      else this.board.set(engine, { running, prefillTokens, memoryTokens: memoryTokens ?? 0 });
     }
   }
 
-  function noBoard(): void {
-    board = false;
-    told.clear();
+  /** Forgets the sums of other routers, as the load board is silent. */
+  discardBoard(): void {
+    this.board.clear();
   }
 
-  function hasBoard(): boolean {
-    return board;
+  /** Forgets all engines but these. */
+  retain(engines: ReadonlySet<string>): void {
+    for (const id of this.lastEventAt.keys()) if (!engines.has(id)) this.lastEventAt.delete(id);
+    for (const id of this.board.keys()) if (!engines.has(id)) this.board.delete(id);
+    for (const id of this.prefillRatios.keys()) if (!engines.has(id)) this.prefillRatios.delete(id);
   }
 
-  function keep(names: ReadonlySet<string>): void {
-    for (const id of heard.keys()) if (!names.has(id)) heard.delete(id);
-    for (const id of told.keys()) if (!names.has(id)) told.delete(id);
-    for (const id of reading.keys()) if (!names.has(id)) reading.delete(id);
+  private ownSnapshot(engine: string): EngineLoadSnapshot {
+    const now = this.now();
+    const snapshot: EngineLoadSnapshot = {
+      running: 0,
+      prefillTokens: 0,
+      awaitingFirstEvent: 0,
+      memoryTokens: 0,
+      transferMs: 0,
+      overdueMs: 0,
+      prefillRatio: this.prefillRatios.get(engine) ?? 0,
+    };
+    const lastEventAt = this.lastEventAt.get(engine) ?? 0;
+    for (const load of this.inFlight.get(engine) ?? [])
+      addInFlight(snapshot, load, now, lastEventAt);
+    return snapshot;
   }
 
-  return {
-    recordStart: began,
-    recordFirstEvent: first,
-    recordEnd: ended,
-    snapshot: of,
-    ownLoads: own,
-    applyBoard: others,
-    discardBoard: noBoard,
-    hasBoard,
-    retain: keep,
-  };
+  /** Takes the engines that are reading prompts now into the averages. */
+  private samplePrefill(): void {
+    const now = this.now();
+    const weight = 1 - Math.exp((this.sampledAt - now) / PREFILL_AVERAGE_MS);
+    this.sampledAt = now;
+    const engines = [...this.inFlight.keys(), ...this.board.keys(), ...this.prefillRatios.keys()];
+    for (const engine of new Set(engines)) {
+      const unread =
+        this.ownSnapshot(engine).prefillTokens + (this.board.get(engine)?.prefillTokens ?? 0);
+      const isReading = unread > MIN_READING_TOKENS ? 1 : 0;
+      const ratio = (this.prefillRatios.get(engine) ?? 0) * (1 - weight) + isReading * weight;
+      if (ratio < MIN_PREFILL_RATIO) this.prefillRatios.delete(engine);
+      else this.prefillRatios.set(engine, ratio);
+    }
+  }
 }
--- a/src/data/gateway/placement.ts
+++ b/src/data/gateway/placement.ts
@@ -1,419 +1,248 @@
+/**
+ * Placement: finds the candidates for a request, estimates what each would cost, and decides for the cheapest or
+ * rejects the request. It learns from the requests that it placed.
+ */
+
 import { Either, Left, Right } from 'purify-ts';
-import { PromptBlock } from '../../shared/contracts/engine';
 import { OverlapReply } from '../../shared/contracts/indexer';
-import { PreferredReplicas, makeHomes } from './preferred-replicas';
-import { makeLinks, LinkEndpoint } from './transfer-estimate';
-import { InFlightLoad, makeLoads } from './engine-loads';
-import { makePaces } from './throughput-estimate';
+import {
+  computedTokensOf,
+  prefixKnowledge,
+  prefixSourcesOf,
+  reportedPrefixes,
+  sharedTokensOf,
+} from './cached-prefix';
+import { affinityKeyOf, CandidateFinder, idsOf } from './candidates';
 import {
   Candidate,
-  CachedPrefix,
-  Prompt,
-  estimateCosts,
   CostEstimate,
+  estimateCosts,
+  PrefixLookup,
   PrefixSource,
+  Prompt,
 } from './cost-estimate';
-import { AttemptResult, makeStandings } from './outlier-ejection';
-
+import { EngineLoads } from './engine-loads';
+import { shedReason, TenantShares } from './load-shedding';
+import { OutlierEjection } from './outlier-ejection';
+import { PlacedRequest } from './placed-request';
 import {
-  EngineEndpoint,
-  StoreEndpoint,
-  PlacementRequest,
   PlacementDecision,
-  PlacementRejection,
-  PlacedRequest,
-  Placement,
   PlacementOptions,
+  PlacementRejection,
+  PlacementRequest,
+  PlacementStrategy,
+  PoolView,
+  StoreEndpoint,
 } from './placement-types';
+import { PreferredReplicas } from './preferred-replicas';
+import { RecentPlacements } from './recent-placements';
+import { ThroughputEstimator } from './throughput-estimate';
+import { TransferEstimator } from './transfer-estimate';
+
+/** Costs are spread by up to this share, so that routers do not all choose the same engine. */
+const COST_JITTER_RATIO = 0.02;
+/** A router that remembers fewer prompts than this presumes nothing that is worth a fetch. */
+const MIN_REMEMBERED_PROMPTS = 4;
+/** Blocks go to a store where at least this share of the prompt is shared: the request's own block goes along, and fills the store's link and memory. */
+const MIN_STORED_SHARED_RATIO = 0.5;
+/** The last urgency that is given. */
+const MAX_URGENCY = 8;
+
+/** One placement under way: its request, its candidates, and what they are compared by. */
+interface Comparison {
+  request: PlacementRequest;
+  /** What indexers reported, by salt. */
+  replies: ReadonlyMap<string, OverlapReply>;
+  affinityKey: string;
+  ranks: ReadonlyMap<string, number>;
+  candidates: readonly Candidate[];
+}
 
-/** A prompt that reads in under this share of its aim is placed without asking an index. */
-const QUICK = 0.08;
-/** What a prompt's home is taken to keep of its shared parts where no index answered, and an engine where one was placed before. */
-const HOME_KEEPS = 0.4;
-const PLACED_KEEPS = 0.9;
-/** The same of a home that parts are fetched from: a miss costs little. */
-const GUESSED = 0.7;
-/** Prompts whose engines are remembered. */
-const MOST_RECENT = 4096;
-const MOST_ENGINES = 4;
-/** A router that placed fewer prompts than this has no reason yet to guess that a home keeps something to fetch. */
-const FEW = 4;
-/** The share of a zone's engines that long prompts are rather sent to, and the shares of the aim that going to the other side must gain. */
-const LONG_SIDE = 0.75;
-const QUICK_SIDE = 0.1;
-const LONG_ASIDE = 0.3;
-/** Costs are spread by this share, so that routers do not all choose the same. */
-const SPREAD = 0.02;
-/** A prompt goes to a store where this share of it is shared: its own part goes along, and fills the store's link and room. */
-const STORED = 0.5;
-/** A request that fetched shows a slow link only by taking this many times what was reckoned. */
-const SLOW = 1.5;
-/** Where more than this share of the time is waiting, it shows nothing of a link. */
-const MUCH = 0.3;
-/** The least urgent rank that is given. */
-const LAST = 8;
-/** The share of a pool's places that must be taken before a request that can't make its aim is refused. */
-const PRESSED = 0.9;
-/** A tenant with more than this many fair shares of what is under way gives way first. */
-const FAIR = 1.5;
+interface RankedEstimate {
+  estimate: CostEstimate;
+  /** The estimate's cost by the strategy, with jitter. */
+  cost: number;
+}
+
+function nameOf(store: StoreEndpoint): string {
+  return store.name;
+}
 
-/** Makes the placement. */
-export function makePlacement(ways: PlacementOptions): Placement {
-  const homes: PreferredReplicas = makeHomes();
-  const paces = makePaces();
-  const links = makeLinks();
-  const loads = makeLoads(ways.now);
-  const standings = makeStandings(ways.now, ways.random, ways.baseEjectionMs);
-  const recent = new Map<string, string[]>();
-  const tenants = new Map<string, number>();
-  const way = ways.strategy ?? 'full';
+/** The requests' place in an engine's queue: the route's rank goes before the tenant's. */
+function urgencyOf(request: PlacementRequest): number {
+  return Math.min(MAX_URGENCY, request.routePriority * 2 + Math.min(1, request.tenantPriority));
+}
 
-  function sharedOf(parts: readonly PromptBlock[]): number {
-    let t = 0;
-    for (let i = 0; i < parts.length - 1; i++) t += parts[i].size;
-    return t;
+/** The candidates by salt, in the order of the salts' first engines. */
+function groupBySalt(candidates: readonly Candidate[]): Map<string, Candidate[]> {
+  const groups = new Map<string, Candidate[]>();
+  for (const candidate of candidates) {
+    const group = groups.get(candidate.salt);
+    if (group) group.push(candidate);
+    else groups.set(candidate.salt, [candidate]);
   }
+  return groups;
+}
 
-  function wantsIndex(ask: PlacementRequest): string[] {
-    if (way !== 'full' || ask.blocks.length === 0) return [];
-    if (isQuick(ask)) return [];
+/** Places requests at engines, and learns from how they go. */
+export class Placement {
+  readonly loads: EngineLoads;
+  readonly throughput = new ThroughputEstimator();
+  readonly transfers = new TransferEstimator();
+  readonly ejection: OutlierEjection;
+  private readonly replicas = new PreferredReplicas();
+  private readonly recent = new RecentPlacements();
+  private readonly tenants = new TenantShares();
+  private readonly strategy: PlacementStrategy;
+  private readonly finder: CandidateFinder;
+
+  constructor(private readonly options: PlacementOptions) {
+    this.loads = new EngineLoads(options.now);
+    this.ejection = new OutlierEjection(options.now, options.random, options.baseEjectionMs);
+    this.strategy = options.strategy ?? 'full';
+    this.finder = new CandidateFinder(this.replicas, this.loads, this.throughput);
+  }
+
+  /** The salts under which an index is worth asking for this request. */
+  saltsToQuery(request: PlacementRequest): string[] {
+    if (this.strategy !== 'full' || request.blocks.length === 0) return [];
+    if (this.finder.isShortPrompt(request)) return [];
     const salts = new Set<string>();
-    for (const e of ask.pool.engines) salts.add(e.salt);
+    for (const { salt } of request.pool.engines) salts.add(salt);
     return [...salts];
   }
 
-  function isQuick(ask: PlacementRequest): boolean {
-    return (
-      ask.promptTokens * paces.estimate(ask.pool.name, '').msPerPrefillToken <=
-      QUICK * ask.latencyTargetMs
-    );
-  }
-
-  function homeOf(ask: PlacementRequest): string {
-    return `${ask.cacheScope} ${ask.blocks[Math.max(0, ask.blocks.length - 2)]?.hash ?? ''}`;
-  }
-
-  function sideOf(e: EngineEndpoint | StoreEndpoint, name: string, mbps: number): LinkEndpoint {
-    return { name, zone: e.zone, region: e.region, linkMbps: mbps };
-  }
-
-  /** How far each engine stands from the home of its zone: a prompt has one home in each, so that it need not cross zones. */
-  function ranksOf(ask: PlacementRequest, home: string): Map<string, number> {
-    const all = homes.rank(home, ask.pool.engines.map(idOf));
-    const order = [...ask.pool.engines].sort(byRank);
-    const count = new Map<string, number>();
-    const out = new Map<string, number>();
-    for (const e of order) {
-      const n = count.get(e.zone) ?? 0;
-      count.set(e.zone, n + 1);
-      out.set(e.id, n);
-    }
-    return out;
-    function byRank(a: EngineEndpoint, b: EngineEndpoint): number {
-      return all.get(a.id)! - all.get(b.id)!;
+  /** Places a request; `replies` is what indexers reported, by salt. */
+  place(
+    request: PlacementRequest,
+    replies: ReadonlyMap<string, OverlapReply>,
+  ): Either<PlacementRejection, PlacementDecision> {
+    const allowed = idsOf(request.pool.engines).filter(isAllowed);
+    function isAllowed(id: string): boolean {
+      return !request.excluded.has(id);
     }
+    const usable = new Set(this.ejection.available(allowed, request.isIdempotent));
+    if (usable.size === 0) return Left(this.noEngine(allowed));
+    const affinityKey = affinityKeyOf(request);
+    const ranks = this.finder.ranksByZone(request.pool.engines, affinityKey);
+    const candidates = this.finder.find(request, usable, ranks);
+    const comparison = { request, replies, affinityKey, ranks, candidates };
+    const estimate = this.cheapest(comparison);
+    const rejection = shedReason(request, candidates, estimate, this.tenants);
+    return rejection ? Left(rejection) : Right(this.decide(comparison, estimate));
+  }
+
+  /** Counts a request that was sent where it was placed. */
+  start(decision: PlacementDecision): PlacedRequest {
+    const { loads, throughput, transfers, ejection, tenants, options } = this;
+    const observers = { now: options.now, loads, throughput, transfers, ejection, tenants };
+    const placed = new PlacedRequest(decision, observers);
+    this.recent.record(decision.affinityKey, decision.estimate.candidate.endpoint.name);
+    return placed;
+  }
+
+  /** Forgets all engines and stores but these. */
+  retain(names: ReadonlySet<string>): void {
+    this.throughput.retain(names);
+    this.transfers.retain(names);
+    this.ejection.retain(names);
+    this.loads.retain(names);
+  }
+
+  private noEngine(names: readonly string[]): PlacementRejection {
+    const { baseEjectionMs } = this.options;
+    const retryAfterMs = Math.max(baseEjectionMs, this.ejection.msUntilAvailable(names));
+    return { reason: 'no-engine', retryAfterMs };
+  }
+
+  private decide(comparison: Comparison, estimate: CostEstimate): PlacementDecision {
+    const { request, replies, affinityKey } = comparison;
+    const reply = replies.get(estimate.candidate.salt);
+    return {
+      request,
+      estimate,
+      urgency: urgencyOf(request),
+      storeAddress: this.storeToFill(request, affinityKey, reply),
+      affinityKey,
+    };
   }
 
-  /** Engines that long prompts are rather sent to: most of each zone's, in an order that all routers share. */
-  function forLong(ask: PlacementRequest): Set<string> {
-    const ranks = ranksOf(ask, ask.pool.name);
-    const count = new Map<string, number>();
-    for (const e of ask.pool.engines) count.set(e.zone, (count.get(e.zone) ?? 0) + 1);
-    const out = new Set<string>();
-    for (const e of ask.pool.engines)
-      if (
-        ranks.get(e.id)! <
-        Math.min(count.get(e.zone)! - 1, Math.round(count.get(e.zone)! * LONG_SIDE))
-      )
-        out.add(e.id);
-    return out;
-  }
-
-  function guess(
-    ask: PlacementRequest,
-    home: string,
-    ranks: Map<string, number>,
-  ): { here: (name: string) => CachedPrefix; there: (name: string) => CachedPrefix } {
-    const shared = sharedOf(ask.blocks);
-    const placed = recent.get(home) ?? [];
-    function by(home: number): (name: string) => CachedPrefix {
-      function keptAt(name: string): CachedPrefix {
-        if (placed.includes(name)) return { cachedTokens: shared * PLACED_KEEPS, pendingTokens: 0 };
-        return { cachedTokens: ranks.get(name) === 0 ? shared * home : 0, pendingTokens: 0 };
+  /** The cheapest estimate of all candidates; there is at least one. */
+  private cheapest(comparison: Comparison): CostEstimate {
+    let best: RankedEstimate | undefined;
+    for (const [salt, candidates] of groupBySalt(comparison.candidates))
+      for (const estimate of this.estimateGroup(comparison, salt, candidates)) {
+        const cost = this.strategyCost(estimate);
+        if (!best || cost < best.cost) best = { estimate, cost };
       }
-      return keptAt;
-    }
-    return { here: by(HOME_KEEPS), there: by(recent.size < FEW ? 0 : GUESSED) };
-  }
-
-  function told(kept: OverlapReply): (name: string) => CachedPrefix {
-    const m = new Map<string, CachedPrefix>();
-    for (const [source, k, coming] of kept)
-      m.set(source, { cachedTokens: k, pendingTokens: coming });
-    function keptAt(name: string): CachedPrefix {
-      return m.get(name) ?? { cachedTokens: 0, pendingTokens: 0 };
-    }
-    return keptAt;
+    return best!.estimate;
   }
 
-  function sourcesOf(
-    ask: PlacementRequest,
+  /** Estimates the candidates of one salt, the cheapest first. */
+  private estimateGroup(
+    comparison: Comparison,
     salt: string,
-    keptAt: (name: string) => CachedPrefix,
-  ): PrefixSource[] {
-    const out: PrefixSource[] = [];
-    const up = new Set(standings.available(ask.pool.engines.map(idOf), false));
-    for (const e of ask.pool.engines) {
-      const { cachedTokens: kept } = keptAt(e.id);
-      if (kept > 0 && e.salt === salt && up.has(e.id))
-        out.push({
-          endpoint: sideOf(e, e.id, ask.pool.linkMbps),
-          address: e.address,
-          cachedTokens: kept,
-        });
-    }
-    for (const s of ask.pool.stores) {
-      const { cachedTokens: kept } = keptAt(s.name);
-      if (kept > 0)
-        out.push({
-          endpoint: sideOf(s, s.name, s.linkMbps),
-          address: s.address,
-          cachedTokens: kept,
-        });
-    }
-    return out;
+    candidates: readonly Candidate[],
+  ): CostEstimate[] {
+    const { request, replies, affinityKey, ranks } = comparison;
+    const isFull = this.strategy === 'full';
+    const reply = isFull ? replies.get(salt) : undefined;
+    const { atEngine, atSource } = prefixKnowledge(reply, {
+      sharedTokens: sharedTokensOf(request.blocks),
+      recentEngines: this.recent.enginesOf(affinityKey),
+      ranks,
+      mayFetch: this.recent.keyCount >= MIN_REMEMBERED_PROMPTS,
+    });
+    const sources = isFull ? this.prefixSources(request.pool, salt, atSource) : [];
+    const prompt = this.promptOf(request, reply);
+    return estimateCosts(prompt, candidates, atEngine, sources, this.transfers);
   }
 
-  function idOf(e: EngineEndpoint): string {
-    return e.id;
+  private prefixSources(pool: PoolView, salt: string, prefixAt: PrefixLookup): PrefixSource[] {
+    const healthy = new Set(this.ejection.available(idsOf(pool.engines), false));
+    return prefixSourcesOf(pool, salt, healthy, prefixAt);
   }
 
-  function cost(r: CostEstimate): number {
-    if (way === 'affinity') return r.candidate.preferenceRank;
-    if (way === 'least-busy')
-      return (
-        r.candidate.load.running +
-        r.candidate.load.prefillTokens / Math.max(1, r.candidate.cacheTokens)
-      );
-    return r.cost * (1 + SPREAD * ways.random());
+  private strategyCost(estimate: CostEstimate): number {
+    const { load, cacheTokens, preferenceRank } = estimate.candidate;
+    if (this.strategy === 'affinity') return preferenceRank;
+    if (this.strategy === 'least-busy')
+      return load.running + load.prefillTokens / Math.max(1, cacheTokens);
+    return estimate.cost * (1 + COST_JITTER_RATIO * this.options.random());
   }
 
-  function place(
-    ask: PlacementRequest,
-    kept: ReadonlyMap<string, OverlapReply>,
-  ): Either<PlacementRejection, PlacementDecision> {
-    const names: string[] = [];
-    for (const e of ask.pool.engines) if (!ask.excluded.has(e.id)) names.push(e.id);
-    const fit = new Set(standings.available(names, ask.isIdempotent));
-    if (fit.size === 0)
-      return Left({
-        reason: 'no-engine',
-        retryAfterMs: Math.max(ways.baseEjectionMs, standings.msUntilAvailable(names)),
-      });
-    const home = homeOf(ask);
-    const ranks = ranksOf(ask, home);
-    const quick = isQuick(ask);
-    const side = forLong(ask);
-    const bySalt = new Map<string, Candidate[]>();
-    const all: Candidate[] = [];
-    for (const e of ask.pool.engines) {
-      if (!fit.has(e.id)) continue;
-      const a: Candidate = {
-        endpoint: sideOf(e, e.id, ask.pool.linkMbps),
-        at: e.address,
-        batch: Math.max(1, e.batch ?? ask.pool.batch),
-        cacheTokens: ask.pool.cacheTokens,
-        load: loads.snapshot(e.id),
-        throughput: paces.estimate(ask.pool.name, e.id),
-        preferenceRank: ranks.get(e.id)!,
-        besideMs: quick && side.has(e.id) ? ask.latencyTargetMs * QUICK_SIDE : 0,
-        besideReading: !quick && !side.has(e.id) ? LONG_ASIDE : 0,
-      };
-      all.push(a);
-      bySalt.set(e.salt, [...(bySalt.get(e.salt) ?? []), a]);
-    }
-    let best: { r: CostEstimate; cost: number } | undefined;
-    for (const [salt, able] of bySalt) {
-      const answer = way === 'full' ? kept.get(salt) : undefined;
-      const by = answer ? told(answer) : undefined;
-      const { here, there } = by ? { here: by, there: by } : guess(ask, home, ranks);
-      const sources = way === 'full' ? sourcesOf(ask, salt, there) : [];
-      for (const r of estimateCosts(promptOf(ask, answer), able, here, sources, links.transferMs)) {
-        const c = cost(r);
-        if (!best || c < best.cost) best = { r, cost: c };
-      }
-    }
-    const no = refusal(ask, all, best!.r);
-    if (no) return Left(no);
-    const salt = ask.pool.engines.find(isBest)!.salt;
-    return Right({
-      request: ask,
-      estimate: best!.r,
-      urgency: urgencyOf(ask),
-      storeAddress: storeFor(ask, home, kept.get(salt)),
-      affinityKey: home,
-    });
-    function isBest(e: EngineEndpoint): boolean {
-      return e.id === best!.r.candidate.endpoint.name;
-    }
-  }
-
-  /** The prompt, with how much of what it shares was read before: as an index told, or all where none did. */
-  function promptOf(ask: PlacementRequest, answer: OverlapReply | undefined): Prompt {
-    const shared = sharedOf(ask.blocks);
-    let known = answer ? 0 : shared;
-    for (const [, k, coming] of answer ?? []) known = Math.max(known, k + coming);
+  private promptOf(request: PlacementRequest, reply: OverlapReply | undefined): Prompt {
+    const { promptTokens, maxOutputTokens, latencyTargetMs, remainingMs } = request;
+    const sharedTokens = sharedTokensOf(request.blocks);
     return {
-      tokensIn: ask.promptTokens,
-      tokensOut: ask.maxOutputTokens,
-      shared,
-      known,
-      tokenBytes: ask.pool.tokenBytes,
-      aimMs: ask.latencyTargetMs,
-      leftMs: ask.remainingMs,
-      zone: ways.zone,
+      promptTokens,
+      maxOutputTokens,
+      sharedTokens,
+      computedTokens: computedTokensOf(reply, sharedTokens),
+      tokenBytes: request.pool.tokenBytes,
+      latencyTargetMs,
+      remainingMs,
+      zone: this.options.zone,
     };
   }
 
-  /** The store that lacks something of what the prompt shares: the same one for a part at every router. */
-  function storeFor(
-    ask: PlacementRequest,
-    home: string,
-    answer: OverlapReply | undefined,
+  /** The address of the store that lacks some of the shared blocks: the same store for a block at every router. */
+  private storeToFill(
+    request: PlacementRequest,
+    affinityKey: string,
+    reply: OverlapReply | undefined,
   ): string | undefined {
-    if (!answer || ask.pool.stores.length === 0) return undefined;
-    const ranks = homes.rank(home, ask.pool.stores.map(nameOf));
-    const shared = sharedOf(ask.blocks);
-    if (shared < ask.promptTokens * STORED) return undefined;
-    for (const s of ask.pool.stores) {
-      if (ranks.get(s.name) !== 0) continue;
-      const { cachedTokens: kept, pendingTokens: coming } = told(answer)(s.name);
-      return kept + coming < shared ? s.address : undefined;
-    }
-    return undefined;
-  }
-
-  function nameOf(s: StoreEndpoint): string {
-    return s.name;
-  }
-
-  /** A request is refused only where places are taken, and its time would pass in waiting for one. */
-  function refusal(
-    ask: PlacementRequest,
-    able: readonly Candidate[],
-    r: CostEstimate,
-  ): PlacementRejection | undefined {
-    let running = 0;
-    let places = 0;
-    for (const a of able) {
-      running += Math.min(a.batch, a.load.running);
-      places += a.batch;
-    }
-    if (running < places * PRESSED || r.candidate.load.running < r.candidate.batch)
-      return undefined;
-    const own = r.firstEventMs - r.queueMs;
-    if (own < ask.remainingMs && r.firstEventMs >= ask.remainingMs)
-      return { reason: 'full', retryAfterMs: r.queueMs };
-    if (own >= ask.latencyTargetMs || r.firstEventMs < ask.latencyTargetMs) return undefined;
-    return r.queueMs > ask.latencyTargetMs * (overShare(ask.tenant) ? 1 : 2)
-      ? { reason: 'too-late', retryAfterMs: r.queueMs }
-      : undefined;
-  }
-
-  function overShare(tenant: string | undefined): boolean {
-    let all = 0;
-    for (const n of tenants.values()) all += n;
-    return (tenants.get(tenant ?? '') ?? 0) * tenants.size > all * FAIR;
-  }
-
-  function urgencyOf(ask: PlacementRequest): number {
-    return Math.min(LAST, ask.routePriority * 2 + Math.min(1, ask.tenantPriority));
-  }
-
-  function remember(home: string, engine: string): void {
-    const was = recent.get(home) ?? [];
-    recent.delete(home);
-    recent.set(home, [engine, ...was.filter(other)].slice(0, MOST_ENGINES));
-    if (recent.size > MOST_RECENT) recent.delete(recent.keys().next().value!);
-    function other(id: string): boolean {
-      return id !== engine;
+    const { stores } = request.pool;
+    if (!reply || stores.length === 0) return undefined;
+    const sharedTokens = sharedTokensOf(request.blocks);
+    if (sharedTokens < request.promptTokens * MIN_STORED_SHARED_RATIO) return undefined;
+    const ranks = this.replicas.rank(affinityKey, stores.map(nameOf));
+    function isPreferred(store: StoreEndpoint): boolean {
+      return ranks.get(store.name) === 0;
     }
+    const store = stores.find(isPreferred);
+    if (!store) return undefined;
+    const { cachedTokens, pendingTokens } = reportedPrefixes(reply)(store.name);
+    return cachedTokens + pendingTokens < sharedTokens ? store.address : undefined;
   }
-
-  function began(p: PlacementDecision): PlacedRequest {
-    const { request: ask, estimate: r } = p;
-    const engine = r.candidate.endpoint.name;
-    const tenant = ask.tenant ?? '';
-    const f: InFlightLoad = {
-      engine,
-      prefillTokens: r.prefillTokens,
-      memoryTokens: ask.promptTokens + ask.maxOutputTokens,
-      sentAt: ways.now(),
-      expectedFirstEventMs: r.firstEventMs,
-      transferMs: r.prefixFetch?.ms ?? 0,
-    };
-    loads.recordStart(f);
-    standings.recordStart(engine);
-    tenants.set(tenant, (tenants.get(tenant) ?? 0) + 1);
-    remember(p.affinityKey, engine);
-    let over = false;
-
-    function first(): void {
-      if (f.firstEventAt !== undefined) return;
-      loads.recordFirstEvent(f);
-      const ms = f.firstEventAt! - f.sentAt;
-      if (r.prefixFetch && r.queueMs > r.firstEventMs * MUCH) return;
-      if (r.prefixFetch)
-        links.observe(
-          r.prefixFetch.source.endpoint.name,
-          engine,
-          ms > r.firstEventMs * SLOW + r.prefixFetch.ms,
-        );
-      else
-        paces.observeFirstEvent(ask.pool.name, engine, {
-          firstEventMs: ms,
-          prefillTokens: r.prefillTokens,
-          attentionPairs: r.attentionPairs,
-          queuedTokens: r.queuedTokens,
-        });
-    }
-
-    function ended(how: AttemptResult): void {
-      if (over) return;
-      over = true;
-      loads.recordEnd(f);
-      standings.recordEnd(engine, how, f.sentAt);
-      const left = (tenants.get(tenant) ?? 1) - 1;
-      if (left > 0) tenants.set(tenant, left);
-      else tenants.delete(tenant);
-      if (how === 'answered') paces.observeSlot(ask.pool.name, ways.now() - f.sentAt);
-      if (how !== 'turned-away' && f.firstEventAt !== undefined)
-        paces.observeDecode(
-          ask.pool.name,
-          engine,
-          ways.now() - f.firstEventAt,
-          ask.maxOutputTokens,
-        );
-    }
-
-    return { recordFirstEvent: first, recordEnd: ended };
-  }
-
-  function keep(names: ReadonlySet<string>): void {
-    paces.retain(names);
-    links.retain(names);
-    standings.retain(names);
-    loads.retain(names);
-  }
-
-  return {
-    saltsToQuery: wantsIndex,
-    place,
-    start: began,
-    loads,
-    throughput: paces,
-    transfers: links,
-    ejection: standings,
-    retain: keep,
-  };
 }
--- a/src/data/gateway/throughput-estimate.ts
+++ b/src/data/gateway/throughput-estimate.ts
@@ -1,37 +1,37 @@
-/** How fast an engine is taken to be: ms to a first event = baseMs + msPerToken x own tokens read + msPerPair x pairs of tokens attended to + msPerAhead x unread tokens of others. */
+/**
+ * Throughput estimate: how fast engines read prompts (prefill) and give tokens (decode), learned from what attempts
+ * show. A pool's engines share the parts of the time, found by normalized least mean squares with clipped errors; each
+ * engine has one factor on them, as engines of one pool differ in speed.
+ */
+
+/**
+ * How fast an engine is taken to be: ms to a first event = baseMs + msPerPrefillToken × own tokens to read +
+ * msPerAttentionPair × pairs of tokens attended to + msPerQueuedToken × unread tokens of others.
+ */
 export interface ThroughputEstimate {
   baseMs: number;
   msPerPrefillToken: number;
   msPerAttentionPair: number;
   msPerQueuedToken: number;
-  /** Ms for which a request keeps its place. */
+  /** Ms for which a request occupies a slot of the batch. */
   slotMs: number;
-  /** Ms for each token that it gives after the first event. */
+  /** Ms for each token after the first event. */
   msPerOutputToken: number;
 }
 
-/** What was seen of one request: ms to its first event, the tokens and pairs that were to be read for it, and the unread tokens of others there when it was sent. */
+/** What one request showed of its engine's prefill. */
 export interface FirstEventSample {
+  /** Ms from sending to the first event. */
   firstEventMs: number;
+  /** Tokens that were to be read for it, and pairs of tokens attended to. */
   prefillTokens: number;
   attentionPairs: number;
+  /** Unread tokens of others at the engine when it was sent. */
   queuedTokens: number;
 }
 
-/** Learns how fast engines are from what attempts show. */
-export interface ThroughputEstimator {
-  estimate: (pool: string, engine: string) => ThroughputEstimate;
-  observeFirstEvent: (pool: string, engine: string, seen: FirstEventSample) => void;
-  /** Ms for which a request kept its place. */
-  observeSlot: (pool: string, ms: number) => void;
-  /** Ms from a request's first event to its end, and the most tokens that it might give. */
-  observeDecode: (pool: string, engine: string, ms: number, tokens: number) => void;
-  /** Forgets engines that are gone. */
-  retain: (engines: ReadonlySet<string>) => void;
-}
-
-/** First guesses, left after a few answers. */
-const FIRST: ThroughputEstimate = {
+/** What a pool's figures start from; they are left after a few answers. */
+const INITIAL: ThroughputEstimate = {
   baseMs: 25,
   msPerPrefillToken: 0.02,
   msPerAttentionPair: 3e-7,
@@ -39,119 +39,176 @@
   slotMs: 150,
   msPerOutputToken: 8,
 };
-/** The share of an error that the pool's figures take up, at first and in the long run. */
-const POOL_FIRST = 0.4;
-const POOL_LAST = 0.02;
-/** The same for one engine's factor. */
-const ENGINE_STEP = 0.06;
-/** An error counts up to this share of what was reckoned: one slow answer is no slow engine. */
-const MOST_ERROR = 0.5;
-/** An engine's factor goes back by this share of its logarithm with each answer. */
-const FADE = 0.01;
-/** The share of what a request shows of the time for each token that is taken up, and how far one may differ. */
-const OUT_STEP = 0.1;
-const MOST_OUT = 4;
-const LEAST = 0.05;
-const MOST = 50;
-
-interface PoolPace {
-  /** Multiples of the first guesses. */
+/** The share of an error that a pool's figures take up: at first, and in the long run. */
+const POOL_INITIAL_STEP_RATIO = 0.4;
+const POOL_MIN_STEP_RATIO = 0.02;
+/** Samples over which the first step halves. */
+const POOL_STEP_HALVING_SAMPLES = 8;
+/** The same for one engine's factor, and for a pool's slot time. */
+const ENGINE_STEP_RATIO = 0.06;
+/** An error counts up to this share of the estimate: one slow answer is no slow engine. */
+const MAX_ERROR_RATIO = 0.5;
+/** An engine's factor decays towards 1 by this share of its logarithm with each answer. */
+const ENGINE_DECAY_RATIO = 0.01;
+/** The bound of an engine's factor, both ways. */
+const MAX_ENGINE_FACTOR = 4;
+/** The share that one sample of the time for an output token counts, and how far it may differ from the estimate. */
+const DECODE_STEP_RATIO = 0.1;
+const MAX_DECODE_ERROR_RATIO = 4;
+/** Bounds of a pool's multiples of the initial figures. */
+const MIN_POOL_FACTOR = 0.05;
+const MAX_POOL_FACTOR = 50;
+/** A slot's time may differ from the estimate by up to this multiple of it. */
+const MAX_SLOT_ERROR_RATIO = 2;
+
+interface PoolThroughput {
+  /** Multiples of the initial figures. */
+  baseFactor: number;
+  prefillFactor: number;
+  attentionFactor: number;
+  queueFactor: number;
+  sampleCount: number;
+  slotMs: number;
+  msPerOutputToken: number;
+}
+
+function clamp(value: number, minimum: number, maximum: number): number {
+  return Math.min(maximum, Math.max(minimum, value));
+}
+
+function clampPoolFactor(value: number): number {
+  return clamp(value, MIN_POOL_FACTOR, MAX_POOL_FACTOR);
+}
+
+/** What each part of the time would be by the initial figures. */
+interface InitialParts {
   base: number;
-  token: number;
-  pair: number;
-  ahead: number;
-  count: number;
-  placeMs: number;
-  msPerOut: number;
+  prefill: number;
+  attention: number;
+  queue: number;
 }
 
-/** Makes the learner: robust steps on the parts of the time, and one factor for each engine, as engines of one pool differ in speed. */
-export function makePaces(): ThroughputEstimator {
-  const pools = new Map<string, PoolPace>();
-  const factors = new Map<string, number>();
-  const outs = new Map<string, number>();
-
-  function poolOf(pool: string): PoolPace {
-    let p = pools.get(pool);
-    if (!p) {
-      p = {
-        base: 1,
-        token: 1,
-        pair: 1,
-        ahead: 1,
-        count: 0,
-        placeMs: FIRST.slotMs,
-        msPerOut: FIRST.msPerOutputToken,
-      };
-      pools.set(pool, p);
-    }
-    return p;
-  }
+function initialParts(sample: FirstEventSample): InitialParts {
+  return {
+    base: INITIAL.baseMs,
+    prefill: INITIAL.msPerPrefillToken * sample.prefillTokens,
+    attention: INITIAL.msPerAttentionPair * sample.attentionPairs,
+    queue: INITIAL.msPerQueuedToken * sample.queuedTokens,
+  };
+}
+
+/** Ms that a pool's figures give for a sample at an engine of factor 1. */
+function expectedMs(pool: PoolThroughput, parts: InitialParts): number {
+  return (
+    parts.base * pool.baseFactor +
+    parts.prefill * pool.prefillFactor +
+    parts.attention * pool.attentionFactor +
+    parts.queue * pool.queueFactor
+  );
+}
+
+/** Moves a pool's factors by a share of an error, each in proportion to its part of the time. */
+function adjustPool(pool: PoolThroughput, parts: InitialParts, errorMs: number): void {
+  const { base, prefill, attention, queue } = parts;
+  const step = Math.max(
+    POOL_MIN_STEP_RATIO,
+    POOL_INITIAL_STEP_RATIO / (1 + pool.sampleCount / POOL_STEP_HALVING_SAMPLES),
+  );
+  const norm = base * base + prefill * prefill + attention * attention + queue * queue;
+  pool.sampleCount++;
+  pool.baseFactor = clampPoolFactor(pool.baseFactor + (step * errorMs * base) / norm);
+  pool.prefillFactor = clampPoolFactor(pool.prefillFactor + (step * errorMs * prefill) / norm);
+  pool.attentionFactor = clampPoolFactor(
+    pool.attentionFactor + (step * errorMs * attention) / norm,
+  );
+  pool.queueFactor = clampPoolFactor(pool.queueFactor + (step * errorMs * queue) / norm);
+}
+
+/** The new factor of an engine that took `ratio` times what was expected. */
+function adjustEngineFactor(factor: number, ratio: number): number {
+  const log = Math.log(factor) * (1 - ENGINE_DECAY_RATIO) + ENGINE_STEP_RATIO * Math.log(ratio);
+  return clamp(Math.exp(log), 1 / MAX_ENGINE_FACTOR, MAX_ENGINE_FACTOR);
+}
 
-  function of(pool: string, engine: string): ThroughputEstimate {
-    const p = poolOf(pool);
-    const f = factors.get(engine) ?? 1;
+/** Learns the throughput of engines, by pool and engine. */
+export class ThroughputEstimator {
+  private readonly pools = new Map<string, PoolThroughput>();
+  private readonly engineFactors = new Map<string, number>();
+  /** Ms for each output token, by engine. */
+  private readonly decodeMs = new Map<string, number>();
+
+  /** What is taken of an engine; of one that nothing is known of, its pool's figures. */
+  estimate(pool: string, engine: string): ThroughputEstimate {
+    const learned = this.poolOf(pool);
+    const factor = this.engineFactors.get(engine) ?? 1;
     return {
-      baseMs: FIRST.baseMs * p.base * f,
-      msPerPrefillToken: FIRST.msPerPrefillToken * p.token * f,
-      msPerAttentionPair: FIRST.msPerAttentionPair * p.pair * f,
-      msPerQueuedToken: FIRST.msPerQueuedToken * p.ahead * f,
-      slotMs: p.placeMs,
-      msPerOutputToken: outs.get(engine) ?? p.msPerOut,
+      baseMs: INITIAL.baseMs * learned.baseFactor * factor,
+      msPerPrefillToken: INITIAL.msPerPrefillToken * learned.prefillFactor * factor,
+      msPerAttentionPair: INITIAL.msPerAttentionPair * learned.attentionFactor * factor,
+      msPerQueuedToken: INITIAL.msPerQueuedToken * learned.queueFactor * factor,
+      slotMs: learned.slotMs,
+      msPerOutputToken: this.decodeMs.get(engine) ?? learned.msPerOutputToken,
     };
   }
 
-  function within(x: number, least: number, most: number): number {
-    return Math.min(most, Math.max(least, x));
-  }
-
-  function learn(pool: string, engine: string, seen: FirstEventSample): void {
-    const p = poolOf(pool);
-    const f = factors.get(engine) ?? 1;
-    const xs = [
-      FIRST.baseMs,
-      FIRST.msPerPrefillToken * seen.prefillTokens,
-      FIRST.msPerAttentionPair * seen.attentionPairs,
-      FIRST.msPerQueuedToken * seen.queuedTokens,
-    ];
-    const due = xs[0] * p.base + xs[1] * p.token + xs[2] * p.pair + xs[3] * p.ahead;
-    const error = within(seen.firstEventMs / f - due, -MOST_ERROR * due, MOST_ERROR * due);
-    const step = Math.max(POOL_LAST, POOL_FIRST / (1 + p.count / 8));
-    const norm = xs[0] * xs[0] + xs[1] * xs[1] + xs[2] * xs[2] + xs[3] * xs[3];
-    p.count++;
-    p.base = within(p.base + (step * error * xs[0]) / norm, LEAST, MOST);
-    p.token = within(p.token + (step * error * xs[1]) / norm, LEAST, MOST);
-    p.pair = within(p.pair + (step * error * xs[2]) / norm, LEAST, MOST);
-    p.ahead = within(p.ahead + (step * error * xs[3]) / norm, LEAST, MOST);
-    const ratio = within(seen.firstEventMs / (due * f), 1 - MOST_ERROR, 1 + MOST_ERROR);
-    const log = Math.log(f) * (1 - FADE) + ENGINE_STEP * Math.log(ratio);
-    factors.set(engine, within(Math.exp(log), 1 / 4, 4));
+  /** Learns from a first event. */
+  observeFirstEvent(pool: string, engine: string, sample: FirstEventSample): void {
+    const learned = this.poolOf(pool);
+    const factor = this.engineFactors.get(engine) ?? 1;
+    const parts = initialParts(sample);
+    const expected = expectedMs(learned, parts);
+    const maxErrorMs = MAX_ERROR_RATIO * expected;
+    const errorMs = clamp(sample.firstEventMs / factor - expected, -maxErrorMs, maxErrorMs);
+    adjustPool(learned, parts, errorMs);
+    const ratio = clamp(
+      sample.firstEventMs / (expected * factor),
+      1 - MAX_ERROR_RATIO,
+      1 + MAX_ERROR_RATIO,
+    );
+    this.engineFactors.set(engine, adjustEngineFactor(factor, ratio));
   }
 
-  function learnPlace(pool: string, ms: number): void {
-    const p = poolOf(pool);
-    p.placeMs += ENGINE_STEP * within(ms - p.placeMs, -p.placeMs, p.placeMs * 2);
+  /** Learns for how many ms a request occupied its slot. */
+  observeSlot(pool: string, ms: number): void {
+    const learned = this.poolOf(pool);
+    const { slotMs } = learned;
+    learned.slotMs +=
+      ENGINE_STEP_RATIO * clamp(ms - slotMs, -slotMs, slotMs * MAX_SLOT_ERROR_RATIO);
   }
 
-  function learnOut(pool: string, engine: string, ms: number, tokens: number): void {
+  /** Learns from the ms between a request's first event and its end, in which it gave up to `tokens`. */
+  observeDecode(pool: string, engine: string, ms: number, tokens: number): void {
     if (tokens <= 0) return;
-    const p = poolOf(pool);
-    const was = outs.get(engine) ?? p.msPerOut;
-    const seen = within(ms / tokens, was / MOST_OUT, was * MOST_OUT);
-    outs.set(engine, was + OUT_STEP * (seen - was));
-    p.msPerOut += OUT_STEP * (seen - p.msPerOut);
+    const learned = this.poolOf(pool);
+    const before = this.decodeMs.get(engine) ?? learned.msPerOutputToken;
+    const seen = clamp(
+      ms / tokens,
+      before / MAX_DECODE_ERROR_RATIO,
+      before * MAX_DECODE_ERROR_RATIO,
+    );
+    this.decodeMs.set(engine, before + DECODE_STEP_RATIO * (seen - before));
+    learned.msPerOutputToken += DECODE_STEP_RATIO * (seen - learned.msPerOutputToken);
   }
 
-  function keep(engines: ReadonlySet<string>): void {
-    for (const id of factors.keys()) if (!engines.has(id)) factors.delete(id);
-    for (const id of outs.keys()) if (!engines.has(id)) outs.delete(id);
+  /** Forgets all engines but these. */
+  retain(engines: ReadonlySet<string>): void {
+    for (const id of this.engineFactors.keys()) if (!engines.has(id)) this.engineFactors.delete(id);
+    for (const id of this.decodeMs.keys()) if (!engines.has(id)) this.decodeMs.delete(id);
   }
 
-  return {
-    estimate: of,
-    observeFirstEvent: learn,
-    observeSlot: learnPlace,
-    observeDecode: learnOut,
-    retain: keep,
-  };
+  private poolOf(name: string): PoolThroughput {
+    const known = this.pools.get(name);
+    if (known) return known;
+    const initial: PoolThroughput = {
+      baseFactor: 1,
+      prefillFactor: 1,
+      attentionFactor: 1,
+      queueFactor: 1,
+      sampleCount: 0,
+      slotMs: INITIAL.slotMs,
+      msPerOutputToken: INITIAL.msPerOutputToken,
+    };
+    this.pools.set(name, initial);
+    return initial;
+  }
 }
--- a/src/data/gateway/transfer-estimate.ts
+++ b/src/data/gateway/transfer-estimate.ts
@@ -1,55 +1,61 @@
-/** How slow moves of kept parts are, by source, learned from requests that fetched. */
-export interface TransferEstimator {
-  /** Ms to move so many bytes between two places over the slower of two links. */
-  transferMs: (from: LinkEndpoint, to: LinkEndpoint, bytes: number) => number;
-  /** What a request that fetched showed: whether the move took far longer than reckoned. */
-  observe: (from: string, to: string, slower: boolean) => void;
-  retain: (names: ReadonlySet<string>) => void;
-}
+/**
+ * How long it takes to move cached prefixes between engines and stores: the bytes over the slower of the two links,
+ * times the distance, times how slow either end has lately been seen to be.
+ */
 
-/** One end of a move. */
+/** One end of a transfer. */
 export interface LinkEndpoint {
   name: string;
   zone: string;
+  /** Unknown where the zone is assigned to no region. */
   region?: string;
+  /** Mbit/s of its link. */
   linkMbps: number;
 }
 
-const BETWEEN_ZONES = 2;
-const BETWEEN_REGIONS = 10;
-/** A name's slowness rises where more than a third of its moves are slow. */
-const UP = 2;
-const DOWN = 0.7;
-const MOST_SLOW = 32;
-
-/** Makes the learner: a link that was slow counts as slow until moves show otherwise, and is forgiven little by little. */
-export function makeLinks(): TransferEstimator {
-  const slow = new Map<string, number>();
+/** How many times longer a transfer takes across zones, and across regions. */
+const CROSS_ZONE_RATIO = 2;
+const CROSS_REGION_RATIO = 10;
+/** Steps of a slowdown, so chosen that it rises where more than a third of the transfers are slow. */
+const SLOWER_STEP_RATIO = 2;
+const FASTER_STEP_RATIO = 0.7;
+const MAX_SLOWDOWN_RATIO = 32;
+
+function distanceRatio(from: LinkEndpoint, to: LinkEndpoint): number {
+  if (from.zone === to.zone) return 1;
+  const isCrossRegion =
+    from.region !== undefined && to.region !== undefined && from.region !== to.region;
+  return isCrossRegion ? CROSS_REGION_RATIO : CROSS_ZONE_RATIO;
+}
 
-  function slowOf(name: string): number {
-    return slow.get(name) ?? 1;
+/** Estimates transfer times and learns slow links; a slow link is forgiven little by little as transfers are in time again. */
+export class TransferEstimator {
+  /** Factors over 1, by the name of an endpoint. */
+  private readonly slowdowns = new Map<string, number>();
+
+  /** Ms to move these bytes; infinite where a link has no bandwidth. */
+  transferMs(from: LinkEndpoint, to: LinkEndpoint, bytes: number): number {
+    const linkMbps = Math.min(from.linkMbps, to.linkMbps);
+    if (!(linkMbps > 0)) return Infinity;
+    const slowdown = Math.max(this.slowdownOf(from.name), this.slowdownOf(to.name));
+    return ((bytes * 8) / (linkMbps * 1000)) * distanceRatio(from, to) * slowdown;
   }
 
-  function moveMs(from: LinkEndpoint, to: LinkEndpoint, bytes: number): number {
-    const mbps = Math.min(from.linkMbps, to.linkMbps);
-    if (!(mbps > 0)) return Infinity;
-    const far =
-      from.zone === to.zone
-        ? 1
-        : from.region !== undefined && to.region !== undefined && from.region !== to.region
-          ? BETWEEN_REGIONS
-          : BETWEEN_ZONES;
-    return ((bytes * 8) / (mbps * 1000)) * far * Math.max(slowOf(from.name), slowOf(to.name));
+  /** Learns from a request that fetched a prefix whether the transfer took far longer than estimated. */
+  observe(from: string, to: string, wasSlow: boolean): void {
+    const step = wasSlow ? SLOWER_STEP_RATIO : FASTER_STEP_RATIO;
+    for (const name of [from, to]) {
+      const slowdown = Math.max(1, this.slowdownOf(name) * step);
+      this.slowdowns.set(name, Math.min(MAX_SLOWDOWN_RATIO, slowdown));
+    }
   }
 
-  function learn(from: string, to: string, slower: boolean): void {
-    for (const name of [from, to])
-      slow.set(name, Math.min(MOST_SLOW, Math.max(1, slowOf(name) * (slower ? UP : DOWN))));
+  /** Forgets all endpoints but these. */
+  retain(names: ReadonlySet<string>): void {
+    for (const name of this.slowdowns.keys()) if (!names.has(name)) this.slowdowns.delete(name);
   }
 
-  function keep(names: ReadonlySet<string>): void {
-    for (const n of slow.keys()) if (!names.has(n)) slow.delete(n);
+  private slowdownOf(name: string): number {
+    return this.slowdowns.get(name) ?? 1;
   }
-
-  return { transferMs: moveMs, observe: learn, retain: keep };
 }
--- a/test/data/placement.test.ts
+++ b/test/data/placement.test.ts
@@ -1,16 +1,15 @@
 import { OverlapReply } from '../../src/shared/contracts/indexer';
-import { makeHomes } from '../../src/data/gateway/preferred-replicas';
-import { makeLinks, LinkEndpoint } from '../../src/data/gateway/transfer-estimate';
-import { InFlightLoad, makeLoads } from '../../src/data/gateway/engine-loads';
-import { makePaces } from '../../src/data/gateway/throughput-estimate';
-import { makePlacement } from '../../src/data/gateway/placement';
+import { PreferredReplicas } from '../../src/data/gateway/preferred-replicas';
+import { TransferEstimator, LinkEndpoint } from '../../src/data/gateway/transfer-estimate';
+import { InFlightLoad, EngineLoads } from '../../src/data/gateway/engine-loads';
+import { ThroughputEstimator } from '../../src/data/gateway/throughput-estimate';
+import { Placement } from '../../src/data/gateway/placement';
 import {
   EngineEndpoint,
   PlacementRequest,
   PlacementDecision,
-  Placement,
 } from '../../src/data/gateway/placement-types';
-import { makeStandings } from '../../src/data/gateway/outlier-ejection';
+import { OutlierEjection } from '../../src/data/gateway/outlier-ejection';
 import { seededDice } from '../../tools/sim/dice';
 
 let time = 0;
@@ -79,7 +78,7 @@
 
 function placement(): Placement {
   time = 0;
-  return makePlacement({ now, random: even, zone: 'z', baseEjectionMs: 100 });
+  return new Placement({ now, random: even, zone: 'z', baseEjectionMs: 100 });
 }
 
 function told(answer: OverlapReply): Map<string, OverlapReply> {
@@ -99,15 +98,17 @@
 }
 
 function homesAgree(): void {
-  const a = makeHomes().rank('k', ['x', 'y', 'z', 'w']);
-  const b = makeHomes().rank('k', ['w', 'z', 'y', 'x']);
+  const a = new PreferredReplicas().rank('k', ['x', 'y', 'z', 'w']);
+  const b = new PreferredReplicas().rank('k', ['w', 'z', 'y', 'x']);
   expect([...a].sort()).toEqual([...b].sort());
-  const without = makeHomes().rank('k', ['x', 'y', 'z']);
+  const without = new PreferredReplicas().rank('k', ['x', 'y', 'z']);
   const order = [...a].sort(byRank).map(nameOf).filter(notW);
   expect([...without].sort(byRank).map(nameOf)).toEqual(order);
   const count = new Map<string, number>();
   for (let i = 0; i < 4000; i++) {
-    const home = [...makeHomes().rank(`key ${i}`, ['x', 'y', 'z', 'w'])].sort(byRank)[0][0];
+    const home = [...new PreferredReplicas().rank(`key ${i}`, ['x', 'y', 'z', 'w'])].sort(
+      byRank,
+    )[0][0];
     count.set(home, (count.get(home) ?? 0) + 1);
   }
   for (const n of count.values()) expect(Math.abs(n - 1000)).toBeLessThan(150);
@@ -124,7 +125,7 @@
 
 function pacesLearn(): void {
   const dice = seededDice(3);
-  const p = makePaces();
+  const p = new ThroughputEstimator();
   for (let i = 0; i < 600; i++) {
     const tokens = Math.round(200 + 20000 * dice.next());
     const ahead = dice.next() < 0.3 ? Math.round(10000 * dice.next()) : 0;
@@ -148,7 +149,7 @@
 }
 
 function linksLearn(): void {
-  const l = makeLinks();
+  const l = new TransferEstimator();
   const a: LinkEndpoint = { name: 'a', zone: 'z1', region: 'r1', linkMbps: 1000 };
   const b: LinkEndpoint = { name: 'b', zone: 'z1', region: 'r1', linkMbps: 2000 };
   expect(l.transferMs(a, b, 1e6)).toBeCloseTo(8);
@@ -162,7 +163,7 @@
 
 function restsGrow(): void {
   time = 0;
-  const s = makeStandings(now, even, 100);
+  const s = new OutlierEjection(now, even, 100);
   const names = ['a', 'b', 'c', 'd'];
   s.recordStart('a');
   s.recordEnd('a', 'failed', 0);
@@ -184,7 +185,7 @@
 
 function oneCrashIsOneFault(): void {
   time = 0;
-  const s = makeStandings(now, even, 100);
+  const s = new OutlierEjection(now, even, 100);
   for (let i = 0; i < 8; i++) s.recordStart('a');
   time = 50;
   for (let i = 0; i < 8; i++) s.recordEnd('a', 'failed', 10);
@@ -194,7 +195,7 @@
 
 function fewAreAlone(): void {
   time = 0;
-  const s = makeStandings(now, even, 100);
+  const s = new OutlierEjection(now, even, 100);
   for (const n of ['a', 'b', 'c']) {
     s.recordStart(n);
     s.recordEnd(n, 'failed', time);
@@ -205,7 +206,7 @@
 
 function loadsAreCounted(): void {
   time = 0;
-  const l = makeLoads(now);
+  const l = new EngineLoads(now);
   const f: InFlightLoad = {
     engine: 'a',
     prefillTokens: 1000,
--- a/tools/sim/placing.ts
+++ b/tools/sim/placing.ts
@@ -1,15 +1,14 @@
 import { Command } from 'commander';
 import { PromptBlock } from '../../src/shared/contracts/engine';
 import { EngineLoad, OverlapReply } from '../../src/shared/contracts/indexer';
-import { makePlacement } from '../../src/data/gateway/placement';
+import { PlacedRequest } from '../../src/data/gateway/placed-request';
+import { Placement } from '../../src/data/gateway/placement';
 import {
   EngineEndpoint,
   PlacementRequest,
-  Placement,
   PlacementStrategy,
   PlacementDecision,
   PoolView,
-  PlacedRequest,
 } from '../../src/data/gateway/placement-types';
 import { RandomSource } from '../../src/shared/ports/random';
 import { makeAgenda } from './agenda';
@@ -94,7 +93,7 @@
   const routers: Placement[] = [];
   for (let i = 0; i < world.routers; i++)
     routers.push(
-      makePlacement({
+      new Placement({
         now: clock,
         random: dice.next,
         zone: `z${i % world.zones}`,
