--- a/src/data/gateway/engine-chooser.ts
+++ b/src/data/gateway/engine-chooser.ts
@@ -1,3 +1,8 @@
+/**
+ * Chooses engines for requests: asks an index for what engines have cached where that is worth it, and has placement
+ * decide among the engines that may serve.
+ */
+
 import { Either, Left, Right } from 'purify-ts';
 import {
   CallerRequest,
@@ -13,20 +18,21 @@
 import { Settings } from '../../shared/settings/settings';
 import { timeLimitsOf } from '../../shared/settings/time-limits';
 import { Engine } from '../../shared/state/engines';
-import { CONTROL_KEYS } from '../../shared/state/control-keys';
-import { reachIndexers } from './indexer-client';
+import { AttemptTracker } from './attempt-tracker';
+import { leftOrRight } from './either-pair';
+import { cacheScopeOf, EngineDirectory, ServingEngines } from './engine-directory';
+import { Rejection } from './error-responses';
+import { IndexerClient } from './indexer-client';
 import { Placement } from './placement';
 import {
-  EngineEndpoint,
+  PlacementDecision,
   PlacementRejection,
   PlacementRequest,
-  PlacementDecision,
-  StoreEndpoint,
+  PoolView,
 } from './placement-types';
-import { AttemptResult } from './outlier-ejection';
-import { ExpectedWeights, cacheSalt, WeightsTracker } from './weights-tracker';
+import { cacheSalt, WeightsTracker } from './weights-tracker';
 
-/** What an engine is wanted for. Times are of the clock port. */
+/** What an engine is wanted for. Times are ms of the clock port. */
 export interface SelectionRequest {
   request: CallerRequest;
   route: HttpRoute;
@@ -34,52 +40,29 @@
   tenant?: TenantAccess;
   arrivedAt: number;
   deadlineAt: number;
-  /** Engines that this request is kept from, by id. */
+  /** Ids of engines that this request must not be sent to. */
   excluded: ReadonlySet<string>;
-  /** Attempts before this one. */
-  again: number;
 }
 
 /** The engine that a request goes to, and under what terms. */
 export interface EngineSelection {
   engine: Engine;
-  salt?: string;
+  /** The salt under which the engine keeps and finds the request's blocks. */
+  salt: string;
+  /** The weights that alone may run it; none where the request names no model. */
   weights?: string;
   /** 0 goes first, 9 last. */
   urgency: number;
+  /** Where the engine first fetches a cached prefix from. */
   fetchFromAddress?: string;
+  /** Where the engine sends blocks that it read. */
   storeAddress?: string;
+  decision: PlacementDecision;
+  /** Whether an index was worth asking, so that it is notified of the request. */
+  isIndexed: boolean;
 }
 
-/** Why no engine takes a request, and when it may come again. */
-export interface Rejection {
-  status: number;
-  reason: string;
-  retryAfterMs: number;
-}
-
-/** How an attempt ended; `late` was under way when its time was up. */
-export type AttemptEffect = 'done' | 'not-run' | 'doubt' | 'late' | 'caller-gone';
-
-/** An attempt as a load on its engine. */
-export interface AttemptTracker {
-  /** Hears of the first event, in ms from the attempt's start. */
-  recordFirstEvent: (ms: number) => void;
-  /** Hears of the weights that the engine runs with, by model. */
-  recordWeights: (weights: Record<string, string>) => void;
-  /** Hears that another instance stands at the engine's address, or other weights are there. */
-  recordRejection: (verdict: 'not-run' | 'other-instance' | 'other-weights') => void;
-  recordEnd: (how: AttemptEffect) => void;
-}
-
-/** Chooses engines for requests. */
-export interface EngineChooser {
-  choose: (w: SelectionRequest) => Promise<Either<Rejection, EngineSelection>>;
-  startAttempt: (c: EngineSelection, w: SelectionRequest) => AttemptTracker;
-  stop: () => void;
-}
-
-/** What a chooser needs. */
+/** What an engine chooser works with. */
 export interface EngineChooserDependencies {
   ports: Ports;
   settings: Settings;
@@ -91,234 +74,146 @@
   routers: () => number | undefined;
 }
 
-/** The wall behind which engines keep a tenant's parts: its own where it is isolated, one for all others. */
-export function cacheScopeOf(tenant: TenantAccess | undefined): string {
-  return tenant?.isolated ? tenant.name : '';
+/** The first ejection of an engine that failed or rejected a request, as a share of `contactMs`. */
+const BASE_EJECTION_RATIO = 0.05;
+/** How long an indexer's answer is waited for, as a share of the route's latency target. */
+const INDEX_TIMEOUT_RATIO = 0.06;
+/** The least time after which a rejected request may come again, as a share of its route's latency target. */
+const MIN_RETRY_AFTER_RATIO = 0.1;
+
+function wireBlocks({ parts }: CallerRequest): WireBlock[] {
+  const blocks: WireBlock[] = [];
+  for (const { hash, size } of parts) blocks.push([hash, size]);
+  return blocks;
 }
 
-/** The first pause of an engine that failed or turned a request away, as a share of `contactMs`. */
-const PAUSE = 0.05;
-/** How long an indexer's answer is waited for, as a share of the aim. */
-const INDEX_WAIT = 0.06;
-/** The least time after which a refused request may come again, as a share of its route's aim. */
-const AGAIN = 0.1;
-
-/** What was chosen, and what placement reckoned. */
-interface ChosenHere extends EngineSelection {
-  placed: PlacementDecision;
-  indexed: boolean;
+function rejectionFor({ reason, retryAfterMs }: PlacementRejection, route: HttpRoute): Rejection {
+  return {
+    status: 503,
+    reason: reason === 'no-engine' ? 'no engine can take this now' : 'every place is taken',
+    retryAfterMs: Math.max(retryAfterMs, route.aimMs * MIN_RETRY_AFTER_RATIO),
+  };
 }
 
-/** Makes a chooser that reckons, for each engine, the time to a first event. */
-export function makeChooser(p: EngineChooserDependencies): EngineChooser {
-  const { clock, random: dice } = p.ports;
-  const bounds = timeLimitsOf(p.settings);
-  const placement = new Placement({
-    now: clock.now,
-    random: dice.next,
-    zone: p.settings.zone,
-    baseEjectionMs: p.settings.contactMs * PAUSE,
-  });
-  const hello = helloOf(p.settings, 'router');
-  const indexers = reachIndexers(p.ports, bounds, p.follower, hello, placement.loads, p.routers);
-  const gone = new Set<string>();
-  let listed: Engine[] | undefined;
-  let byPool = new Map<string, Engine[]>();
-
-  function engines(pool: string): Engine[] {
-    const list = p.follower.value<Engine[]>(CONTROL_KEYS.engines)?.value ?? [];
-    if (list !== listed) renew(list);
-    return byPool.get(pool) ?? [];
-  }
-
-  function renew(list: Engine[]): void {
-    listed = list;
-    byPool = new Map();
-    gone.clear();
-    const names = new Set<string>();
-    for (const s of p.stores()) names.add(s.name);
-    for (const e of list) {
-      names.add(e.id);
-      const of = byPool.get(e.pool ?? '') ?? [];
-      of.push(e);
-      byPool.set(e.pool ?? '', of);
-    }
-    placement.retain(names);
-  }
-
-  function expected(e: Engine, model: string | undefined): ExpectedWeights | undefined {
-    return model === undefined
-      ? { weights: '', kind: 'now' }
-      : p.weights.expectedWeights(e.id, model);
-  }
-
-  function regionOf(zone: string): string | undefined {
-    return p.settings.zones[zone];
+/** Chooses engines for requests, and follows the attempts that are sent there. */
+export class EngineChooser {
+  private readonly placement: Placement;
+  private readonly indexers: IndexerClient;
+  private readonly directory: EngineDirectory;
+
+  constructor(private readonly dependencies: EngineChooserDependencies) {
+    const { ports, settings, follower, weights, stores, routers } = dependencies;
+    this.placement = new Placement({
+      now: ports.clock.now,
+      random: ports.random.next,
+      zone: settings.zone,
+      baseEjectionMs: settings.contactMs * BASE_EJECTION_RATIO,
+    });
+    this.indexers = new IndexerClient({
+      ports,
+      timeLimits: timeLimitsOf(settings),
+      follower,
+      hello: helloOf(settings, 'router'),
+      loads: this.placement.loads,
+      routerCount: routers,
+    });
+    const onListed = this.placement.retain.bind(this.placement);
+    this.directory = new EngineDirectory({ settings, follower, weights, stores, onListed });
   }
 
-  /** The engines that may serve, each with the text that its parts are kept under. */
-  function spots(w: SelectionRequest): {
-    spots: EngineEndpoint[];
-    weights: Map<string, string>;
-    named: string;
-  } {
-    const out: EngineEndpoint[] = [];
-    const weights = new Map<string, string>();
-    let named = '';
-    for (const e of engines(w.pool)) {
-      if (e.leaving || p.follower.isDraining(e.id) || gone.has(e.id)) continue;
-      const x = expected(e, w.request.model);
-      if (x === undefined || x.kind === 'loading') continue;
-      if (x.kind === 'now') named = x.weights;
-      weights.set(e.id, x.weights);
-      out.push({
-        id: e.id,
-        address: e.at,
-        zone: e.zone,
-        region: regionOf(e.zone),
-        batch: e.batch,
-        salt: cacheSalt(cacheScopeOf(w.tenant), x.weights),
-      });
-    }
-    return { spots: out, weights, named };
+  /** Chooses an engine, or says why none takes the request. */
+  async choose(wanted: SelectionRequest): Promise<Either<Rejection, EngineSelection>> {
+    const { pool, request, route, tenant } = wanted;
+    const serving = this.directory.serving(pool, request.model, tenant);
+    const placementRequest = this.placementRequest(wanted, serving);
+    const salts = this.placement.saltsToQuery(placementRequest);
+    const replies = new Map<string, OverlapReply>();
+    if (salts.length > 0) await this.queryIndex(wanted, salts, replies);
+    const [rejection, decision] = leftOrRight(this.placement.place(placementRequest, replies));
+    if (rejection) return Left(rejectionFor(rejection, route));
+    const { candidate, prefixFetch } = decision.estimate;
+    const engine = this.directory.find(pool, candidate.endpoint.name);
+    if (!engine) return Left(rejectionFor({ reason: 'no-engine', retryAfterMs: 0 }, route));
+    return Right({
+      engine,
+      weights: serving.weights.get(engine.id) || undefined,
+      salt: candidate.salt,
+      urgency: decision.urgency,
+      fetchFromAddress: prefixFetch?.source.address,
+      storeAddress: decision.storeAddress,
+      decision,
+      isIndexed: salts.length > 0,
+    });
   }
 
-  function storeSpots(): StoreEndpoint[] {
-    const out: StoreEndpoint[] = [];
-    for (const s of p.stores())
-      out.push({
-        name: s.name,
-        address: s.at,
-        zone: s.zone,
-        region: regionOf(s.zone),
-        linkMbps: s.linkMbps,
+  /** Counts an attempt from when it is to be sent to the engine that was chosen. */
+  startAttempt(selection: EngineSelection, request: CallerRequest): AttemptTracker {
+    const { engine, salt, decision, storeAddress } = selection;
+    const placed = this.placement.start(decision);
+    if (selection.isIndexed)
+      this.indexers.notifyPlaced({
+        model: request.model ?? '',
+        salt,
+        engine: engine.id,
+        parts: wireBlocks(request),
+        store: this.directory.storeNameAt(storeAddress),
       });
-    return out;
+    return new AttemptTracker(engine.id, placed, this.dependencies.weights, this.directory);
   }
 
-  function askOf(w: SelectionRequest, at: EngineEndpoint[], named: string): PlacementRequest {
-    const pool = p.pool(w.pool);
-    const now = clock.now();
-    return {
-      pool: {
-        name: w.pool,
-        batch: pool?.batch ?? 1,
-        cacheTokens: pool?.cacheTokens ?? Infinity,
-        tokenBytes: pool?.tokenBytes ?? 0,
-        linkMbps: pool?.linkMbps ?? 0,
-        engines: at,
-        stores: storeSpots(),
-      },
-      cacheScope: cacheSalt(cacheScopeOf(w.tenant), named),
-      blocks: w.request.parts,
-      promptTokens: w.request.tokensIn,
-      maxOutputTokens: w.request.tokensOut,
-      latencyTargetMs: Math.max(1, w.route.aimMs - (now - w.arrivedAt)),
-      remainingMs: w.deadlineAt - now,
-      routePriority: w.route.priority,
-      tenantPriority: w.tenant?.priority ?? 0,
-      tenant: w.tenant?.name,
-      isIdempotent: w.route.kind === 'safe' || w.route.resumable,
-      excluded: w.excluded,
-    };
+  /** Ends the connections to indexers. */
+  stop(): void {
+    this.indexers.stop();
   }
 
-  async function choose(w: SelectionRequest): Promise<Either<Rejection, EngineSelection>> {
-    const s = spots(w);
-    const ask = askOf(w, s.spots, s.named);
-    const kept = new Map<string, OverlapReply>();
-    const salts = placement.saltsToQuery(ask);
-    if (salts.length > 0)
-      await Promise.all([indexers.refreshLoads(w.route.aimMs * INDEX_WAIT), ...salts.map(overlap)]);
-    async function overlap(salt: string): Promise<void> {
-      const answer = await indexers.queryOverlap(
-        { model: w.request.model ?? '', salt, parts: wireParts(w) },
-        w.route.aimMs * INDEX_WAIT,
+  /** Asks an index for what is cached under each salt, and refreshes the loads of other routers, all at once. */
+  private async queryIndex(
+    { request, route }: SelectionRequest,
+    salts: readonly string[],
+    replies: Map<string, OverlapReply>,
+  ): Promise<void> {
+    const { indexers } = this;
+    const timeoutMs = route.aimMs * INDEX_TIMEOUT_RATIO;
+    async function query(salt: string): Promise<void> {
+      const parts = wireBlocks(request);
+      const reply = await indexers.queryOverlap(
+        { model: request.model ?? '', salt, parts },
+        timeoutMs,
       );
-      if (answer) kept.set(salt, answer);
+      if (reply) replies.set(salt, reply);
     }
-    const o = placement.place(ask, kept);
-    if (o.isLeft()) return Left(refusalOf(o.extract(), w));
-    const placed = o.extract() as PlacementDecision;
-    const { candidate: able, prefixFetch: fetch } = placed.estimate;
-    const engine = engines(w.pool).find(same);
-    if (!engine) return Left(refusalOf({ reason: 'no-engine', retryAfterMs: 0 }, w));
-    function same(e: Engine): boolean {
-      return e.id === able.endpoint.name;
-    }
-    const weights = s.weights.get(engine.id);
-    const salt = cacheSalt(cacheScopeOf(w.tenant), weights ?? '');
-    const c: ChosenHere = {
-      engine,
-      weights: weights === '' ? undefined : weights,
-      salt,
-      urgency: placed.urgency,
-      fetchFromAddress: fetch?.source.address,
-      storeAddress: placed.storeAddress,
-      placed,
-      indexed: salts.length > 0,
-    };
-    return Right(c);
+    await Promise.all([indexers.refreshLoads(timeoutMs), ...salts.map(query)]);
   }
 
-  function storeName(at: string | undefined): string | undefined {
-    for (const s of p.stores()) if (s.at === at) return s.name;
-    return undefined;
-  }
-
-  function wireParts(w: SelectionRequest): WireBlock[] {
-    const out: WireBlock[] = [];
-    for (const x of w.request.parts) out.push([x.hash, x.size]);
-    return out;
-  }
-
-  function refusalOf(no: PlacementRejection, w: SelectionRequest): Rejection {
+  private placementRequest(wanted: SelectionRequest, serving: ServingEngines): PlacementRequest {
+    const { request, route, tenant, arrivedAt, deadlineAt, excluded } = wanted;
+    const now = this.dependencies.ports.clock.now();
     return {
-      status: 503,
-      reason: no.reason === 'no-engine' ? 'no engine can take this now' : 'every place is taken',
-      retryAfterMs: Math.max(no.retryAfterMs, w.route.aimMs * AGAIN),
+      pool: this.poolView(wanted.pool, serving),
+      cacheScope: cacheSalt(cacheScopeOf(tenant), serving.namedWeights),
+      blocks: request.parts,
+      promptTokens: request.tokensIn,
+      maxOutputTokens: request.tokensOut,
+      latencyTargetMs: Math.max(1, route.aimMs - (now - arrivedAt)),
+      remainingMs: deadlineAt - now,
+      routePriority: route.priority,
+      tenantPriority: tenant?.priority ?? 0,
+      tenant: tenant?.name,
+      isIdempotent: route.kind === 'safe' || route.resumable,
+      excluded,
     };
   }
 
-  function began(chosen: EngineSelection, w: SelectionRequest): AttemptTracker {
-    const c = chosen as ChosenHere;
-    const u = placement.start(c.placed);
-    if (c.indexed)
-      indexers.notifyPlaced({
-        model: w.request.model ?? '',
-        salt: c.salt ?? '',
-        engine: c.engine.id,
-        parts: wireParts(w),
-        store: storeName(c.storeAddress),
-      });
-    let how: AttemptResult | undefined;
-
-    function told(weights: Record<string, string>): void {
-      p.weights.recordReported(c.engine.id, weights);
-    }
-
-    function turnedAway(verdict: 'not-run' | 'other-instance' | 'other-weights'): void {
-      how = verdict === 'not-run' ? 'rejected' : 'cancelled';
-      if (verdict === 'other-instance') gone.add(c.engine.id);
-    }
-
-    function ended(end: AttemptEffect): void {
-      if (end === 'done') u.recordEnd('answered');
-      else if (end === 'caller-gone' || end === 'late') u.recordEnd('cancelled');
-      else u.recordEnd(end === 'not-run' && how ? how : 'failed');
-    }
-
+  private poolView(name: string, { endpoints }: ServingEngines): PoolView {
+    const pool = this.dependencies.pool(name);
     return {
-      recordFirstEvent: u.recordFirstEvent,
-      recordWeights: told,
-      recordRejection: turnedAway,
-      recordEnd: ended,
+      name,
+      batch: pool?.batch ?? 1,
+      cacheTokens: pool?.cacheTokens ?? Infinity,
+      tokenBytes: pool?.tokenBytes ?? 0,
+      linkMbps: pool?.linkMbps ?? 0,
+      engines: endpoints,
+      stores: this.directory.storeEndpoints(),
     };
   }
-
-  function stop(): void {
-    indexers.stop();
-  }
-
-  return { choose, startAttempt: began, stop };
 }
--- a/src/data/gateway/engine-connections.ts
+++ b/src/data/gateway/engine-connections.ts
@@ -1,3 +1,8 @@
+/**
+ * Connection pools to engines: kept HTTP connections, of which the one that was used last is used first, within this
+ * router's share of what an engine takes from all callers.
+ */
+
 import { Left, Right } from 'purify-ts';
 import { makeError, errorOrValue, Result } from '../../shared/errors/errors';
 import { Clock } from '../../shared/ports/clock';
@@ -6,188 +11,191 @@
 import { Engine } from '../../shared/state/engines';
 
 /** The share of an engine's connections that routers take together. */
-const SHARE = 0.8;
-/** A kept connection is used again up to this share of the time that the engine tells. */
-const KEEP = 0.6;
-/** The time taken where an engine tells none, as a share of what callers' connections may idle. */
-const UNTOLD = 0.25;
+const ROUTERS_SHARE_RATIO = 0.8;
+/** A kept connection is used again up to this share of the time for which the engine keeps it. */
+const KEEP_ALIVE_RATIO = 0.6;
+/** The time taken where an engine reports none, as a share of what callers' connections may idle. */
+const DEFAULT_KEEP_ALIVE_RATIO = 0.25;
 /** How long an engine that sent surplus bytes gets fresh connections only, as a share of `contactMs`. */
-const GARBLED = 2;
+const QUARANTINE_RATIO = 2;
 /** The longest that a connection may take to come up, as a share of `contactMs`. */
-const CONNECT = 0.05;
+const CONNECT_TIMEOUT_RATIO = 0.05;
 
-/** Kept connections to engines; what was used last is used first. */
-export interface EngineConnections {
-  /** Takes a connection to an engine; `most` is what the engine takes from all callers. */
-  acquire: (e: Engine, most: number) => Promise<Result<HttpConnection>>;
-  /** Takes back a connection that was not used. */
-  release: (e: Engine, c: HttpConnection) => void;
-  /** Hears for how long an engine keeps an idle connection. */
-  recordKeepAlive: (e: Engine, keepS: number | undefined) => void;
-  /** Hears that bytes came from an engine. */
-  recordActivity: (e: Engine) => void;
-  /** When bytes last came from an engine on any connection. */
-  lastActivityAt: (e: Engine) => number;
-  /** Asks, by a new connection, whether an engine's machine is still there. */
-  isReachable: (e: Engine) => Promise<boolean>;
-  /** Hears that an engine mixes answers up. */
-  quarantine: (e: Engine) => void;
-  /** Hears which engines there are. */
-  retain: (ids: ReadonlySet<string>) => void;
-  setCallerIdleMs: (ms: number) => void;
-  stop: () => void;
+interface IdleConnection {
+  connection: HttpConnection;
+  /** Ms of the clock. */
+  idleSince: number;
 }
 
-interface Kept {
-  at: string;
-  open: number;
-  idle: { c: HttpConnection; since: number }[];
-  keepMs?: number;
-  freshUntil: number;
-  heardAt: number;
-  reaching?: Promise<boolean>;
+/** The connections to one engine. Times are ms of the clock. */
+interface EnginePool {
+  openCount: number;
+  /** The one that was used last is the last one. */
+  idle: IdleConnection[];
+  /** How long the engine keeps an idle connection, where it reports that. */
+  keepAliveMs?: number;
+  quarantinedUntil: number;
+  lastActivityAt: number;
+  /** A check of its machine that is under way. */
+  reachability?: Promise<boolean>;
 }
 
-/** Makes the kept connections; `routers` tells how many routers share the engines. */
-export function keepConnections(
-  clock: Clock,
-  http: RawHttpNetwork,
-  s: Settings,
-  routers: () => number | undefined,
-): EngineConnections {
-  const engines = new Map<string, Kept>();
-  let untoldMs = s.contactMs;
-  let stopped = false;
-
-  function at(e: Engine): Kept {
-    const had = engines.get(e.id);
-    if (had) return had;
-    const k: Kept = { at: e.at, open: 0, idle: [], freshUntil: 0, heardAt: -Infinity };
-    engines.set(e.id, k);
-    return k;
-  }
-
-  function lastsMs(k: Kept): number {
-    return (k.keepMs ?? untoldMs) * KEEP;
-  }
-
-  function trim(k: Kept): void {
-    const now = clock.now();
-    const fresh = now < k.freshUntil;
-    function lasts(x: { c: HttpConnection; since: number }): boolean {
-      const ok = !fresh && x.c.isReusable() && now - x.since < lastsMs(k);
-      if (!ok) x.c.close();
-      return ok;
-    }
-    k.idle = k.idle.filter(lasts);
+function closeIdle(pool: EnginePool): void {
+  for (const { connection } of pool.idle) connection.close();
+  pool.idle = [];
+}
+
+/** Keeps the pools of all engines, by id. */
+export class EngineConnections {
+  private readonly pools = new Map<string, EnginePool>();
+  private defaultKeepAliveMs: number;
+  private isStopped = false;
+  private cancelTrim: () => void;
+
+  /** `routerCount` tells how many routers share the engines, as far as it is known. */
+  constructor(
+    private readonly clock: Clock,
+    private readonly http: RawHttpNetwork,
+    private readonly settings: Settings,
+    private readonly routerCount: () => number | undefined,
+  ) {
+    this.defaultKeepAliveMs = settings.contactMs;
+    this.cancelTrim = this.scheduleTrim();
+  }
+
+  /** Takes a connection to an engine, a kept one where there is one; `maxConnections` is what the engine takes from all callers. Code `no-connection` where this router's share is used up. */
+  async acquire(engine: Engine, maxConnections: number): Promise<Result<HttpConnection>> {
+    const pool = this.poolOf(engine);
+    this.trim(pool);
+    const kept = pool.idle.pop();
+    if (kept) return Right(kept.connection);
+    const share = Math.floor((maxConnections * ROUTERS_SHARE_RATIO) / (this.routerCount() ?? 1));
+    if (pool.openCount >= Math.max(1, share))
+      return Left(
+        makeError('connect', engine.at, 'no connection is free', 'refused', 'no-connection'),
+      );
+    return this.connect(engine, pool);
   }
 
-  async function take(e: Engine, most: number): Promise<Result<HttpConnection>> {
-    const k = at(e);
-    trim(k);
-    const kept = k.idle.pop();
-    if (kept) return Right(kept.c);
-    if (k.open >= Math.max(1, Math.floor((most * SHARE) / (routers() ?? 1))))
-      return Left(makeError('connect', e.at, 'no connection is free', 'refused', 'no-connection'));
-    return connect(e, k);
+  /** Takes back a connection that was not used. */
+  release(engine: Engine, connection: HttpConnection): void {
+    this.addIdle(this.poolOf(engine), connection);
   }
 
-  async function connect(e: Engine, k: Kept): Promise<Result<HttpConnection>> {
-    k.open++;
-    const [f, c] = errorOrValue(await http.connect(e.at, s.contactMs * CONNECT));
-    if (f) {
-      k.open--;
-      return Left(f);
-    }
-    c.onIdle(idle);
-    void c.closed.then(closed);
-    function idle(): void {
-      if (stopped || engines.get(e.id) !== k) c!.close();
-      else k.idle.push({ c: c!, since: clock.now() });
-    }
-    function closed(v: { surplus: boolean }): void {
-      k.open--;
-      if (v.surplus) garbles(e);
-    }
-    return Right(c);
-  }
-
-  function reaches(e: Engine): Promise<boolean> {
-    const k = at(e);
-    async function reach(): Promise<boolean> {
-      const [f, c] = errorOrValue(await connect(e, k));
-      k.reaching = undefined;
-      if (f) closeIdle(k);
-      else if (stopped || engines.get(e.id) !== k) c.close();
-      else k.idle.push({ c, since: clock.now() });
-      return f === undefined;
-    }
-    k.reaching ??= reach();
-    return k.reaching;
+  /** Records for how many s an engine keeps an idle connection, where it reports that. */
+  recordKeepAlive(engine: Engine, keepAliveS: number | undefined): void {
+    if (keepAliveS !== undefined) this.poolOf(engine).keepAliveMs = keepAliveS * 1000;
   }
 
-  function closeIdle(k: Kept): void {
-    for (const x of k.idle) x.c.close();
-    k.idle = [];
+  /** Records that bytes came from an engine. */
+  recordActivity(engine: Engine): void {
+    this.poolOf(engine).lastActivityAt = this.clock.now();
   }
 
-  function giveBack(e: Engine, c: HttpConnection): void {
-    at(e).idle.push({ c, since: clock.now() });
+  /** When bytes last came from an engine on any connection, in ms of the clock. */
+  lastActivityAt(engine: Engine): number {
+    return this.poolOf(engine).lastActivityAt;
   }
 
-  function told(e: Engine, keepS: number | undefined): void {
-    if (keepS !== undefined) at(e).keepMs = keepS * 1000;
+  /** Checks by a new connection whether an engine's machine is still there; all that ask meanwhile share the check. */
+  isReachable(engine: Engine): Promise<boolean> {
+    const pool = this.poolOf(engine);
+    pool.reachability ??= this.checkReachable(engine, pool);
+    return pool.reachability;
   }
 
-  function heard(e: Engine): void {
-    at(e).heardAt = clock.now();
+  /** Uses only fresh connections to an engine for a while, as it mixes answers up. */
+  quarantine(engine: Engine): void {
+    const pool = this.poolOf(engine);
+    pool.quarantinedUntil = this.clock.now() + this.settings.contactMs * QUARANTINE_RATIO;
+    this.trim(pool);
   }
 
-  function heardAt(e: Engine): number {
-    return at(e).heardAt;
+  /** Forgets all engines but these, and closes their idle connections. */
+  retain(ids: ReadonlySet<string>): void {
+    for (const [id, pool] of this.pools) if (!ids.has(id)) this.drop(id, pool);
   }
 
-  function garbles(e: Engine): void {
-    const k = at(e);
-    k.freshUntil = clock.now() + s.contactMs * GARBLED;
-    trim(k);
+  /** Sets for how many ms callers' connections may idle. */
+  setCallerIdleMs(ms: number): void {
+    this.defaultKeepAliveMs = ms * DEFAULT_KEEP_ALIVE_RATIO;
   }
 
-  function drop(id: string, k: Kept): void {
-    engines.delete(id);
-    closeIdle(k);
+  /** Closes what is idle now; what is in use is closed once it is idle. */
+  stop(): void {
+    this.isStopped = true;
+    this.cancelTrim();
+    for (const [id, pool] of this.pools) this.drop(id, pool);
   }
 
-  function renew(ids: ReadonlySet<string>): void {
-    for (const [id, k] of engines) if (!ids.has(id)) drop(id, k);
+  private poolOf(engine: Engine): EnginePool {
+    const known = this.pools.get(engine.id);
+    if (known) return known;
+    const pool = { openCount: 0, idle: [], quarantinedUntil: 0, lastActivityAt: -Infinity };
+    this.pools.set(engine.id, pool);
+    return pool;
   }
 
-  function idleMs(ms: number): void {
-    untoldMs = ms * UNTOLD;
+  /** Closes the idle connections that may not be used any more. */
+  private trim(pool: EnginePool): void {
+    const now = this.clock.now();
+    const isQuarantined = now < pool.quarantinedUntil;
+    const maxIdleMs = (pool.keepAliveMs ?? this.defaultKeepAliveMs) * KEEP_ALIVE_RATIO;
+    function isUsable({ connection, idleSince }: IdleConnection): boolean {
+      const usable = !isQuarantined && connection.isReusable() && now - idleSince < maxIdleMs;
+      if (!usable) connection.close();
+      return usable;
+    }
+    pool.idle = pool.idle.filter(isUsable);
   }
 
-  function trimAll(): void {
-    for (const k of engines.values()) trim(k);
-    off = clock.setTimer(s.contactMs * KEEP, trimAll);
+  private async connect(engine: Engine, pool: EnginePool): Promise<Result<HttpConnection>> {
+    pool.openCount++;
+    const timeoutMs = this.settings.contactMs * CONNECT_TIMEOUT_RATIO;
+    const [error, connection] = errorOrValue(await this.http.connect(engine.at, timeoutMs));
+    if (error) {
+      pool.openCount--;
+      return Left(error);
+    }
+    connection.onIdle(this.keepOrClose.bind(this, engine, pool, connection));
+    void connection.closed.then(this.recordClosed.bind(this, engine, pool));
+    return Right(connection);
   }
 
-  function stop(): void {
-    stopped = true;
-    off();
-    for (const [id, k] of engines) drop(id, k);
+  /** Keeps a connection that is idle, or closes it where its pool is gone. */
+  private keepOrClose(engine: Engine, pool: EnginePool, connection: HttpConnection): void {
+    if (this.isStopped || this.pools.get(engine.id) !== pool) connection.close();
+    else this.addIdle(pool, connection);
   }
 
-  let off = clock.setTimer(s.contactMs * KEEP, trimAll);
-  return {
-    acquire: take,
-    release: giveBack,
-    recordKeepAlive: told,
-    recordActivity: heard,
-    lastActivityAt: heardAt,
-    isReachable: reaches,
-    quarantine: garbles,
-    retain: renew,
-    setCallerIdleMs: idleMs,
-    stop,
-  };
+  private recordClosed(engine: Engine, pool: EnginePool, { surplus }: { surplus: boolean }): void {
+    pool.openCount--;
+    if (surplus) this.quarantine(engine);
+  }
+
+  private addIdle(pool: EnginePool, connection: HttpConnection): void {
+    pool.idle.push({ connection, idleSince: this.clock.now() });
+  }
+
+  private async checkReachable(engine: Engine, pool: EnginePool): Promise<boolean> {
+    const [error, connection] = errorOrValue(await this.connect(engine, pool));
+    pool.reachability = undefined;
+    if (error) closeIdle(pool);
+    else this.keepOrClose(engine, pool, connection);
+    return error === undefined;
+  }
+
+  private drop(id: string, pool: EnginePool): void {
+    this.pools.delete(id);
+    closeIdle(pool);
+  }
+
+  private scheduleTrim(): () => void {
+    return this.clock.setTimer(this.settings.contactMs * KEEP_ALIVE_RATIO, this.trimAll.bind(this));
+  }
+
+  private trimAll(): void {
+    for (const pool of this.pools.values()) this.trim(pool);
+    this.cancelTrim = this.scheduleTrim();
+  }
 }
--- a/src/data/gateway/gateway-dependencies.ts
+++ b/src/data/gateway/gateway-dependencies.ts
@@ -1,23 +1,33 @@
+/**
+ * What the handling of a request works with.
+ */
+
 import { PlatformAdapter } from '../../shared/platform-adapter/platform-adapter';
 import { Ports } from '../../shared/ports/ports';
 import { Settings } from '../../shared/settings/settings';
 import { Engine } from '../../shared/state/engines';
-import { RetryBudget } from './retry-budget';
 import { EngineChooser } from './engine-chooser';
+import { EngineConnections } from './engine-connections';
 import { GracefulDrain } from './graceful-drain';
 import { InFlightRequests } from './in-flight-requests';
-import { EngineConnections } from './engine-connections';
+import { RetryBudget } from './retry-budget';
 import { RouteTable } from './route-table';
 
-/** What a router counts on the request path. */
+/** Counters of the request path since its start. */
 export interface GatewayCounts {
+  /** Requests that came. */
   received: number;
+  /** Requests that were answered by an engine. */
   answered: number;
+  /** Requests that were rejected and have not run. */
   rejected: number;
+  /** Requests that were given up and may have run. */
   unknown: number;
+  /** Attempts that were sent to engines; of those, retries, and attempts that resumed an answer. */
   attempts: number;
   retries: number;
   resumed: number;
+  /** Requests whose callers went away. */
   callersGone: number;
 }
 
@@ -32,10 +42,24 @@
   counts: GatewayCounts;
   /** The deployment's look-ups, once this router may serve. */
   routes: () => RouteTable | undefined;
-  /** Whether an engine is still listed and not leaving. */
-  isEngineActive: (e: Engine) => boolean;
+  /** Whether an engine is still listed and not draining. */
+  isEngineActive: (engine: Engine) => boolean;
   drain: GracefulDrain;
   inFlight: InFlightRequests;
-  /** Ids of requests under way that may run once only. */
+  /** Ids of requests under way that may run only once. */
   singleRunIds: Set<string>;
 }
+
+/** Counters that begin. */
+export function zeroCounts(): GatewayCounts {
+  return {
+    received: 0,
+    answered: 0,
+    rejected: 0,
+    unknown: 0,
+    attempts: 0,
+    retries: 0,
+    resumed: 0,
+    callersGone: 0,
+  };
+}
--- a/src/data/gateway/gateway.ts
+++ b/src/data/gateway/gateway.ts
@@ -1,242 +1,257 @@
+/**
+ * The gateway: the request path of a router that serves a platform. It takes callers, tells whether it is ready, follows
+ * the control state, and drains.
+ */
+
 import { Left, Right } from 'purify-ts';
-import { Deployment, DeploymentValue, PartStore, Pool } from '../../shared/state/deployment';
+import { DeploymentValue } from '../../shared/state/deployment';
 import { PlatformAdapter } from '../../shared/platform-adapter/platform-adapter';
-import { failure, errorOrValue, Result } from '../../shared/errors/errors';
+import { errorOrValue, failure, OperationError, Result } from '../../shared/errors/errors';
 import { Follower } from '../../shared/replication/follower';
-import { RawHttpNetwork, RawIncomingRequest, ServeLimits } from '../../shared/ports/raw-http';
+import {
+  RawHttpNetwork,
+  RawIncomingRequest,
+  RawListener,
+  ServeLimits,
+} from '../../shared/ports/raw-http';
 import { Ports } from '../../shared/ports/ports';
 import { Settings } from '../../shared/settings/settings';
-import { makeStallMonitor } from '../../shared/observability/event-loop-stalls';
+import { makeStallMonitor, StallMonitor } from '../../shared/observability/event-loop-stalls';
 import { NamedWeights } from '../../shared/state/weights';
 import { Engine } from '../../shared/state/engines';
 import { CONTROL_KEYS } from '../../shared/state/control-keys';
 import { VersionedValue } from '../../shared/state/versions';
-import { makeRetryBudget } from './retry-budget';
-import { makeChooser } from './engine-chooser';
-import { makeDrain } from './graceful-drain';
-import { trackInFlight } from './in-flight-requests';
-import { GatewayCounts, GatewayDependencies } from './gateway-dependencies';
-import { keepConnections } from './engine-connections';
-import { serveRequest } from './request-handling';
-import { makeRouteTable, RouteTable } from './route-table';
-import { makeWeightsBook, WeightsMessages } from './weights-tracker';
-
-/** The request path of a router that speaks by a dialect. */
-export interface Gateway {
-  counts: GatewayCounts;
-  /** Whether it takes connections. */
-  ready: () => boolean;
-  drain: () => Promise<void>;
-  stop: () => Promise<void>;
-}
+import { leftOrRight } from './either-pair';
+import { EngineChooser } from './engine-chooser';
+import { EngineConnections } from './engine-connections';
+import { GatewayCounts, GatewayDependencies, zeroCounts } from './gateway-dependencies';
+import { GracefulDrain } from './graceful-drain';
+import { InFlightRequests } from './in-flight-requests';
+import { handleRequest } from './request-handling';
+import { RetryBudget } from './retry-budget';
+import { ServingState } from './serving-state';
+import { StartLog } from './start-log';
+import { WeightsMessages } from './weights-messages';
+import { WeightsTracker } from './weights-tracker';
 
-/** Limits until the deployment tells them, as shares of `contactMs`. */
-const FIRST_LIMITS = { header: 1, idle: 5 };
-/** Older weights serve fresh requests for this share of the bound. */
-const OLDER = 0.7;
+/** Callers' time-outs until there is a deployment, as shares of `contactMs`. */
+const DEFAULT_HEADER_TIMEOUT_RATIO = 1;
+const DEFAULT_IDLE_TIMEOUT_RATIO = 5;
+/** Older weights serve fresh requests for this share of `weightsBoundMs`. */
+const OLDER_WEIGHTS_RATIO = 0.7;
 /** Where their naming is only caught up on, this router was not in touch: they serve for this share of `contactMs`. */
-const OUT_OF_TOUCH = 0.7;
+const CAUGHT_UP_WEIGHTS_RATIO = 0.7;
 /** How often a router that serves looks at itself, as a share of `contactMs`. */
-const LOOK = 0.05;
+const SELF_CHECK_RATIO = 0.05;
 
-/** Starts the request path: readiness, then callers; what it takes of our own messages is added to `edges`. */
-export async function startGateway(
-  ports: Ports,
-  settings: Settings,
-  follower: Follower,
-  dialect: PlatformAdapter,
-  edges: object[] = [],
-): Promise<Result<Gateway>> {
-  if (!ports.rawHttp) return failure('start gateway', settings.http, 'no raw HTTP here');
-  const http: RawHttpNetwork = ports.rawHttp;
-  const { clock } = ports;
-  const counts: GatewayCounts = {
-    received: 0,
-    answered: 0,
-    rejected: 0,
-    unknown: 0,
-    attempts: 0,
-    retries: 0,
-    resumed: 0,
-    callersGone: 0,
-  };
-  let current: RouteTable | undefined;
-  let leased = false;
-  let listed = new Set<string>();
-  let routersSeen: number | undefined;
-  const began = clock.now();
-  let isStartLogged = false;
-  let lackLoggedAt = began;
-
-  /** The routers that are live, where a majority's leases tell them; otherwise the most that were ever told. */
-  function routers(): number | undefined {
-    const n = follower.members('router').length;
-    if (n > 0 && follower.hasLease()) routersSeen = n;
-    else if (n > (routersSeen ?? 0)) routersSeen = n;
-    return routersSeen;
-  }
+/** The sockets that a gateway listens on. */
+interface Listeners {
+  callers: RawListener;
+  readiness: RawListener;
+}
 
-  function pool(name: string): Pool | undefined {
-    return current?.poolOf(name);
-  }
+/** What a gateway works with. */
+interface GatewayOptions {
+  ports: Ports;
+  http: RawHttpNetwork;
+  settings: Settings;
+  follower: Follower;
+  adapter: PlatformAdapter;
+}
 
-  function stores(): readonly PartStore[] {
-    return current?.stores ?? [];
+function idsOf(engines: readonly Engine[]): Set<string> {
+  const ids = new Set<string>();
+  for (const { id } of engines) ids.add(id);
+  return ids;
+}
+
+/** The request path of a router; made by `startGateway`. */
+export class Gateway {
+  /** Counters since the start. */
+  readonly counts: GatewayCounts = zeroCounts();
+  /** Handlers of messages that the core sends to this router. */
+  readonly messages: WeightsMessages;
+  private readonly state: ServingState;
+  private readonly startLog: StartLog;
+  private readonly inFlight: InFlightRequests;
+  private readonly stalls: StallMonitor;
+  private readonly draining: GracefulDrain;
+  private readonly weights: WeightsTracker;
+  private readonly connections: EngineConnections;
+  private readonly chooser: EngineChooser;
+  private readonly dependencies: GatewayDependencies;
+  private listeners: Listeners | undefined;
+  private cancelSelfCheck: (() => void) | undefined;
+
+  constructor(private readonly options: GatewayOptions) {
+    const { ports, http, settings, follower, adapter } = options;
+    const { clock, logger } = ports;
+    this.state = new ServingState(settings, follower, adapter);
+    this.startLog = new StartLog(clock, logger, settings, this.state);
+    this.inFlight = new InFlightRequests(clock, logger, settings);
+    this.stalls = makeStallMonitor(clock, settings.contactMs * SELF_CHECK_RATIO);
+    this.draining = new GracefulDrain(clock, logger, settings, this.inFlight, this.stalls);
+    this.weights = new WeightsTracker(
+      clock,
+      settings.weightsBoundMs * OLDER_WEIGHTS_RATIO,
+      settings.contactMs * CAUGHT_UP_WEIGHTS_RATIO,
+    );
+    this.messages = new WeightsMessages(this.weights);
+    const routerCount = this.state.routerCount.bind(this.state);
+    this.connections = new EngineConnections(clock, http, settings, routerCount);
+    this.chooser = this.makeChooser(routerCount);
+    this.dependencies = this.makeDependencies(new RetryBudget(clock, settings, routerCount));
   }
 
-  function table(): RouteTable | undefined {
-    return serves() ? current : undefined;
+  /** Listens for callers and for questions of readiness, and begins to follow the control state. */
+  async listen(): Promise<OperationError | undefined> {
+    const { http, settings, follower } = this.options;
+    const [callersError, callers] = errorOrValue(
+      await http.serve(settings.http, this.serveLimits(), this.handleCall.bind(this)),
+    );
+    if (callersError) return callersError;
+    const [readinessError, readiness] = errorOrValue(
+      await http.serve(settings.readiness, this.serveLimits(), this.answerReadiness.bind(this)),
+    );
+    if (readinessError) return readinessError;
+    this.listeners = { callers, readiness };
+    void follower.changes.observe(this.applyChange.bind(this));
+    for (const change of follower.appliedValues()) this.applyChange(change);
+    this.cancelSelfCheck = this.selfCheckAfter(0);
+    return undefined;
   }
 
-  function serves(): boolean {
-    if (!leased && follower.hasLease()) leased = true;
-    if (settings.strict && !follower.hasLease()) return false;
-    return leased && current !== undefined && follower.value(CONTROL_KEYS.engines) !== undefined;
+  /** Whether it takes connections. */
+  ready(): boolean {
+    return this.state.canServe() && !this.draining.isDraining();
   }
 
-  /** What this router lacks to take requests. */
-  function lacking(): string[] {
-    const out: string[] = [];
-    if (!leased) out.push('leases');
-    if (current === undefined) out.push('deployment');
-    if (follower.value(CONTROL_KEYS.engines) === undefined) out.push('engines');
-    return out;
+  /** Begins to drain; comes once nothing is in flight and nothing new comes, or at the end of the drain's time. */
+  async drain(): Promise<void> {
+    this.draining.begin();
+    if (!this.listeners) return;
+    const { callers } = this.listeners;
+    callers.setLimits(this.serveLimits());
+    await this.draining.run(callers);
   }
 
-  /** Logs when this router first takes requests, and what it lacks as long as it does not. */
-  function logStart(): void {
-    if (isStartLogged) return;
-    const fields = { step: 'start', peer: settings.name, tookMs: Math.round(clock.now() - began) };
-    isStartLogged = serves();
-    if (isStartLogged) ports.logger.notice(fields, 'takes requests');
-    else if (clock.now() - lackLoggedAt > settings.contactMs) {
-      lackLoggedAt = clock.now();
-      ports.logger.notice(fields, `takes no requests yet: lacks ${lacking().join(', ')}`);
-    }
+  /** Ends the drain, and closes all sockets. */
+  async stop(): Promise<void> {
+    this.draining.begin();
+    this.cancelSelfCheck?.();
+    this.chooser.stop();
+    this.connections.stop();
+    if (!this.listeners) return;
+    const { callers, readiness } = this.listeners;
+    await Promise.all([this.draining.close(callers), readiness.close()]);
   }
 
-  function ready(): boolean {
-    return serves() && !draining.isDraining();
+  private makeChooser(routers: () => number | undefined): EngineChooser {
+    const { ports, settings, follower } = this.options;
+    const { state, weights } = this;
+    const pool = state.poolOf.bind(state);
+    const stores = state.stores.bind(state);
+    return new EngineChooser({ ports, settings, follower, weights, pool, stores, routers });
   }
 
-  function stands(e: Engine): boolean {
-    return listed.has(e.id) && !follower.isDraining(e.id);
+  private makeDependencies(budget: RetryBudget): GatewayDependencies {
+    const { ports, settings, adapter } = this.options;
+    const { state, chooser, connections, counts, inFlight } = this;
+    return {
+      ports,
+      settings,
+      adapter,
+      chooser,
+      connections,
+      budget,
+      counts,
+      routes: state.routes.bind(state),
+      isEngineActive: state.isEngineActive.bind(state),
+      drain: this.draining,
+      inFlight,
+      singleRunIds: new Set(),
+    };
   }
 
-  const inFlight = trackInFlight(clock, ports.logger, settings);
-  const stalls = makeStallMonitor(clock, settings.contactMs * LOOK);
-  const draining = makeDrain(clock, ports.logger, settings, inFlight, stalls);
-  const weights = makeWeightsBook(
-    clock,
-    settings.weightsBoundMs * OLDER,
-    settings.contactMs * OUT_OF_TOUCH,
-  );
-  edges.push(new WeightsMessages(weights));
-  const connections = keepConnections(clock, http, settings, routers);
-  const chooser = makeChooser({ ports, settings, follower, weights, pool, stores, routers });
-  const budget = makeRetryBudget(clock, settings, routers);
-  const parts: GatewayDependencies = {
-    ports,
-    settings,
-    adapter: dialect,
-    chooser,
-    connections,
-    budget,
-    counts,
-    routes: table,
-    isEngineActive: stands,
-    drain: draining,
-    inFlight,
-    singleRunIds: new Set(),
-  };
-
-  function limits(): ServeLimits {
-    const l = current?.limits;
+  private serveLimits(): ServeLimits {
+    const { contactMs } = this.options.settings;
+    const limits = this.state.newestTable()?.limits;
     return {
-      headerTimeoutMs: l?.headerTimeoutMs ?? settings.contactMs * FIRST_LIMITS.header,
-      idleTimeoutMs: l?.idleTimeoutMs ?? settings.contactMs * FIRST_LIMITS.idle,
-      closing: draining.isDraining(),
+      headerTimeoutMs: limits?.headerTimeoutMs ?? contactMs * DEFAULT_HEADER_TIMEOUT_RATIO,
+      idleTimeoutMs: limits?.idleTimeoutMs ?? contactMs * DEFAULT_IDLE_TIMEOUT_RATIO,
+      closing: this.draining.isDraining(),
     };
   }
 
-  async function taken(call: RawIncomingRequest): Promise<void> {
-    const request = inFlight.add();
-    await serveRequest(parts, call, request).catch(broke);
-    await call.written;
-    inFlight.remove(request);
-    function broke(e: Error): void {
-      ports.logger.error({ step: 'serve request', peer: call.peer }, e.stack ?? e.message);
+  private async handleCall(call: RawIncomingRequest): Promise<void> {
+    const { logger } = this.options.ports;
+    const request = this.inFlight.add();
+    function failed(error: Error): void {
+      const fields = { event: 'request.handler-failed', peer: call.peer };
+      logger.error(fields, error.stack ?? error.message);
       call.destroy();
     }
+    await handleRequest(this.dependencies, call, request).catch(failed);
+    await call.written;
+    this.inFlight.remove(request);
   }
 
-  async function asked(call: RawIncomingRequest): Promise<void> {
-    const is =
-      call.method === 'GET' && call.target.split('?', 1)[0] === dialect.callers.readinessPath;
-    call.writeHead(is ? (ready() ? 200 : 503) : 404, ['Content-Length', '0']);
+  private async answerReadiness(call: RawIncomingRequest): Promise<void> {
+    const { readinessPath } = this.options.adapter.callers;
+    const isAsked = call.method === 'GET' && call.target.split('?', 1)[0] === readinessPath;
+    const status = this.ready() ? 200 : 503;
+    call.writeHead(isAsked ? status : 404, ['Content-Length', '0']);
     call.end();
   }
 
-  const [f, server] = errorOrValue(await http.serve(settings.http, limits(), taken));
-  if (f) return Left(f);
-  const [h, readiness] = errorOrValue(await http.serve(settings.readiness, limits(), asked));
-  if (h) return Left(h);
-
-  function changed(n: VersionedValue): void {
-    if (n.key === CONTROL_KEYS.engines) renewEngines(n.value as Engine[]);
-    if (n.key.startsWith(CONTROL_KEYS.weights))
-      weights.recordNaming(n.value as NamedWeights, follower.hasLease());
-    if (n.key === CONTROL_KEYS.deployment) renew((n.value as DeploymentValue).doc);
-  }
-
-  function renewEngines(list: Engine[]): void {
-    function stays(e: Engine): boolean {
-      return !e.leaving;
-    }
-    listed = new Set(list.filter(stays).map(idOf));
-    connections.retain(new Set(list.map(idOf)));
-    weights.recordEngines(list);
-  }
-
-  function idOf(e: Engine): string {
-    return e.id;
+  private applyChange({ key, value }: VersionedValue): void {
+    if (key === CONTROL_KEYS.engines) this.applyEngines(value as Engine[]);
+    if (key.startsWith(CONTROL_KEYS.weights))
+      this.weights.recordNaming(value as NamedWeights, this.options.follower.hasLease());
+    if (key === CONTROL_KEYS.deployment) this.applyDeployment((value as DeploymentValue).doc);
   }
 
-  function renew(doc: unknown): void {
-    const d = dialect.deployment(doc);
-    if (d.isLeft())
-      return ports.logger.error(
-        { step: 'read deployment', peer: settings.name },
-        d.extract().join('; '),
-      );
-    current = makeRouteTable(d.extract() as Deployment, current);
-    connections.setCallerIdleMs(current.limits.idleTimeoutMs);
-    server!.setLimits(limits());
+  private applyEngines(engines: Engine[]): void {
+    this.state.applyEngines(engines);
+    this.connections.retain(idsOf(engines));
+    this.weights.recordEngines(engines);
   }
 
-  async function drain(): Promise<void> {
-    draining.begin();
-    server!.setLimits(limits());
-    await draining.run(server!);
+  private applyDeployment(document: unknown): void {
+    const { ports, settings } = this.options;
+    const [faults, table] = leftOrRight(this.state.applyDeployment(document));
+    if (faults) {
+      const fields = { event: 'deployment.unreadable', peer: settings.name };
+      return ports.logger.error(fields, faults.join('; '));
+    }
+    this.connections.setCallerIdleMs(table.limits.idleTimeoutMs);
+    this.listeners?.callers.setLimits(this.serveLimits());
   }
 
-  async function stop(): Promise<void> {
-    draining.begin();
-    off();
-    chooser.stop();
-    connections.stop();
-    await Promise.all([draining.close(server!), readiness!.close()]);
+  private selfCheckAfter(ms: number): () => void {
+    return this.options.ports.clock.setTimer(ms, this.selfCheck.bind(this));
   }
 
-  function look(): void {
-    stalls.look();
-    logStart();
-    routers();
-    off = clock.setTimer(settings.contactMs * LOOK, look);
+  private selfCheck(): void {
+    this.stalls.look();
+    this.startLog.update();
+    this.state.routerCount();
+    this.cancelSelfCheck = this.selfCheckAfter(this.options.settings.contactMs * SELF_CHECK_RATIO);
   }
+}
 
-  void follower.changes.observe(changed);
-  for (const n of follower.appliedValues()) changed(n);
-  let off = clock.setTimer(0, look);
-  return Right({ counts, ready, drain, stop });
+/** Starts the request path. Handlers of our own messages are added to `edges`. Errors: no raw HTTP here, or a socket can't be listened on. */
+export async function startGateway(
+  ports: Ports,
+  settings: Settings,
+  follower: Follower,
+  adapter: PlatformAdapter,
+  edges: object[] = [],
+): Promise<Result<Gateway>> {
+  const http = ports.rawHttp;
+  if (!http) return failure('start gateway', settings.http, 'no raw HTTP here');
+  const gateway = new Gateway({ ports, http, settings, follower, adapter });
+  edges.push(gateway.messages);
+  const error = await gateway.listen();
+  return error ? Left(error) : Right(gateway);
 }
--- a/src/data/gateway/in-flight-requests.ts
+++ b/src/data/gateway/in-flight-requests.ts
@@ -1,15 +1,17 @@
-/** The requests that a router has taken and whose answers have not ended, and what is logged of those that are cut off. */
+/**
+ * The requests that a router has taken and whose answers have not ended, and the log of those that are cut off.
+ */
 
 import { Clock } from '../../shared/ports/clock';
 import { Logger } from '../../shared/ports/logger';
 import { Settings } from '../../shared/settings/settings';
 
-/** A request on its way through a router. Times are of the clock port, in ms. */
+/** A request on its way through a router. Times are ms of the clock port. */
 export interface InFlightRequest {
   arrivedAt: number;
   id?: string;
   route?: string;
-  /** When its own time and its route's are over. */
+  /** When its own time-out or its route's is over. */
   deadlineAt?: number;
   /** The engine of its newest attempt. */
   engine?: string;
@@ -25,7 +27,7 @@
   abandonAttempt?: () => void;
 }
 
-/** Why a connection was closed in the middle of an answer. */
+/** Why a connection was closed in the middle of an answer; it is logged. */
 export type CutOffCause =
   | 'drain-ended'
   | 'engine-broke-off'
@@ -34,85 +36,89 @@
   | 'retry-budget'
   | 'time-up';
 
-/** Keeps the requests in flight. */
-export interface InFlightRequests {
-  add: () => InFlightRequest;
-  remove: (request: InFlightRequest) => void;
-  count: () => number;
-  all: () => Iterable<InFlightRequest>;
-  /** Logs once that a request was cut off; `leavingMs` is the time since this router was told to end. */
-  cutOff: (request: InFlightRequest, cause: CutOffCause, leavingMs?: number) => void;
+/** Lines that are logged within `contactMs`; cut-offs beyond them are counted in the next line. */
+const MAX_LOG_LINES = 20;
+
+function rounded(ms: number | undefined): number | undefined {
+  return ms === undefined ? undefined : Math.round(ms);
 }
 
-/** Lines that are logged within `contactMs`; cut-offs beyond them are counted in the next line. */
-const MOST_LINES = 20;
+/** Keeps the requests in flight, and logs those that are cut off. */
+export class InFlightRequests {
+  private readonly requests = new Set<InFlightRequest>();
+  private logWindowStartedAt = -Infinity;
+  private linesInWindow = 0;
+  private unlogged = 0;
 
-/** Makes the set of requests in flight. */
-export function trackInFlight(clock: Clock, log: Logger, settings: Settings): InFlightRequests {
-  const requests = new Set<InFlightRequest>();
-  let windowBegan = -Infinity;
-  let lines = 0;
-  let unlogged = 0;
+  constructor(
+    private readonly clock: Clock,
+    private readonly logger: Logger,
+    private readonly settings: Settings,
+  ) {}
 
-  function began(): InFlightRequest {
+  /** Adds a request that has arrived now. */
+  add(): InFlightRequest {
     const request: InFlightRequest = {
-      arrivedAt: clock.now(),
+      arrivedAt: this.clock.now(),
       attempts: 0,
       silentEngines: 0,
       answerBegan: false,
       isCutOff: false,
     };
-    requests.add(request);
+    this.requests.add(request);
     return request;
   }
 
-  function ended(request: InFlightRequest): void {
-    requests.delete(request);
-  }
-
-  function count(): number {
-    return requests.size;
+  /** Removes a request whose answer has been written out. */
+  remove(request: InFlightRequest): void {
+    this.requests.delete(request);
   }
 
-  function all(): Iterable<InFlightRequest> {
-    return requests;
+  /** How many there are. */
+  count(): number {
+    return this.requests.size;
   }
 
-  /** Whether one more line may be written now. */
-  function mayLog(): boolean {
-    const now = clock.now();
-    if (now - windowBegan > settings.contactMs) {
-      windowBegan = now;
-      lines = 0;
-    }
-    return ++lines <= MOST_LINES;
+  /** All of them. */
+  all(): Iterable<InFlightRequest> {
+    return this.requests;
   }
 
-  function cutOff(request: InFlightRequest, cause: CutOffCause, leavingMs?: number): void {
+  /** Logs once that a request was cut off; `drainingMs` is the time since this router began to drain. */
+  cutOff(request: InFlightRequest, cause: CutOffCause, drainingMs?: number): void {
     if (request.isCutOff) return;
     request.isCutOff = true;
-    if (!mayLog()) {
-      unlogged++;
+    if (!this.mayLog()) {
+      this.unlogged++;
       return;
     }
-    const now = clock.now();
+    const now = this.clock.now();
+    const { deadlineAt } = request;
     const fields = {
-      step: 'cut off',
+      event: 'request.cut-off',
       peer: request.engine,
       request: request.id,
       route: request.route,
       cause,
       ageMs: Math.round(now - request.arrivedAt),
-      leftMs: request.deadlineAt === undefined ? undefined : Math.round(request.deadlineAt - now),
+      leftMs: rounded(deadlineAt === undefined ? undefined : deadlineAt - now),
       attempts: request.attempts,
       silentEngines: request.silentEngines,
       answerBegan: request.answerBegan,
-      leavingMs: leavingMs === undefined ? undefined : Math.round(leavingMs),
-      unlogged,
+      leavingMs: rounded(drainingMs),
+      unlogged: this.unlogged,
     };
-    unlogged = 0;
-    log.notice(fields, `cut off: ${cause}`);
+    this.unlogged = 0;
+    this.logger.notice(fields, `cut off: ${cause}`);
   }
 
-  return { add: began, remove: ended, count, all, cutOff };
+  /** Whether one more line may be written now. */
+  private mayLog(): boolean {
+    const now = this.clock.now();
+    if (now - this.logWindowStartedAt > this.settings.contactMs) {
+      this.logWindowStartedAt = now;
+      this.linesInWindow = 0;
+    }
+    return ++this.linesInWindow <= MAX_LOG_LINES;
+  }
 }
--- a/src/data/gateway/indexer-client.ts
+++ b/src/data/gateway/indexer-client.ts
@@ -1,157 +1,171 @@
-import { Hello, makeConnectionPool } from '../../shared/transport/connections';
-import { errorOrValue } from '../../shared/errors/errors';
+/**
+ * What a router asks indexers and notifies them of: cached prefixes, placements, and loads.
+ */
+
+import {
+  Hello,
+  ConnectionPool,
+  makeConnectionPool,
+  PeerChannel,
+} from '../../shared/transport/connections';
+import { errorOrValue, Result } from '../../shared/errors/errors';
 import { Follower } from '../../shared/replication/follower';
 import { rankByRendezvousHash } from '../../shared/util/hashing';
-import {
-  EngineLoad,
-  LoadReply,
-  OverlapReply,
-  OverlapRequest,
-  PlacementNotice,
-} from '../../shared/contracts/indexer';
+import { OverlapReply, OverlapRequest, PlacementNotice } from '../../shared/contracts/indexer';
 import { Ports } from '../../shared/ports/ports';
 import { TimeLimits } from '../../shared/settings/time-limits';
-import { Member } from '../../shared/state/members';
 import { EngineLoads } from './engine-loads';
+import { LoadBoard } from './load-board';
+
+/** Queries in a row that fail before an indexer is left out for a while. */
+const MAX_CONSECUTIVE_FAILURES = 3;
+/** The usual pause between reports to the load board, as a share of the time-out of a query. */
+const REPORT_PAUSE_RATIO = 0.4;
+/** How many routers report at the usual pause; more report less often, in proportion. */
+const ROUTERS_AT_USUAL_PAUSE = 16;
+/** The pause lies between these multiples of itself. */
+const JITTER_MIN_RATIO = 0.8;
+const JITTER_SPAN_RATIO = 0.4;
 
-/** What a router says to indexers. */
-export interface IndexerClient {
-  /** Asks how much of a prompt each source keeps; nothing where no indexer answers in time. */
-  queryOverlap: (q: OverlapRequest, withinMs: number) => Promise<OverlapReply | undefined>;
-  /** Tells all indexers of a request that was placed, and the board of what it adds to its engine. */
-  notifyPlaced: (p: PlacementNotice) => void;
-  /** Brings what is known of other routers' loads up to now; waits no longer than that. */
-  refreshLoads: (withinMs: number) => Promise<void>;
-  stop: () => void;
+/** Failed queries of one indexer. */
+interface QueryFailures {
+  count: number;
+  /** Until when it is left out, in ms of the clock, once there are too many. */
+  retryAt: number;
 }
 
-/** Answers that may stay out, one after the other, before an indexer is left alone for a while. */
-const MISSES = 3;
-/** The usual pause between tells, as a share of the bound of a query. */
-const PACE = 0.4;
-/** How many routers share the board at the usual pace; more tell it less often, in proportion. */
-const ROUTERS = 16;
-
-/** Keeps connections to indexers; tells one of them, the same for all routers, this router's loads, and takes those of the others. */
-export function reachIndexers(
-  ports: Ports,
-  bounds: TimeLimits,
-  follower: Follower,
-  hello: Hello,
-  loads: EngineLoads,
-  routers: () => number | undefined,
-): IndexerClient {
-  const helds = makeConnectionPool(ports, {
-    hello,
-    handlers: [],
-    timeoutMs: bounds.connectTimeoutMs,
-    retryPauseMs: bounds.retryPauseMs,
-  });
-  const misses = new Map<string, { count: number; until: number }>();
-  let zones = new Map<string, string>();
-  let board: { connection: object; said: Map<string, string> } | undefined;
-  let stopped = false;
-
-  function reach(): void {
-    zones = new Map();
-    for (const m of follower.members('indexer')) zones.set(m.at, m.zone);
-    helds.setPeers(zones.keys());
-  }
+/** What an indexer client works with. */
+export interface IndexerClientDependencies {
+  ports: Ports;
+  timeLimits: TimeLimits;
+  follower: Follower;
+  hello: Hello;
+  loads: EngineLoads;
+  /** How many routers there are, as far as it is known. */
+  routerCount: () => number | undefined;
+}
 
-  function changed(list: Member[]): void {
-    void list;
-    reach();
-  }
+/** Sends the message 'overlap'. */
+function requestOverlap(
+  channel: PeerChannel,
+  request: OverlapRequest,
+  timeoutMs: number,
+): Promise<Result<OverlapReply>> {
+  return channel.request('overlap', request, timeoutMs) as Promise<Result<OverlapReply>>;
+}
 
-  /** Indexers in the order in which they are asked: those of the own zone first. */
-  function inOrder(): string[] {
-    const order = rankByRendezvousHash(hello.name, helds.peerAddresses());
-    function byZone(a: string, b: string): number {
-      return Number(zones.get(b) === hello.zone) - Number(zones.get(a) === hello.zone);
-    }
-    return order.sort(byZone);
+/** Keeps connections to all indexers, and reports to the load board until it is stopped. */
+export class IndexerClient {
+  private readonly connections: ConnectionPool;
+  private readonly board: LoadBoard;
+  private readonly failures = new Map<string, QueryFailures>();
+  /** Zones by the address of an indexer. */
+  private zones = new Map<string, string>();
+  private isStopped = false;
+
+  constructor(private readonly dependencies: IndexerClientDependencies) {
+    const { ports, timeLimits, follower, hello, loads } = dependencies;
+    this.connections = makeConnectionPool(ports, {
+      hello,
+      handlers: [],
+      timeoutMs: timeLimits.connectTimeoutMs,
+      retryPauseMs: timeLimits.retryPauseMs,
+    });
+    this.board = new LoadBoard(this.connections, loads, timeLimits.statusTimeoutMs);
+    void follower.memberChanges.observe(this.updatePeers.bind(this));
+    void this.reportLoop();
   }
 
-  async function overlap(q: OverlapRequest, withinMs: number): Promise<OverlapReply | undefined> {
-    for (const at of inOrder()) {
-      const ex = helds.channelTo(at);
-      const m = misses.get(at);
-      if (!ex || (m && m.count >= MISSES && ports.clock.now() < m.until)) continue;
-      const [f, answer] = errorOrValue(await ex.request('overlap', q, withinMs));
-      if (!f) {
-        misses.delete(at);
-        return answer as OverlapReply;
+  /** Asks the nearest indexer how much of a prompt each source has cached; nothing where none answers in time. */
+  async queryOverlap(
+    request: OverlapRequest,
+    timeoutMs: number,
+  ): Promise<OverlapReply | undefined> {
+    for (const address of this.byNearest()) {
+      const channel = this.connections.channelTo(address);
+      const failures = this.failures.get(address);
+      if (!channel || this.isLeftOut(failures)) continue;
+      const [error, reply] = errorOrValue(await requestOverlap(channel, request, timeoutMs));
+      if (!error) {
+        this.failures.delete(address);
+        return reply;
       }
-      if (f.code === 'not-ready') continue;
-      misses.set(at, {
-        count: (m?.count ?? 0) + 1,
-        until: ports.clock.now() + bounds.statusTimeoutMs,
-      });
+      if (error.code === 'not-ready') continue;
+      this.recordFailure(address, failures?.count ?? 0);
       return undefined;
     }
     return undefined;
   }
 
-  function placed(p: PlacementNotice): void {
-    for (const at of helds.peerAddresses()) helds.channelTo(at)?.notify('placed', p);
-    void tell();
+  /** Notifies all indexers of a request that was placed, and the load board of what it adds to its engine. */
+  notifyPlaced(notice: PlacementNotice): void {
+    for (const address of this.connections.peerAddresses())
+      this.connections.channelTo(address)?.notify('placed', notice);
+    void this.board.report();
   }
 
-  async function renewLoads(withinMs: number): Promise<void> {
-    await Promise.race([tell(), ports.clock.sleep(withinMs)]);
+  /** Brings what is known of other routers' loads up to date, within `timeoutMs`. */
+  async refreshLoads(timeoutMs: number): Promise<void> {
+    const { clock } = this.dependencies.ports;
+    await Promise.race([this.board.report(), clock.sleep(timeoutMs)]);
   }
 
-  /** Tells the board what changed since the last tell on this connection. */
-  async function tell(): Promise<void> {
-    for (const at of rankByRendezvousHash('loads', helds.peerAddresses())) {
-      const ex = helds.channelTo(at);
-      if (!ex) continue;
-      const full = board?.connection !== ex.connection;
-      if (full) board = { connection: ex.connection, said: new Map() };
-      const to = board!;
-      const own: EngineLoad[] = [];
-      const now = new Map<string, string>();
-      for (const l of loads.ownLoads()) {
-        const text = l.join(' ');
-        now.set(l[0], text);
-        if (full || to.said.get(l[0]) !== text) own.push(l);
-      }
-      for (const id of to.said.keys()) if (!now.has(id)) own.push([id, 0, 0]);
-      to.said = now;
-      const [f, a] = errorOrValue(await ex.request('loads', { full, own }, bounds.statusTimeoutMs));
-      if (board !== to) return;
-      if (f) {
-        board = undefined;
-        loads.discardBoard();
-        return;
-      }
-      const answer = a as LoadReply;
-      loads.applyBoard(answer.others, answer.full);
-      return;
-    }
-    board = undefined;
-    loads.discardBoard();
+  /** Closes the connections, and ends the reports. */
+  stop(): void {
+    this.isStopped = true;
+    this.connections.stop();
+  }
+
+  private updatePeers(): void {
+    this.zones = new Map();
+    for (const { at, zone } of this.dependencies.follower.members('indexer'))
+      this.zones.set(at, zone);
+    this.connections.setPeers(this.zones.keys());
   }
 
-  async function tellOn(): Promise<void> {
-    while (!stopped) {
-      reach();
-      await tell();
-      await ports.clock.sleep(
-        bounds.indexQueryTimeoutMs *
-          PACE *
-          Math.max(1, (routers() ?? 1) / ROUTERS) *
-          (0.8 + 0.4 * ports.random.next()),
-      );
+  /** Addresses of indexers in the order in which they are asked: those of the own zone first. */
+  private byNearest(): string[] {
+    const { hello } = this.dependencies;
+    const { zones } = this;
+    function byZone(a: string, b: string): number {
+      return Number(zones.get(b) === hello.zone) - Number(zones.get(a) === hello.zone);
     }
+    return rankByRendezvousHash(hello.name, this.connections.peerAddresses()).sort(byZone);
   }
 
-  function stop(): void {
-    stopped = true;
-    helds.stop();
+  private isLeftOut(failures: QueryFailures | undefined): boolean {
+    return (
+      failures !== undefined &&
+      failures.count >= MAX_CONSECUTIVE_FAILURES &&
+      this.dependencies.ports.clock.now() < failures.retryAt
+    );
   }
 
-  void follower.memberChanges.observe(changed);
-  void tellOn();
-  return { queryOverlap: overlap, notifyPlaced: placed, refreshLoads: renewLoads, stop };
+  /** Records a failure; `countBefore` is from when the query was sent, so that queries that fail together count once. */
+  private recordFailure(address: string, countBefore: number): void {
+    const { ports, timeLimits } = this.dependencies;
+    this.failures.set(address, {
+      count: countBefore + 1,
+      retryAt: ports.clock.now() + timeLimits.statusTimeoutMs,
+    });
+  }
+
+  private async reportLoop(): Promise<void> {
+    const { clock } = this.dependencies.ports;
+    while (!this.isStopped) {
+      this.updatePeers();
+      await this.board.report();
+      await clock.sleep(this.reportPauseMs());
+    }
+  }
+
+  private reportPauseMs(): number {
+    const { ports, timeLimits, routerCount } = this.dependencies;
+    return (
+      timeLimits.indexQueryTimeoutMs *
+      REPORT_PAUSE_RATIO *
+      Math.max(1, (routerCount() ?? 1) / ROUTERS_AT_USUAL_PAUSE) *
+      (JITTER_MIN_RATIO + JITTER_SPAN_RATIO * ports.random.next())
+    );
+  }
 }
--- a/src/data/gateway/retry-budget.ts
+++ b/src/data/gateway/retry-budget.ts
@@ -1,82 +1,96 @@
+/**
+ * Retry budget: how many attempts beyond their first the requests of a pool may take, as a share of the requests in a
+ * sliding window and this router's share of the fleet's slack.
+ */
+
 import { Clock } from '../../shared/ports/clock';
 import { Settings } from '../../shared/settings/settings';
 
-/** The part of what the fleet may spend that routers spend together, so that counting apart stays sound. */
-const SHARE = 0.8;
-/** Slots of the sliding window. */
-const SLOTS = 20;
-
-/** Pays for a request's attempts after its first. */
-export interface RetryBudget {
-  /** Counts a request for a pool. */
-  recordRequest: (pool: string) => void;
-  /** Whether one further attempt is left. */
-  hasBudget: (pool: string) => boolean;
-  /** Spends one further attempt, where one is left. */
-  trySpend: (pool: string) => boolean;
-}
+/** The share of what the fleet may spend that routers spend together, so that counting apart stays sound. */
+const FLEET_SHARE_RATIO = 0.8;
+/** Slots of the sliding window; retries are kept for one more, so that they never lapse before the requests that paid for them. */
+const WINDOW_SLOTS = 20;
+const RETRY_SLOTS = WINDOW_SLOTS + 1;
 
-interface Window {
+interface PoolWindow {
+  /** The number of the newest slot. */
   slot: number;
-  asked: number[];
-  spent: number[];
+  requests: number[];
+  retries: number[];
 }
 
-function sum(list: number[]): number {
-  let all = 0;
-  for (const x of list) all += x;
-  return all;
+function sumOf(counts: readonly number[]): number {
+  let sum = 0;
+  for (const count of counts) sum += count;
+  return sum;
 }
 
-/** Makes a budget over sliding windows; its share of the slack begins one window after the start, since an earlier life may have spent it. */
-export function makeRetryBudget(
-  clock: Clock,
-  s: Settings,
-  routers: () => number | undefined,
-): RetryBudget {
-  const windows = new Map<string, Window>();
-  const slotMs = s.retryWindowMs / SLOTS;
-  const began = clock.now();
+function emptyWindow(slot: number): PoolWindow {
+  return {
+    slot,
+    requests: new Array<number>(WINDOW_SLOTS).fill(0),
+    retries: new Array<number>(RETRY_SLOTS).fill(0),
+  };
+}
 
-  function at(pool: string): Window {
-    const slot = Math.floor(clock.now() / slotMs);
-    const w = windows.get(pool) ?? {
-      slot,
-      asked: new Array<number>(SLOTS).fill(0),
-      spent: new Array<number>(SLOTS + 1).fill(0),
-    };
-    windows.set(pool, w);
-    for (let i = Math.max(w.slot + 1, slot - SLOTS); i <= slot; i++) {
-      w.asked[i % SLOTS] = 0;
-      w.spent[i % (SLOTS + 1)] = 0;
-    }
-    w.slot = slot;
-    return w;
+/** Empties the slots that have begun since the window was last used. */
+function advance(window: PoolWindow, slot: number): void {
+  for (let i = Math.max(window.slot + 1, slot - WINDOW_SLOTS); i <= slot; i++) {
+    window.requests[i % WINDOW_SLOTS] = 0;
+    window.retries[i % RETRY_SLOTS] = 0;
   }
+  window.slot = slot;
+}
 
-  function asked(pool: string): void {
-    const w = at(pool);
-    w.asked[w.slot % SLOTS]++;
+/** Counts the requests and retries of each pool. The share of the slack begins one window after the start, since an earlier incarnation may have spent it. */
+export class RetryBudget {
+  private readonly windows = new Map<string, PoolWindow>();
+  private readonly slotMs: number;
+  private readonly startedAt: number;
+
+  /** `routerCount` tells how many routers share the budget, as far as it is known. */
+  constructor(
+    private readonly clock: Clock,
+    private readonly settings: Settings,
+    private readonly routerCount: () => number | undefined,
+  ) {
+    this.slotMs = settings.retryWindowMs / WINDOW_SLOTS;
+    this.startedAt = clock.now();
   }
 
-  function slack(): number {
-    const n = routers();
-    return n === undefined || clock.now() - began < s.retryWindowMs
-      ? 0
-      : (s.retrySlack * SHARE) / n;
+  /** Counts a request for a pool. */
+  recordRequest(pool: string): void {
+    const window = this.windowOf(pool);
+    window.requests[window.slot % WINDOW_SLOTS]++;
   }
 
-  function left(pool: string): boolean {
-    const w = at(pool);
-    return sum(w.spent) + 1 <= s.retryRatio * SHARE * sum(w.asked) + slack();
+  /** Whether one more retry may be spent. */
+  hasBudget(pool: string): boolean {
+    const { requests, retries } = this.windowOf(pool);
+    const earned = this.settings.retryRatio * FLEET_SHARE_RATIO * sumOf(requests);
+    return sumOf(retries) + 1 <= earned + this.slack();
   }
 
-  function spend(pool: string): boolean {
-    if (!left(pool)) return false;
-    const w = at(pool);
-    w.spent[w.slot % (SLOTS + 1)]++;
+  /** Spends one retry, where one is left. */
+  trySpend(pool: string): boolean {
+    if (!this.hasBudget(pool)) return false;
+    const window = this.windowOf(pool);
+    window.retries[window.slot % RETRY_SLOTS]++;
     return true;
   }
 
-  return { recordRequest: asked, hasBudget: left, trySpend: spend };
+  private slack(): number {
+    const routerCount = this.routerCount();
+    const isFirstWindow = this.clock.now() - this.startedAt < this.settings.retryWindowMs;
+    if (routerCount === undefined || isFirstWindow) return 0;
+    return (this.settings.retrySlack * FLEET_SHARE_RATIO) / routerCount;
+  }
+
+  private windowOf(pool: string): PoolWindow {
+    const slot = Math.floor(this.clock.now() / this.slotMs);
+    const window = this.windows.get(pool) ?? emptyWindow(slot);
+    this.windows.set(pool, window);
+    advance(window, slot);
+    return window;
+  }
 }
--- a/src/data/gateway/route-table.ts
+++ b/src/data/gateway/route-table.ts
@@ -1,3 +1,8 @@
+/**
+ * The route table: a deployment made ready for look-ups of routes, tenants and pools. A new deployment's table is made
+ * from the one before it, for the cost of what changed.
+ */
+
 import {
   CallerLimits,
   Deployment,
@@ -7,60 +12,49 @@
   TenantAccess,
 } from '../../shared/state/deployment';
 
-/** Routes by prefix, by host. */
-type RoutesByHost = ReadonlyMap<string, ReadonlyMap<string, HttpRoute>>;
-
 /** The routes of one deployment, and their look-up. */
 interface RouteIndex {
   routes: readonly HttpRoute[];
-  byHost: RoutesByHost;
+  /** Routes by prefix, by host in lower case. */
+  byHost: ReadonlyMap<string, ReadonlyMap<string, HttpRoute>>;
   /** Whether each route has a host and prefix of its own. */
-  unique: boolean;
+  isUnique: boolean;
 }
 
-/** A deployment made ready for look-ups. */
-export interface RouteTable {
-  limits: CallerLimits;
-  /** The route of that host with the longest prefix that begins the path. */
-  findRoute: (host: string, path: string) => HttpRoute | undefined;
-  tenantOf: (key: string) => TenantAccess | undefined;
-  poolOf: (name: string) => Pool | undefined;
-  stores: readonly PartStore[];
-  /** What the next deployment's table is made from. */
-  index: RouteIndex;
+/** The range in which two lists differ: from `start` up to each list's own end. */
+interface ChangedRange {
+  start: number;
+  endBefore: number;
+  endAfter: number;
 }
 
-/** Puts routes into their hosts' look-ups, each of which is made anew once; `true` where all were new. */
-function putRoutes(
+/** Puts routes into their hosts' look-ups, each of which is copied once; `true` where all prefixes were new. */
+function replaceRoutes(
   byHost: Map<string, ReadonlyMap<string, HttpRoute>>,
   removed: readonly HttpRoute[],
   added: readonly HttpRoute[],
 ): boolean {
-  const changed = new Map<string, Map<string, HttpRoute>>();
+  const copied = new Map<string, Map<string, HttpRoute>>();
   function prefixesOf(route: HttpRoute): Map<string, HttpRoute> {
     const host = route.host.toLowerCase();
-    const had = changed.get(host);
-    if (had) return had;
+    const known = copied.get(host);
+    if (known) return known;
     const prefixes = new Map(byHost.get(host));
-    changed.set(host, prefixes);
+    copied.set(host, prefixes);
     byHost.set(host, prefixes);
     return prefixes;
   }
-  for (const r of removed) prefixesOf(r).delete(r.prefix);
-  let unique = true;
-  for (const r of added) {
-    const prefixes = prefixesOf(r);
-    unique = unique && !prefixes.has(r.prefix);
-    prefixes.set(r.prefix, r);
+  for (const route of removed) prefixesOf(route).delete(route.prefix);
+  let isUnique = true;
+  for (const route of added) {
+    const prefixes = prefixesOf(route);
+    isUnique = isUnique && !prefixes.has(route.prefix);
+    prefixes.set(route.prefix, route);
   }
-  return unique;
+  return isUnique;
 }
 
-/** The stretch of two lists outside which they are the same: from `start`, up to each list's end. */
-function differing<T>(
-  before: readonly T[],
-  after: readonly T[],
-): { start: number; endBefore: number; endAfter: number } {
+function changedRange<T>(before: readonly T[], after: readonly T[]): ChangedRange {
   let start = 0;
   while (start < before.length && start < after.length && before[start] === after[start]) start++;
   let endBefore = before.length;
@@ -72,56 +66,68 @@
   return { start, endBefore, endAfter };
 }
 
-/** Makes the look-up of routes; from an earlier one, only the hosts of routes that changed are made anew. */
-function makeRouteIndex(routes: readonly HttpRoute[], before?: RouteIndex): RouteIndex {
-  if (before?.unique) {
-    const { start, endBefore, endAfter } = differing(before.routes, routes);
+/** Indexes routes; from an earlier index, only the hosts of routes that changed are indexed anew. */
+function indexRoutes(routes: readonly HttpRoute[], before?: RouteIndex): RouteIndex {
+  if (before?.isUnique) {
+    const { start, endBefore, endAfter } = changedRange(before.routes, routes);
     const byHost = new Map(before.byHost);
     const removed = before.routes.slice(start, endBefore);
-    if (putRoutes(byHost, removed, routes.slice(start, endAfter)))
-      return { routes, byHost, unique: true };
+    if (replaceRoutes(byHost, removed, routes.slice(start, endAfter)))
+      return { routes, byHost, isUnique: true };
   }
   const byHost = new Map<string, ReadonlyMap<string, HttpRoute>>();
-  const unique = putRoutes(byHost, [], routes);
-  return { routes, byHost, unique };
+  const isUnique = replaceRoutes(byHost, [], routes);
+  return { routes, byHost, isUnique };
 }
 
-/** Makes the look-ups of a deployment; with the table before it, for the cost of what changed. */
-export function makeRouteTable(d: Deployment, before?: RouteTable): RouteTable {
-  const index = makeRouteIndex(d.routes, before?.index);
-  const keys = new Map<string, TenantAccess>();
-  const pools = new Map<string, Pool>();
-  for (const t of d.tenants) for (const k of t.keys) keys.set(k, t);
-  for (const p of d.pools) pools.set(p.name, p);
+/** The look-ups of one deployment. */
+export class RouteTable {
+  readonly limits: CallerLimits;
+  readonly stores: readonly PartStore[];
+  private readonly index: RouteIndex;
+  private readonly tenants = new Map<string, TenantAccess>();
+  private readonly pools = new Map<string, Pool>();
+
+  /** `before` is the table of the deployment before this one. */
+  constructor(deployment: Deployment, before?: RouteTable) {
+    this.limits = deployment.limits;
+    this.stores = deployment.stores;
+    this.index = indexRoutes(deployment.routes, before?.index);
+    for (const tenant of deployment.tenants)
+      for (const key of tenant.keys) this.tenants.set(key, tenant);
+    for (const pool of deployment.pools) this.pools.set(pool.name, pool);
+  }
 
-  function find(host: string, path: string): HttpRoute | undefined {
-    const prefixes = index.byHost.get(host);
+  /** The route of that host with the longest prefix that begins the path; prefixes end with a slash. */
+  findRoute(host: string, path: string): HttpRoute | undefined {
+    const prefixes = this.index.byHost.get(host);
     if (!prefixes) return undefined;
     for (let i = path.lastIndexOf('/'); i >= 0; i = i === 0 ? -1 : path.lastIndexOf('/', i - 1)) {
-      const r = prefixes.get(path.slice(0, i + 1));
-      if (r) return r;
+      const route = prefixes.get(path.slice(0, i + 1));
+      if (route) return route;
     }
     return undefined;
   }
 
-  return {
-    limits: d.limits,
-    findRoute: find,
-    tenantOf: keys.get.bind(keys),
-    poolOf: pools.get.bind(pools),
-    stores: d.stores,
-    index,
-  };
+  /** The tenant of a key. */
+  tenantOf(key: string): TenantAccess | undefined {
+    return this.tenants.get(key);
+  }
+
+  /** The pool of a name. */
+  poolOf(name: string): Pool | undefined {
+    return this.pools.get(name);
+  }
 }
 
 /** Draws a target of a route by weight; `draw` is from 0 to under 1. */
 export function drawPool(route: HttpRoute, draw: number): string | undefined {
-  let all = 0;
-  for (const t of route.targets) all += t.weight;
-  let at = draw * all;
-  for (const t of route.targets) {
-    if (t.weight > 0 && at < t.weight) return t.pool;
-    at -= t.weight;
+  let totalWeight = 0;
+  for (const { weight } of route.targets) totalWeight += weight;
+  let remaining = draw * totalWeight;
+  for (const { pool, weight } of route.targets) {
+    if (weight > 0 && remaining < weight) return pool;
+    remaining -= weight;
   }
   return undefined;
 }
--- a/src/data/gateway/weights-tracker.ts
+++ b/src/data/gateway/weights-tracker.ts
@@ -1,141 +1,127 @@
-import { Right } from 'purify-ts';
-import { bodyField } from '../../shared/transport/body-fields';
-import { HandlerResult, messageHandler } from '../../shared/transport/message-handlers';
+/**
+ * Which engine runs with which weights, as far as a router knows: from the list of engines, from engines' own answers,
+ * and from the core ahead of the list.
+ */
+
 import { Clock } from '../../shared/ports/clock';
 import { compareWeights, lacks, NamedWeights } from '../../shared/state/weights';
 import { Engine } from '../../shared/state/engines';
 
-/** The weights that a fresh request is sent under: `now` are the named ones or newer, `old` ones may serve for some time yet; an engine that is `loading` turns requests away until it is done. */
+/** The weights that a fresh request is sent under: `now` are the named ones or newer, `old` ones may serve for some time yet; an engine that is `loading` rejects requests until it is done. */
 export interface ExpectedWeights {
   weights: string;
   kind: 'now' | 'old' | 'loading';
 }
 
-/** What a router knows of which engine runs with which weights. */
-export interface WeightsTracker {
-  /** Hears the news of a model; `live` is whether this router heard it as it was made, not on catching up. */
-  recordNaming: (v: NamedWeights, live: boolean) => void;
-  /** Takes the list of engines. */
-  recordEngines: (engines: readonly Engine[]) => void;
-  /** Hears from an engine's answer, also one that turned a request away, which weights it runs with, by model. */
-  recordReported: (instance: string, weights: Record<string, string>) => void;
-  /** Hears that engines are about to take up weights, so that nothing fresh is sent there until they have them or `withinMs` has passed. */
-  recordLoading: (instances: readonly string[], withinMs: number) => void;
-  /** The weights to expect of an engine for a fresh request; none where it may not serve one. */
-  expectedWeights: (instance: string, model: string) => ExpectedWeights | undefined;
-}
+/** Stands among the older weights of a naming for all from before the first one. */
+const ANY_OLDER = '*';
 
-/** Makes the book. Older weights serve fresh requests for `stopMs` from when the newer naming was heard, or for `lateMs` where it was only caught up on. An engine's weights never fall within one life, so the newest that any source tells are what it has. */
-export function makeWeightsBook(clock: Clock, stopMs: number, lateMs: number): WeightsTracker {
-  const names = new Map<string, NamedWeights>();
-  const since = new Map<string, number>();
-  const has = new Map<string, Map<string, string>>();
-  const busy = new Map<string, { weights: Map<string, string>; until: number }>();
-
-  function named(v: NamedWeights, live: boolean): void {
-    names.set(v.model, v);
-    for (const w of v.older)
-      if (!since.has(keyOf(v.model, w)))
-        since.set(keyOf(v.model, w), clock.now() - (live ? 0 : stopMs - lateMs));
-    for (const k of since.keys())
-      if (k.startsWith(`${v.model} `) && !v.older.includes(k.slice(v.model.length + 1)))
-        since.delete(k);
-  }
+/** An engine that takes up weights. */
+interface Loading {
+  /** The weights that it had when that was heard, by model. */
+  before: Map<string, string>;
+  /** When it is taken to have ended whatever is heard, in ms of the clock. */
+  until: number;
+}
 
-  function keyOf(model: string, weights: string): string {
-    return `${model} ${weights}`;
-  }
+function keyOf(model: string, weights: string): string {
+  return `${model} ${weights}`;
+}
 
-  function listed(engines: readonly Engine[]): void {
-    const here = new Set<string>();
-    for (const e of engines) {
-      here.add(e.id);
-      for (const m of e.models ?? [{ name: e.model, weights: e.weights }])
-        if (m.weights !== '') note(e.id, m.name, m.weights);
-    }
-    for (const id of has.keys()) if (!here.has(id)) has.delete(id);
-    for (const id of busy.keys()) if (!here.has(id)) busy.delete(id);
-  }
+function modelsOf(engine: Engine): { name: string; weights: string }[] {
+  return engine.models ?? [{ name: engine.model, weights: engine.weights }];
+}
 
-  function note(instance: string, model: string, weights: string): void {
-    const of = has.get(instance) ?? new Map<string, string>();
-    has.set(instance, of);
-    const before = of.get(model);
-    if (before === undefined || compareWeights(weights, before, names.get(model)) >= 0)
-      of.set(model, weights);
+/** Tracks the weights of engines. An engine's weights never fall within one incarnation, so the newest that any source reports are what it has. */
+export class WeightsTracker {
+  private readonly namings = new Map<string, NamedWeights>();
+  /** Since when weights have been older ones, in ms of the clock, by model and weights. */
+  private readonly outdatedSince = new Map<string, number>();
+  /** Weights by model, by engine. */
+  private readonly engines = new Map<string, Map<string, string>>();
+  private readonly loading = new Map<string, Loading>();
+
+  /** Older weights serve fresh requests for `olderMs` from when the newer naming was heard, or for `caughtUpMs` where it was only caught up on. */
+  constructor(
+    private readonly clock: Clock,
+    private readonly olderMs: number,
+    private readonly caughtUpMs: number,
+  ) {}
+
+  /** Records the newest naming of a model; `isLive` is whether this router heard it as it was made, not on catching up. */
+  recordNaming(naming: NamedWeights, isLive: boolean): void {
+    const { model, older } = naming;
+    const heardAt = this.clock.now() - (isLive ? 0 : this.olderMs - this.caughtUpMs);
+    this.namings.set(model, naming);
+    for (const weights of older)
+      if (!this.outdatedSince.has(keyOf(model, weights)))
+        this.outdatedSince.set(keyOf(model, weights), heardAt);
+    const prefix = keyOf(model, '');
+    for (const key of this.outdatedSince.keys())
+      if (key.startsWith(prefix) && !older.includes(key.slice(prefix.length)))
+        this.outdatedSince.delete(key);
   }
 
-  function told(instance: string, weights: Record<string, string>): void {
-    for (const [model, w] of Object.entries(weights)) note(instance, model, w);
+  /** Records the list of engines, and forgets all others. */
+  recordEngines(engines: readonly Engine[]): void {
+    const listed = new Set<string>();
+    for (const engine of engines) {
+      listed.add(engine.id);
+      for (const { name, weights } of modelsOf(engine))
+        if (weights !== '') this.recordWeights(engine.id, name, weights);
+    }
+    for (const id of this.engines.keys()) if (!listed.has(id)) this.engines.delete(id);
+    for (const id of this.loading.keys()) if (!listed.has(id)) this.loading.delete(id);
   }
 
-  function loading(instances: readonly string[], withinMs: number): void {
-    for (const id of instances)
-      busy.set(id, { weights: new Map(has.get(id) ?? []), until: clock.now() + withinMs });
+  /** Records what an engine reported, also with a rejection: the weights that it runs with, by model. */
+  recordReported(engineId: string, weightsByModel: Record<string, string>): void {
+    for (const [model, weights] of Object.entries(weightsByModel))
+      this.recordWeights(engineId, model, weights);
   }
 
-  function isLoading(instance: string, model: string): boolean {
-    const b = busy.get(instance);
-    return (
-      b !== undefined &&
-      clock.now() < b.until &&
-      b.weights.get(model) === has.get(instance)?.get(model)
-    );
+  /** Records that engines are about to take up weights, so that nothing fresh is sent there until they have them or `withinMs` has passed. */
+  recordLoading(engineIds: readonly string[], withinMs: number): void {
+    for (const id of engineIds)
+      this.loading.set(id, {
+        before: new Map(this.engines.get(id) ?? []),
+        until: this.clock.now() + withinMs,
+      });
   }
 
-  function expect(instance: string, model: string): ExpectedWeights | undefined {
-    const w = has.get(instance)?.get(model);
-    const v = names.get(model);
-    if (w === undefined) return v && { weights: v.weights, kind: 'now' };
-    if (!v || !lacks(w, v)) return { weights: w, kind: 'now' };
-    if (isLoading(instance, model)) return { weights: v.weights, kind: 'loading' };
-    return mayServe(v, w) ? { weights: w, kind: 'old' } : undefined;
+  /** The weights to expect of an engine for a fresh request; none where it may not serve one, or nothing is known of the model. */
+  expectedWeights(engineId: string, model: string): ExpectedWeights | undefined {
+    const weights = this.engines.get(engineId)?.get(model);
+    const naming = this.namings.get(model);
+    if (weights === undefined) return naming && { weights: naming.weights, kind: 'now' };
+    if (!naming || !lacks(weights, naming)) return { weights, kind: 'now' };
+    if (this.isLoading(engineId, model)) return { weights: naming.weights, kind: 'loading' };
+    return this.mayStillServe(model, weights) ? { weights, kind: 'old' } : undefined;
   }
 
-  function mayServe(v: NamedWeights, weights: string): boolean {
-    const heard = since.get(keyOf(v.model, weights)) ?? since.get(keyOf(v.model, '*'));
-    return heard !== undefined && clock.now() - heard < stopMs;
+  private recordWeights(engineId: string, model: string, weights: string): void {
+    const known = this.engines.get(engineId) ?? new Map<string, string>();
+    this.engines.set(engineId, known);
+    const before = known.get(model);
+    if (before === undefined || compareWeights(weights, before, this.namings.get(model)) >= 0)
+      known.set(model, weights);
   }
 
-  return {
-    recordNaming: named,
-    recordEngines: listed,
-    recordReported: told,
-    recordLoading: loading,
-    expectedWeights: expect,
-  };
-}
-
-class LoadingNotice {
-  @bodyField('list') engines!: string[];
-  @bodyField('number') within!: number;
-}
-
-class LoadedNotice {
-  @bodyField('string') engine!: string;
-  @bodyField('object') weights!: Record<string, string>;
-}
-
-/** What the core says of engines that take up weights, ahead of the list. */
-export class WeightsMessages {
-  constructor(private readonly book: WeightsTracker) {}
-
-  /** Hears that engines are about to take up weights; within 0 they no longer are. */
-  @messageHandler('loading', LoadingNotice)
-  async loading(m: LoadingNotice): HandlerResult {
-    this.book.recordLoading(m.engines, m.within);
-    return Right(true);
+  private isLoading(engineId: string, model: string): boolean {
+    const loading = this.loading.get(engineId);
+    if (loading === undefined || this.clock.now() >= loading.until) return false;
+    return loading.before.get(model) === this.engines.get(engineId)?.get(model);
   }
 
-  /** Hears that an engine has them. */
-  @messageHandler('loaded', LoadedNotice)
-  async loaded(m: LoadedNotice): HandlerResult {
-    this.book.recordReported(m.engine, m.weights);
-    return Right(true);
+  private mayStillServe(model: string, weights: string): boolean {
+    const since =
+      this.outdatedSince.get(keyOf(model, weights)) ??
+      this.outdatedSince.get(keyOf(model, ANY_OLDER));
+    return since !== undefined && this.clock.now() - since < this.olderMs;
   }
 }
 
-/** The text under which an engine keeps and finds parts: parts of other weights or of another wall are never found. */
-export function cacheSalt(wall: string, weights: string): string {
-  return `${wall}:${weights}`;
+/** The salt under which an engine keeps and finds blocks: those of other weights or of another cache scope are never found. */
+export function cacheSalt(cacheScope: string, weights: string): string {
+  return `${cacheScope}:${weights}`;
 }
--- a/src/data/router.ts
+++ b/src/data/router.ts
@@ -76,7 +76,7 @@
     await wire!.close();
   }
 
-  return Right({ stop, drain: gateway.drain });
+  return Right({ stop, drain: gateway.drain.bind(gateway) });
 }
 
 /** Starts a router: it follows the core, watches engines, and takes callers. */
--- a/test/compatibility/wire.test.ts
+++ b/test/compatibility/wire.test.ts
@@ -17,7 +17,7 @@
 import { ReplicaHandlers } from '../../src/control/consensus/replica-sync';
 import { MembershipRequests } from '../../src/control/membership/membership-requests';
 import { IdempotencyVotes } from '../../src/control/storage/idempotency-votes';
-import { WeightsMessages } from '../../src/data/gateway/weights-tracker';
+import { WeightsMessages } from '../../src/data/gateway/weights-messages';
 import { IndexEdge } from '../../src/index/messages';
 import { OverlapEdge } from '../../src/index/overlap';
 import { WholeEdge } from '../../src/index/repair';
--- a/test/control/deployment-reading.test.ts
+++ b/test/control/deployment-reading.test.ts
@@ -1,5 +1,5 @@
 import { platform } from '../../platform/dialect';
-import { makeRouteTable, RouteTable } from '../../src/data/gateway/route-table';
+import { RouteTable } from '../../src/data/gateway/route-table';
 import { Deployment } from '../../src/shared/state/deployment';
 
 type Item = Record<string, unknown>;
@@ -70,8 +70,8 @@
       items.splice(where, draw(3), ...(draw(4) > 0 ? [fresh] : []));
     }
     const d: Deployment = read(items).unsafeCoerce();
-    table = makeRouteTable(d, table);
-    expect(found(table)).toEqual(found(makeRouteTable(d)));
+    table = new RouteTable(d, table);
+    expect(found(table)).toEqual(found(new RouteTable(d)));
   }
 }
 
--- a/test/control/weights.test.ts
+++ b/test/control/weights.test.ts
@@ -1,9 +1,5 @@
-import {
-  makeWeightsBook,
-  cacheSalt,
-  WeightsTracker,
-  WeightsMessages,
-} from '../../src/data/gateway/weights-tracker';
+import { cacheSalt, WeightsTracker } from '../../src/data/gateway/weights-tracker';
+import { WeightsMessages } from '../../src/data/gateway/weights-messages';
 import { dispatch } from '../../src/shared/transport/message-handlers';
 import { Clock } from '../../src/shared/ports/clock';
 import { compareWeights, lacks } from '../../src/shared/state/weights';
@@ -25,7 +21,7 @@
   function pass(ms: number): void {
     t += ms;
   }
-  return { book: makeWeightsBook({ now } as Clock, STOP, LATE), pass };
+  return { book: new WeightsTracker({ now } as Clock, STOP, LATE), pass };
 }
 
 function engine(id: string, ...weights: string[]): Engine {
--- a/test/data/gateway-connections.test.ts
+++ b/test/data/gateway-connections.test.ts
@@ -1,5 +1,5 @@
-import { keepConnections } from '../../src/data/gateway/engine-connections';
-import { makeRetryBudget } from '../../src/data/gateway/retry-budget';
+import { EngineConnections } from '../../src/data/gateway/engine-connections';
+import { RetryBudget } from '../../src/data/gateway/retry-budget';
 import { failure, errorOrValue, Result } from '../../src/shared/errors/errors';
 import { Clock } from '../../src/shared/ports/clock';
 import { HttpConnection, RawHttpNetwork } from '../../src/shared/ports/raw-http';
@@ -110,7 +110,7 @@
 
 async function usedAgain(): Promise<void> {
   const w = hands();
-  const k = keepConnections(w.clock, w.http, { ...defaultSettings(), contactMs: 3000 }, two);
+  const k = new EngineConnections(w.clock, w.http, { ...defaultSettings(), contactMs: 3000 }, two);
   k.recordKeepAlive(engine, 2);
   const a = (await k.acquire(engine, 100)).unsafeCoerce();
   const b = (await k.acquire(engine, 100)).unsafeCoerce();
@@ -131,7 +131,7 @@
 
 async function shared(): Promise<void> {
   const w = hands();
-  const k = keepConnections(w.clock, w.http, defaultSettings(), two);
+  const k = new EngineConnections(w.clock, w.http, defaultSettings(), two);
   for (let i = 0; i < 4; i++) expect((await k.acquire(engine, 10)).isRight()).toBe(true);
   const [f] = errorOrValue(await k.acquire(engine, 10));
   expect(f).toMatchObject({ certainty: 'refused', code: 'no-connection' });
@@ -143,7 +143,7 @@
 
 async function darkMachine(): Promise<void> {
   const w = hands();
-  const k = keepConnections(w.clock, w.http, defaultSettings(), two);
+  const k = new EngineConnections(w.clock, w.http, defaultSettings(), two);
   await k.acquire(engine, 100);
   w.made[0].idle();
   expect(await k.isReachable(engine)).toBe(true);
@@ -167,7 +167,7 @@
   function known(): number | undefined {
     return routers;
   }
-  const b = makeRetryBudget(
+  const b = new RetryBudget(
     w.clock,
     { ...defaultSettings(), retryWindowMs: 10000, retryRatio: 0.2, retrySlack: 50 },
     known,
--- a/tools/compatibility/scenarios.ts
+++ b/tools/compatibility/scenarios.ts
@@ -3,7 +3,7 @@
  */
 
 import { makeRollOutDesk } from '../../test/control/rolloutdesk';
-import { IndexerClient, reachIndexers } from '../../src/data/gateway/indexer-client';
+import { IndexerClient } from '../../src/data/gateway/indexer-client';
 import { EngineLoads } from '../../src/data/gateway/engine-loads';
 import { timeLimitsOf } from '../../src/shared/settings/time-limits';
 import { openChannel, HelloHandlers } from '../../src/shared/transport/connections';
@@ -57,8 +57,14 @@
   const loads = { ownLoads, applyBoard: nothing, discardBoard: nothing } as unknown as EngineLoads;
   const membership = makePushStream<Member[]>().stream;
   const follower = { members, memberChanges: membership } as unknown as Follower;
-  const bounds = timeLimitsOf(defaultSettings());
-  return reachIndexers(probe.ports, bounds, follower, probe.hello, loads, routers);
+  return new IndexerClient({
+    ports: probe.ports,
+    timeLimits: timeLimitsOf(defaultSettings()),
+    follower,
+    hello: probe.hello,
+    loads,
+    routerCount: routers,
+  });
 }
 
 /** Two gateways and two indexers, one of which misses events of an engine. */
