--- a/test/control/weights.test.ts
+++ b/test/control/weights.test.ts
@@ -8,12 +8,12 @@
 const STOP = 6000;
 const LATE = 2000;
 
-interface Desk {
-  book: WeightsTracker;
+interface Fixture {
+  tracker: WeightsTracker;
   pass: (ms: number) => void;
 }
 
-function desk(): Desk {
+function makeFixture(): Fixture {
   let t = 1000;
   function now(): number {
     return t;
@@ -21,7 +21,7 @@
   function pass(ms: number): void {
     t += ms;
   }
-  return { book: new WeightsTracker({ now } as Clock, STOP, LATE), pass };
+  return { tracker: new WeightsTracker({ now } as Clock, STOP, LATE), pass };
 }
 
 function engine(id: string, ...weights: string[]): Engine {
@@ -49,92 +49,92 @@
 }
 
 function servesOldForATime(): void {
-  const { book, pass } = desk();
-  book.recordEngines([engine('a', '1'), engine('b', '2')]);
-  expect(book.expectedWeights('a', 'm1')).toEqual({ weights: '1', kind: 'now' });
-  book.recordNaming({ model: 'm1', weights: '2', older: ['*'] }, true);
-  expect(book.expectedWeights('a', 'm1')).toEqual({ weights: '1', kind: 'old' });
-  expect(book.expectedWeights('b', 'm1')).toEqual({ weights: '2', kind: 'now' });
+  const { tracker, pass } = makeFixture();
+  tracker.recordEngines([engine('a', '1'), engine('b', '2')]);
+  expect(tracker.expectedWeights('a', 'm1')).toEqual({ weights: '1', kind: 'now' });
+  tracker.recordNaming({ model: 'm1', weights: '2', older: ['*'] }, true);
+  expect(tracker.expectedWeights('a', 'm1')).toEqual({ weights: '1', kind: 'old' });
+  expect(tracker.expectedWeights('b', 'm1')).toEqual({ weights: '2', kind: 'now' });
   pass(STOP - 1);
-  expect(book.expectedWeights('a', 'm1')?.kind).toBe('old');
+  expect(tracker.expectedWeights('a', 'm1')?.kind).toBe('old');
   pass(1);
-  expect(book.expectedWeights('a', 'm1')).toBeUndefined();
-  expect(book.expectedWeights('b', 'm1')).toEqual({ weights: '2', kind: 'now' });
+  expect(tracker.expectedWeights('a', 'm1')).toBeUndefined();
+  expect(tracker.expectedWeights('b', 'm1')).toEqual({ weights: '2', kind: 'now' });
 }
 
 function eachByItsOwnTime(): void {
-  const { book, pass } = desk();
-  book.recordEngines([engine('a', '1'), engine('b', '2')]);
-  book.recordNaming({ model: 'm1', weights: '2', older: ['*'] }, true);
+  const { tracker, pass } = makeFixture();
+  tracker.recordEngines([engine('a', '1'), engine('b', '2')]);
+  tracker.recordNaming({ model: 'm1', weights: '2', older: ['*'] }, true);
   pass(STOP / 2);
-  book.recordNaming({ model: 'm1', weights: '3', older: ['*', '2'] }, true);
+  tracker.recordNaming({ model: 'm1', weights: '3', older: ['*', '2'] }, true);
   pass(STOP / 2);
-  expect(book.expectedWeights('a', 'm1')).toBeUndefined();
-  expect(book.expectedWeights('b', 'm1')?.kind).toBe('old');
+  expect(tracker.expectedWeights('a', 'm1')).toBeUndefined();
+  expect(tracker.expectedWeights('b', 'm1')?.kind).toBe('old');
   pass(STOP / 2);
-  expect(book.expectedWeights('b', 'm1')).toBeUndefined();
+  expect(tracker.expectedWeights('b', 'm1')).toBeUndefined();
 }
 
 function caughtUp(): void {
-  const { book, pass } = desk();
-  book.recordEngines([engine('a', '1')]);
-  book.recordNaming({ model: 'm1', weights: '2', older: ['*'] }, false);
+  const { tracker, pass } = makeFixture();
+  tracker.recordEngines([engine('a', '1')]);
+  tracker.recordNaming({ model: 'm1', weights: '2', older: ['*'] }, false);
   pass(LATE - 1);
-  expect(book.expectedWeights('a', 'm1')?.kind).toBe('old');
+  expect(tracker.expectedWeights('a', 'm1')?.kind).toBe('old');
   pass(1);
-  expect(book.expectedWeights('a', 'm1')).toBeUndefined();
+  expect(tracker.expectedWeights('a', 'm1')).toBeUndefined();
 }
 
 function endedIsTooLate(): void {
-  const { book } = desk();
-  book.recordEngines([engine('a', '1')]);
-  book.recordNaming({ model: 'm1', weights: '2', older: ['*'] }, true);
-  book.recordNaming({ model: 'm1', weights: '2', older: [] }, true);
-  expect(book.expectedWeights('a', 'm1')).toBeUndefined();
+  const { tracker } = makeFixture();
+  tracker.recordEngines([engine('a', '1')]);
+  tracker.recordNaming({ model: 'm1', weights: '2', older: ['*'] }, true);
+  tracker.recordNaming({ model: 'm1', weights: '2', older: [] }, true);
+  expect(tracker.expectedWeights('a', 'm1')).toBeUndefined();
 }
 
 function answersGoBeforeTheList(): void {
-  const { book } = desk();
-  book.recordEngines([engine('a', '1', '7')]);
-  book.recordNaming({ model: 'm1', weights: '2', older: ['*'] }, true);
-  book.recordReported('a', { m1: '2' });
-  book.recordEngines([engine('a', '1', '7')]);
-  expect(book.expectedWeights('a', 'm1')).toEqual({ weights: '2', kind: 'now' });
-  expect(book.expectedWeights('a', 'm2')).toEqual({ weights: '7', kind: 'now' });
-  book.recordReported('a', { m1: '3' });
-  expect(book.expectedWeights('a', 'm1')).toEqual({ weights: '3', kind: 'now' });
-  book.recordEngines([]);
-  book.recordEngines([engine('a', '1', '7')]);
-  expect(book.expectedWeights('a', 'm1')).toEqual({ weights: '1', kind: 'old' });
+  const { tracker } = makeFixture();
+  tracker.recordEngines([engine('a', '1', '7')]);
+  tracker.recordNaming({ model: 'm1', weights: '2', older: ['*'] }, true);
+  tracker.recordReported('a', { m1: '2' });
+  tracker.recordEngines([engine('a', '1', '7')]);
+  expect(tracker.expectedWeights('a', 'm1')).toEqual({ weights: '2', kind: 'now' });
+  expect(tracker.expectedWeights('a', 'm2')).toEqual({ weights: '7', kind: 'now' });
+  tracker.recordReported('a', { m1: '3' });
+  expect(tracker.expectedWeights('a', 'm1')).toEqual({ weights: '3', kind: 'now' });
+  tracker.recordEngines([]);
+  tracker.recordEngines([engine('a', '1', '7')]);
+  expect(tracker.expectedWeights('a', 'm1')).toEqual({ weights: '1', kind: 'old' });
 }
 
 function loadingIsLeftAlone(): void {
-  const { book, pass } = desk();
-  book.recordEngines([engine('a', '1', '7'), engine('b', '1')]);
-  book.recordNaming({ model: 'm1', weights: '2', older: ['*'] }, true);
-  book.recordLoading(['a'], 900);
-  expect(book.expectedWeights('a', 'm1')).toEqual({ weights: '2', kind: 'loading' });
-  expect(book.expectedWeights('a', 'm2')).toEqual({ weights: '7', kind: 'now' });
-  expect(book.expectedWeights('b', 'm1')?.kind).toBe('old');
+  const { tracker, pass } = makeFixture();
+  tracker.recordEngines([engine('a', '1', '7'), engine('b', '1')]);
+  tracker.recordNaming({ model: 'm1', weights: '2', older: ['*'] }, true);
+  tracker.recordLoading(['a'], 900);
+  expect(tracker.expectedWeights('a', 'm1')).toEqual({ weights: '2', kind: 'loading' });
+  expect(tracker.expectedWeights('a', 'm2')).toEqual({ weights: '7', kind: 'now' });
+  expect(tracker.expectedWeights('b', 'm1')?.kind).toBe('old');
   pass(900);
-  expect(book.expectedWeights('a', 'm1')?.kind).toBe('old');
-  book.recordLoading(['a'], 900);
-  book.recordReported('a', { m1: '2' });
-  expect(book.expectedWeights('a', 'm1')?.kind).toBe('now');
+  expect(tracker.expectedWeights('a', 'm1')?.kind).toBe('old');
+  tracker.recordLoading(['a'], 900);
+  tracker.recordReported('a', { m1: '2' });
+  expect(tracker.expectedWeights('a', 'm1')?.kind).toBe('now');
 }
 
 async function coreSays(): Promise<void> {
-  const { book } = desk();
-  const edge = [new WeightsMessages(book)];
-  book.recordEngines([engine('a', '1')]);
-  book.recordNaming({ model: 'm1', weights: '2', older: ['*'] }, true);
-  await dispatch(edge, 'loading', { engines: ['a'], within: 900 }, undefined, 'core');
-  expect(book.expectedWeights('a', 'm1')?.kind).toBe('loading');
-  await dispatch(edge, 'loading', { engines: ['a'], within: 0 }, undefined, 'core');
-  expect(book.expectedWeights('a', 'm1')?.kind).toBe('old');
-  await dispatch(edge, 'loaded', { engine: 'a', weights: { m1: '2' } }, undefined, 'core');
-  expect(book.expectedWeights('a', 'm1')).toEqual({ weights: '2', kind: 'now' });
-  expect((await dispatch(edge, 'loading', { engines: 'a' }, undefined, 'core')).isLeft()).toBe(
+  const { tracker } = makeFixture();
+  const handlers = [new WeightsMessages(tracker)];
+  tracker.recordEngines([engine('a', '1')]);
+  tracker.recordNaming({ model: 'm1', weights: '2', older: ['*'] }, true);
+  await dispatch(handlers, 'loading', { engines: ['a'], within: 900 }, undefined, 'core');
+  expect(tracker.expectedWeights('a', 'm1')?.kind).toBe('loading');
+  await dispatch(handlers, 'loading', { engines: ['a'], within: 0 }, undefined, 'core');
+  expect(tracker.expectedWeights('a', 'm1')?.kind).toBe('old');
+  await dispatch(handlers, 'loaded', { engine: 'a', weights: { m1: '2' } }, undefined, 'core');
+  expect(tracker.expectedWeights('a', 'm1')).toEqual({ weights: '2', kind: 'now' });
+  expect((await dispatch(handlers, 'loading', { engines: 'a' }, undefined, 'core')).isLeft()).toBe(
     true,
   );
 }
--- a/test/data/drain-fixture.ts
+++ b/test/data/drain-fixture.ts
@@ -1,6 +1,6 @@
 /** Gateways that are told to end while a clock that a test moves stands still. */
 
-import { deployment, Rig, route, startRig, startStandIn } from './gatewayrig';
+import { deployment, Rig, route, startRig, startStandIn } from './gateway-fixture';
 import { heldStreams, HeldStreams } from './held-streams';
 import { ManualClock, manualClock } from '../shared/manual-clock';
 
--- a/test/data/gateway-callers.test.ts
+++ b/test/data/gateway-callers.test.ts
@@ -1,4 +1,4 @@
-import { deployment, Rig, route, startRig, startStandIn, streams } from './gatewayrig';
+import { deployment, Rig, route, startRig, startStandIn, streams } from './gateway-fixture';
 import { bareCaller, BareCaller } from './bare-caller';
 import { heldStreams } from './held-streams';
 
--- a/test/data/gateway-drain-changes.test.ts
+++ b/test/data/gateway-drain-changes.test.ts
@@ -1,7 +1,7 @@
 import { CONTROL_KEYS } from '../../src/shared/state/control-keys';
 import { bareCaller } from './bare-caller';
-import { HeldRig, startHeldRig } from './drainrig';
-import { ask, deployment, Got, route, sealed, startStandIn, turnsAway } from './gatewayrig';
+import { HeldRig, startHeldRig } from './drain-fixture';
+import { ask, deployment, Got, route, sealed, startStandIn, turnsAway } from './gateway-fixture';
 
 const LONG_MS = 6000;
 const STEP_MS = 60;
--- a/test/data/gateway-drain-end.test.ts
+++ b/test/data/gateway-drain-end.test.ts
@@ -1,5 +1,5 @@
 import { bareCaller, BareCaller } from './bare-caller';
-import { CONTACT_MS, GRACE_MS, HeldRig, startHeldRig } from './drainrig';
+import { CONTACT_MS, GRACE_MS, HeldRig, startHeldRig } from './drain-fixture';
 import { HeldStreams } from './held-streams';
 
 /** The share of the grace after which a drain ends, and the one for which a router that leaves takes all that comes. */
--- a/test/data/gateway-drain.test.ts
+++ b/test/data/gateway-drain.test.ts
@@ -1,8 +1,8 @@
 import http from 'node:http';
 import { RandomSource } from '../../src/shared/ports/random';
 import { seededDice } from '../../tools/sim/dice';
-import { CONTACT_MS, GRACE_MS, startHeldRig } from './drainrig';
-import { ask, Got, Rig } from './gatewayrig';
+import { CONTACT_MS, GRACE_MS, startHeldRig } from './drain-fixture';
+import { ask, Got, Rig } from './gateway-fixture';
 import { ManualClock } from '../shared/manual-clock';
 
 /** The last part of the grace, in which what was taken early may be cut off. */
--- a/test/data/gateway-late-bytes.test.ts
+++ b/test/data/gateway-late-bytes.test.ts
@@ -1,5 +1,5 @@
 import net from 'node:net';
-import { ask, deployment, Rig, route, startRig } from './gatewayrig';
+import { ask, deployment, Rig, route, startRig } from './gateway-fixture';
 import { say } from './bare-caller';
 
 /** A request as it came to an engine. */
--- a/test/data/gateway-readiness.test.ts
+++ b/test/data/gateway-readiness.test.ts
@@ -9,7 +9,7 @@
   startRig,
   startStandIn,
   streams,
-} from './gatewayrig';
+} from './gateway-fixture';
 
 async function statusAt(at: string, path = '/api/readiness'): Promise<number> {
   return (await ask(at, { method: 'GET', path, body: '' })).status;
--- a/test/data/gateway-silent-engines.test.ts
+++ b/test/data/gateway-silent-engines.test.ts
@@ -9,7 +9,7 @@
   startRig,
   startStandIn,
   streams,
-} from './gatewayrig';
+} from './gateway-fixture';
 
 const roomy = { retryWindowMs: 1, retrySlack: 1000 };
 const QUICK = { resumable: true, aimMs: 30, gapAimMs: 10, maxAttempts: 2 };
--- a/test/data/gateway-transcripts.test.ts
+++ b/test/data/gateway-transcripts.test.ts
@@ -1,5 +1,5 @@
 import net from 'node:net';
-import { deployment, route, startRig } from './gatewayrig';
+import { deployment, route, startRig } from './gateway-fixture';
 import { say } from './bare-caller';
 
 /** A bare peer: it shows what was said to it and says what a test has written down. */
--- a/test/data/gateway-uncertain-attempts.test.ts
+++ b/test/data/gateway-uncertain-attempts.test.ts
@@ -11,7 +11,7 @@
   startStandIn,
   streams,
   turnsAway,
-} from './gatewayrig';
+} from './gateway-fixture';
 
 const FIVE = streamOf(1, 5);
 
--- a/test/data/gateway.test.ts
+++ b/test/data/gateway.test.ts
@@ -9,7 +9,7 @@
   startStandIn,
   streams,
   turnsAway,
-} from './gatewayrig';
+} from './gateway-fixture';
 
 const THREE = 'id: 1\ndata: piece 1\n\nid: 2\ndata: piece 2\n\nid: 3\ndata: piece 3\n\n';
 
--- a/test/data/held-streams.ts
+++ b/test/data/held-streams.ts
@@ -1,6 +1,6 @@
 /** A stand-in engine's answers that a test lets go. */
 
-import { EngineCall, sealed } from './gatewayrig';
+import { EngineCall, sealed } from './gateway-fixture';
 
 /** Streams of two events: the first comes at once, the last when told. */
 export interface HeldStreams {
