--- a/src/data/api.ts
+++ b/src/data/caller-api.ts
@@ -11,16 +11,16 @@
 import { OperationError, errorOrValue } from '../shared/errors/errors';
 import { sha256Hex } from '../shared/util/hashing';
 import { IncomingRequest } from '../shared/ports/network';
-import { holdKey, tellRun, votersMark } from './once';
-import { Overlap, Placement } from './place';
-import { CallerAsk, CheckedAsk, isToken, tokensOf } from './caller-ask';
-import { RouterParts } from './parts';
+import { acquireIdempotencyKey, reportRun, voterSetFingerprint } from './idempotency-keys';
+import { Overlap, EngineChoice } from './engine-selector';
+import { GenerateBody, CheckedRequest, isToken, tokensOf } from './caller-request';
+import { RouterDependencies } from './router-dependencies';
 
 /** The callers' HTTP interface. */
 export class CallerApi {
   private underWay = 0;
 
-  constructor(private readonly r: RouterParts) {}
+  constructor(private readonly r: RouterDependencies) {}
 
   /** How many requests are under way. */
   busy(): number {
@@ -39,10 +39,10 @@
     return undefined;
   }
 
-  private async check(call: IncomingRequest): Promise<CheckedAsk | undefined> {
+  private async check(call: IncomingRequest): Promise<CheckedRequest | undefined> {
     const { r } = this;
-    const again = r.bounds.retryPauseMs * 5;
-    if (r.draining()) return this.refuse(call, 503, 'draining', 'this router is leaving', again);
+    const again = r.timeLimits.retryPauseMs * 5;
+    if (r.isDraining()) return this.refuse(call, 503, 'draining', 'this router is leaving', again);
     if (!r.follower.hasLease())
       return this.refuse(call, 503, 'no-claim', 'this router holds no claim at the core', again);
     const bearer = /^Bearer (.+)$/.exec(call.headers.authorization ?? '')?.[1];
@@ -54,7 +54,7 @@
       r.counts.refused++;
       return undefined;
     }
-    const [f, a] = errorOrValue(parseBody(CallerAsk, body, 'generate', call.peer));
+    const [f, a] = errorOrValue(parseBody(GenerateBody, body, 'generate', call.peer));
     if (f) return this.refuse(call, 400, f.code!, f.reason);
     const service = r.serviceOf(tenant, a.service, a.label);
     if (service === 'missing')
@@ -105,23 +105,23 @@
     this.underWay--;
   }
 
-  private async carry(call: IncomingRequest, c: CheckedAsk): Promise<void> {
+  private async carry(call: IncomingRequest, c: CheckedRequest): Promise<void> {
     const { r } = this;
     const { clock } = r.ports;
     const run = r.runId();
-    r.earn(c.service);
+    r.earnRetry(c.service);
     let set: string | undefined;
     if (c.key !== undefined) {
-      const once = await holdKey(r.follower, c.key, run);
-      if (!once.won) {
-        tellRun(r.follower, c.key, run, 'released');
+      const once = await acquireIdempotencyKey(r.follower, c.key, run);
+      if (!once.isAcquired) {
+        reportRun(r.follower, c.key, run, 'released');
         if (once.state === 'unreachable')
           return this.refuse(
             call,
             503,
             'no-core',
             'the core gave no vote',
-            r.bounds.retryPauseMs * 5,
+            r.timeLimits.retryPauseMs * 5,
           );
         r.counts.unknown++;
         return sendError(
@@ -130,10 +130,10 @@
           'unknown',
           `key-${once.state}`,
           `this Idempotency-Key is taken: ${once.state}`,
-          once.state === 'running' ? r.bounds.leaseMs : undefined,
+          once.state === 'running' ? r.timeLimits.leaseMs : undefined,
         );
       }
-      set = once.set;
+      set = once.voterSet;
     }
     const avoid = new Set<string>();
     const urgent = c.service.urgency === 'high';
@@ -144,13 +144,19 @@
       const weights = r.freshWeights(c.service.model);
       const by = new Map<string, Overlap[] | undefined>();
       for (const w of weights.queried)
-        by.set(w, await r.placer.overlaps(c.service.model, c.salt, w, c.parts));
-      const wanted = { model: c.service.model, salt: c.salt, parts: c.parts, urgent, avoid };
+        by.set(w, await r.selector.queryOverlaps(c.service.model, c.salt, w, c.parts));
+      const wanted = {
+        model: c.service.model,
+        salt: c.salt,
+        parts: c.parts,
+        urgent,
+        excluded: avoid,
+      };
       const p =
-        r.placer.choose({ ...wanted, weights: weights.now }, by) ??
-        (weights.old && r.placer.choose({ ...wanted, weights: weights.old }, by));
+        r.selector.choose({ ...wanted, weights: weights.now }, by) ??
+        (weights.old && r.selector.choose({ ...wanted, weights: weights.old }, by));
       if (!p) break;
-      if (sentOnce && !r.allowSecond(c.service)) {
+      if (sentOnce && !r.trySpendRetry(c.service)) {
         refusedBy = 'no-budget';
         break;
       }
@@ -159,8 +165,8 @@
         refusedBy = 'no-claim';
         break;
       }
-      if (c.key !== undefined && votersMark(r.follower) !== set) {
-        set = (await holdKey(r.follower, c.key, run)).set;
+      if (c.key !== undefined && voterSetFingerprint(r.follower) !== set) {
+        set = (await acquireIdempotencyKey(r.follower, c.key, run)).voterSet;
         if (set === undefined) break;
         attempt--;
         continue;
@@ -169,25 +175,25 @@
       r.counts.attempts++;
       const o = await this.forward(call, c, p, run, urgent);
       if (o.done) {
-        if (c.key !== undefined) tellRun(r.follower, c.key, run, o.fault ? 'unknown' : 'done');
+        if (c.key !== undefined) reportRun(r.follower, c.key, run, o.fault ? 'unknown' : 'done');
         return;
       }
       last = o.fault;
       if (o.fault && o.fault.certainty !== 'refused' && !c.service.mayRepeat) {
-        if (c.key !== undefined) tellRun(r.follower, c.key, run, 'unknown');
+        if (c.key !== undefined) reportRun(r.follower, c.key, run, 'unknown');
         r.counts.unknown++;
         return sendError(
           call,
           502,
           'unknown',
           'leg-lost',
-          `${o.fault.step} at ${p.seen.engine.id}: ${o.fault.reason}`,
+          `${o.fault.step} at ${p.tracked.engine.id}: ${o.fault.reason}`,
         );
       }
-      avoid.add(p.seen.engine.id);
-      if (o.fault?.code?.startsWith('status-')) r.engines.turnedAway(p.seen);
+      avoid.add(p.tracked.engine.id);
+      if (o.fault?.code?.startsWith('status-')) r.engines.recordRejection(p.tracked);
     }
-    if (c.key !== undefined) tellRun(r.follower, c.key, run, 'released');
+    if (c.key !== undefined) reportRun(r.follower, c.key, run, 'released');
     if (last && last.certainty !== 'refused') {
       r.counts.unknown++;
       return sendError(
@@ -196,7 +202,7 @@
         'unknown',
         'leg-lost',
         `${last.step}: ${last.reason}`,
-        r.bounds.retryPauseMs * 5,
+        r.timeLimits.retryPauseMs * 5,
       );
     }
     return this.refuse(
@@ -204,20 +210,20 @@
       503,
       refusedBy,
       last ? `${last.step}: ${last.reason}` : 'no engine can take this now',
-      r.bounds.retryPauseMs * 5,
+      r.timeLimits.retryPauseMs * 5,
     );
   }
 
   private async forward(
     call: IncomingRequest,
-    c: CheckedAsk,
-    p: Placement,
+    c: CheckedRequest,
+    p: EngineChoice,
     run: string,
     urgent: boolean,
   ): Promise<{ done: boolean; fault?: OperationError }> {
     const { r } = this;
     const { clock } = r.ports;
-    const unread = tokensOf(c.parts.slice(p.expected));
+    const unread = tokensOf(c.parts.slice(p.expectedBlocks));
     const q: GenerateRequest = {
       request: run,
       tenant: c.tenant,
@@ -230,44 +236,47 @@
       repeatable: c.service.mayRepeat,
       fetch: p.fetch && { at: p.fetch.at, hashes: p.fetch.hashes },
     };
-    r.engines.began(p.seen, unread);
+    r.engines.recordStart(p.tracked, unread);
     const attempt = {
       tenant: c.tenant,
       salt: c.salt,
       model: c.service.model,
       weights: p.weights,
-      seen: p.seen,
+      seen: p.tracked,
       since: clock.now(),
       cut: new AbortController(),
     };
-    r.underWay.add(attempt);
+    r.awaitingFirstPiece.add(attempt);
     const [f, g] = errorOrValue(
       await generate(
         r.ports,
-        p.seen.engine.at,
+        p.tracked.engine.at,
         q,
         Math.max(1, c.until - clock.now()),
         AbortSignal.any([call.aborted, attempt.cut.signal]),
       ),
     );
     if (f) {
-      r.underWay.delete(attempt);
-      r.engines.ended(
-        p.seen,
+      r.awaitingFirstPiece.delete(attempt);
+      r.engines.recordEnd(
+        p.tracked,
         f.certainty === 'refused' && f.code !== undefined && f.code.startsWith('status-'),
       );
       return { done: false, fault: f };
     }
     const [h, line] = errorOrValue(await g.next());
-    r.underWay.delete(attempt);
+    r.awaitingFirstPiece.delete(attempt);
     if (h) {
-      r.engines.ended(p.seen, false);
+      r.engines.recordEnd(p.tracked, false);
       return { done: false, fault: h };
     }
-    r.firstTook(clock.now() - c.since);
-    call.writeHead(200, { 'content-type': 'application/x-ndjson', 'x-engine': p.seen.engine.id });
+    r.observeFirstPieceMs(clock.now() - c.since);
+    call.writeHead(200, {
+      'content-type': 'application/x-ndjson',
+      'x-engine': p.tracked.engine.id,
+    });
     const bad = await this.pieces(call, g, line, c, p, run);
-    r.engines.ended(p.seen, bad === undefined || bad.code === 'caller-gone');
+    r.engines.recordEnd(p.tracked, bad === undefined || bad.code === 'caller-gone');
     return { done: true, fault: bad };
   }
 
@@ -275,8 +284,8 @@
     call: IncomingRequest,
     g: GenerationStream,
     first: EngineLine,
-    c: CheckedAsk,
-    p: Placement,
+    c: CheckedRequest,
+    p: EngineChoice,
     run: string,
   ): Promise<OperationError | undefined> {
     const { r } = this;
@@ -286,7 +295,7 @@
       if (line.request !== run)
         return this.breakOff(call, g, {
           step: 'read piece',
-          peer: p.seen.engine.id,
+          peer: p.tracked.engine.id,
           reason: `a line of ${line.request}`,
           certainty: 'unknown',
           code: 'foreign-line',
@@ -295,7 +304,7 @@
         if (line.count !== n)
           return this.breakOff(call, g, {
             step: 'read piece',
-            peer: p.seen.engine.id,
+            peer: p.tracked.engine.id,
             reason: `count ${line.count} after ${n} pieces`,
             certainty: 'unknown',
             code: 'bad-count',
@@ -308,7 +317,7 @@
       if (line.n !== n || typeof line.text !== 'string')
         return this.breakOff(call, g, {
           step: 'read piece',
-          peer: p.seen.engine.id,
+          peer: p.tracked.engine.id,
           reason: `piece ${line.n} where ${n} was due`,
           certainty: 'unknown',
           code: 'bad-order',
@@ -342,22 +351,27 @@
     return f;
   }
 
-  private note(c: CheckedAsk, p: Placement, line: EngineLine): void {
+  private note(c: CheckedRequest, p: EngineChoice, line: EngineLine): void {
     const { r } = this;
     const reused = line.reused ?? [];
     r.counts.needed += tokensOf(c.parts);
     r.counts.reused += tokensOf(reused);
-    r.counts.expected += tokensOf(c.parts.slice(0, p.expected));
-    if (!p.indexed) r.counts.unindexed++;
+    r.counts.expected += tokensOf(c.parts.slice(0, p.expectedBlocks));
+    if (!p.isIndexed) r.counts.unindexed++;
     if (line.fetched && p.fetch) {
       r.counts.fetched += line.fetched.tokens;
-      r.engines.learnedLink(p.fetch.from, p.seen.engine.id, line.fetched.tokens, line.fetched.ms);
+      r.engines.observeTransfer(
+        p.fetch.from,
+        p.tracked.engine.id,
+        line.fetched.tokens,
+        line.fetched.ms,
+      );
     }
     if (line.read !== undefined && line.prefillMs !== undefined)
-      r.engines.learnedPrefill(p.seen, line.read, line.prefillMs);
-    if (!p.sure || reused.length !== p.expected)
-      r.placer.tellReused({
-        source: p.seen.engine.id,
+      r.engines.observePrefill(p.tracked, line.read, line.prefillMs);
+    if (!p.isCertain || reused.length !== p.expectedBlocks)
+      r.selector.notifyReused({
+        source: p.tracked.engine.id,
         model: c.service.model,
         salt: c.salt,
         weights: p.weights,
@@ -369,11 +383,11 @@
   /** Whether this router takes requests. */
   @httpHandler('GET', '/healthz')
   async health(call: IncomingRequest): Promise<void> {
-    const ok = this.r.follower.hasLease() && !this.r.draining();
+    const ok = this.r.follower.hasLease() && !this.r.isDraining();
     sendJson(call, ok ? 200 : 503, {
       ok,
       lease: this.r.follower.hasLease(),
-      draining: this.r.draining(),
+      draining: this.r.isDraining(),
     });
   }
 
--- a/src/data/caller-ask.ts
+++ b/src/data/caller-request.ts
@@ -3,7 +3,7 @@
 import { Service } from '../shared/state/intents';
 
 /** What a caller asks for, as its body says it. */
-export class CallerAsk {
+export class GenerateBody {
   @bodyField('string', false) service?: string;
   @bodyField('string', false) label?: string;
   @bodyField('string', false) prompt?: string;
@@ -13,7 +13,7 @@
 }
 
 /** A caller's request that was checked against keys, services and bounds. */
-export interface CheckedAsk {
+export interface CheckedRequest {
   tenant: string;
   salt: string;
   service: Service;
--- a/src/data/place.ts
+++ b/src/data/engine-selector.ts
@@ -9,7 +9,7 @@
 import { CacheStore, IntentsValue } from '../shared/state/intents';
 import { CONTROL_KEYS } from '../shared/state/control-keys';
 import { Member } from '../shared/state/members';
-import { Engines, Seen } from './engines';
+import { EngineTracker, TrackedEngine } from './engine-tracker';
 
 /** How much a doubted token counts of a sure one. */
 const DOUBTED = 0.5;
@@ -35,49 +35,49 @@
 }
 
 /** What is to be placed. */
-export interface Wanted {
+export interface ChoiceRequest {
   model: string;
   salt: string;
   parts: PromptBlock[];
   urgent: boolean;
-  weights: (s: Seen) => string | undefined;
-  avoid: Set<string>;
+  weights: (s: TrackedEngine) => string | undefined;
+  excluded: Set<string>;
 }
 
 /** Where a request goes, and what is fetched for it. */
-export interface Placement {
-  seen: Seen;
+export interface EngineChoice {
+  tracked: TrackedEngine;
   weights: string;
-  expected: number;
-  sure: boolean;
+  expectedBlocks: number;
+  isCertain: boolean;
   fetch?: { from: string; at: string; hashes: string[]; tokens: number };
-  indexed: boolean;
+  isIndexed: boolean;
 }
 
 /** Asks indexers and works out placements. */
-export interface Placer {
-  overlaps: (
+export interface EngineSelector {
+  queryOverlaps: (
     model: string,
     salt: string,
     weights: string,
     parts: PromptBlock[],
   ) => Promise<Overlap[] | undefined>;
-  choose: (w: Wanted, by: Map<string, Overlap[] | undefined>) => Placement | undefined;
-  tellReused: (body: object) => void;
-  reach: (members: Member[]) => void;
+  choose: (w: ChoiceRequest, by: Map<string, Overlap[] | undefined>) => EngineChoice | undefined;
+  notifyReused: (body: object) => void;
+  updateIndexers: (members: Member[]) => void;
   stop: () => void;
 }
 
 /** Makes the placer; it keeps a connection up to each indexer. */
-export function makePlacer(
+export function makeEngineSelector(
   ports: Ports,
   bounds: TimeLimits,
   follower: Follower,
-  engines: Engines,
+  engines: EngineTracker,
   hello: Hello,
   edges: object[],
   way: 'index' | 'affinity',
-): Placer {
+): EngineSelector {
   const helds = makeConnectionPool(ports, {
     hello,
     handlers: edges,
@@ -113,9 +113,9 @@
     return undefined;
   }
 
-  function room(s: Seen, urgent: boolean): boolean {
+  function room(s: TrackedEngine, urgent: boolean): boolean {
     const st = s.status!;
-    const busy = st.running + st.waiting + s.sent;
+    const busy = st.running + st.waiting + s.sentSinceStatus;
     return busy < (urgent ? st.batch + st.queue : st.batch + st.queue * PATIENT_QUEUE);
   }
 
@@ -125,11 +125,11 @@
     return t;
   }
 
-  function waitOf(s: Seen): number {
+  function waitOf(s: TrackedEngine): number {
     const st = s.status!;
-    const behind = (st.unreadTokens + s.sentTokens) * s.msPerToken;
-    const over = Math.max(0, st.running + st.waiting + s.sent + 1 - st.batch);
-    return behind + over * s.msPerToken * BEHIND_TOKENS;
+    const behind = (st.unreadTokens + s.sentTokensSinceStatus) * s.msPerPrefillToken;
+    const over = Math.max(0, st.running + st.waiting + s.sentSinceStatus + 1 - st.batch);
+    return behind + over * s.msPerPrefillToken * BEHIND_TOKENS;
   }
 
   function stores(): CacheStore[] {
@@ -138,24 +138,32 @@
 
   function sourceAddress(source: string): string | undefined {
     const e = engines.get(source);
-    if (e) return engines.fit(e) ? e.engine.at : undefined;
+    if (e) return engines.isUsable(e) ? e.engine.at : undefined;
     function named(s: CacheStore): boolean {
       return s.id === source;
     }
     return stores().find(named)?.at;
   }
 
-  function choose(w: Wanted, by: Map<string, Overlap[] | undefined>): Placement | undefined {
+  function choose(
+    w: ChoiceRequest,
+    by: Map<string, Overlap[] | undefined>,
+  ): EngineChoice | undefined {
     const all = total(w.parts);
-    let best: { cost: number; p: Placement } | undefined;
+    let best: { cost: number; p: EngineChoice } | undefined;
     const prefix =
       w.parts.length > 1
         ? w.parts[Math.min(w.parts.length - 2, PREFIX_PART)].hash
         : (w.parts[0]?.hash ?? '');
-    const able: { s: Seen; weights: string }[] = [];
+    const able: { s: TrackedEngine; weights: string }[] = [];
     for (const s of engines.ofModel(w.model)) {
       const weights = w.weights(s);
-      if (weights !== undefined && !w.avoid.has(s.engine.id) && engines.fit(s) && room(s, w.urgent))
+      if (
+        weights !== undefined &&
+        !w.excluded.has(s.engine.id) &&
+        engines.isUsable(s) &&
+        room(s, w.urgent)
+      )
         able.push({ s, weights });
     }
     const ranks = rankByRendezvousHash(`${w.salt} ${prefix}`, able.map(idOf));
@@ -167,42 +175,47 @@
     }
     return best?.p;
 
-    function idOf(a: { s: Seen }): string {
+    function idOf(a: { s: TrackedEngine }): string {
       return a.s.engine.id;
     }
 
-    function byAffinity(s: Seen, weights: string): { cost: number; p: Placement } {
+    function byAffinity(s: TrackedEngine, weights: string): { cost: number; p: EngineChoice } {
       const rank = ranks.indexOf(s.engine.id);
       const likely = rank === 0 ? HOME_READS : 1;
       return {
-        cost: waitOf(s) + all * s.msPerToken * likely + rank,
-        p: { seen: s, weights, expected: 0, sure: false, indexed: false },
+        cost: waitOf(s) + all * s.msPerPrefillToken * likely + rank,
+        p: { tracked: s, weights, expectedBlocks: 0, isCertain: false, isIndexed: false },
       };
     }
 
-    function byIndex(s: Seen, weights: string, known: Overlap[]): { cost: number; p: Placement } {
+    function byIndex(
+      s: TrackedEngine,
+      weights: string,
+      known: Overlap[],
+    ): { cost: number; p: EngineChoice } {
       let own: Overlap = { source: s.engine.id, tokens: 0, doubted: 0, parts: 0 };
       for (const o of known) if (o.source === s.engine.id) own = o;
       const held = own.tokens + own.doubted * DOUBTED;
-      let cost = waitOf(s) + (all - held) * s.msPerToken + ranks.indexOf(s.engine.id) * RANK_MS;
-      const p: Placement = {
-        seen: s,
+      let cost =
+        waitOf(s) + (all - held) * s.msPerPrefillToken + ranks.indexOf(s.engine.id) * RANK_MS;
+      const p: EngineChoice = {
+        tracked: s,
         weights,
-        expected: own.parts,
-        sure: own.doubted === 0,
-        indexed: true,
+        expectedBlocks: own.parts,
+        isCertain: own.doubted === 0,
+        isIndexed: true,
       };
       for (const o of known) {
         if (o.source === s.engine.id || o.parts <= own.parts) continue;
         const at = sourceAddress(o.source);
         if (!at) continue;
         const more = total(w.parts.slice(0, o.parts), own.parts);
-        const link = engines.linkCost(o.source, s.engine.id);
+        const link = engines.transferMsPerToken(o.source, s.engine.id);
         const sure = o.tokens / Math.max(1, o.tokens + o.doubted);
         const fetched =
           waitOf(s) +
           more * link +
-          (all - held - more * sure) * s.msPerToken +
+          (all - held - more * sure) * s.msPerPrefillToken +
           ranks.indexOf(s.engine.id) * RANK_MS;
         if (fetched >= cost) continue;
         cost = fetched;
@@ -225,5 +238,11 @@
     for (const at of helds.peerAddresses()) helds.channelTo(at)?.notify('reused', body);
   }
 
-  return { overlaps, choose, tellReused, reach, stop: helds.stop };
+  return {
+    queryOverlaps: overlaps,
+    choose,
+    notifyReused: tellReused,
+    updateIndexers: reach,
+    stop: helds.stop,
+  };
 }
--- a/src/data/once.ts
+++ b/src/data/idempotency-keys.ts
@@ -9,28 +9,32 @@
 }
 
 /** What came of asking for the right to run a key. */
-export interface OnceAnswer {
-  won: boolean;
+export interface KeyAcquisition {
+  isAcquired: boolean;
   state: 'running' | 'done' | 'unknown' | 'unreachable';
-  set?: string;
+  voterSet?: string;
 }
 
 /** Names the voter set that a key was held under; under another set it must be held anew. */
-export function votersMark(follower: Follower): string {
+export function voterSetFingerprint(follower: Follower): string {
   return JSON.stringify(follower.voters() ?? null);
 }
 
 /** Asks a majority of the core's disks for a key; only the run that has it may send anything on. */
-export async function holdKey(follower: Follower, key: string, run: string): Promise<OnceAnswer> {
+export async function acquireIdempotencyKey(
+  follower: Follower,
+  key: string,
+  run: string,
+): Promise<KeyAcquisition> {
   function yes(r: VoteAnswer, v: Voter): boolean {
     return r.disk === v.disk && r.run === run;
   }
-  const set = votersMark(follower);
+  const set = voterSetFingerprint(follower);
   const { ok, got } = await follower.askVoters<VoteAnswer>('vote', { key, run }, yes);
   if (ok)
-    return votersMark(follower) === set
-      ? { won: true, state: 'running', set }
-      : holdKey(follower, key, run);
+    return voterSetFingerprint(follower) === set
+      ? { isAcquired: true, state: 'running', voterSet: set }
+      : acquireIdempotencyKey(follower, key, run);
   const others = new Map<string, { count: number; state: string }>();
   for (const r of got) {
     if (r.run === run) continue;
@@ -39,12 +43,14 @@
     if (r.state !== 'running') o.state = r.state;
     others.set(r.run, o);
   }
-  if (others.size === 0) return { won: false, state: 'unreachable' };
+  if (others.size === 0) return { isAcquired: false, state: 'unreachable' };
   for (const o of others.values())
-    if (o.state !== 'running') return { won: false, state: o.state as OnceAnswer['state'] };
+    if (o.state !== 'running')
+      return { isAcquired: false, state: o.state as KeyAcquisition['state'] };
   for (const other of others.keys())
-    if (!follower.members('router').some(made(other))) return { won: false, state: 'unknown' };
-  return { won: false, state: 'running' };
+    if (!follower.members('router').some(made(other)))
+      return { isAcquired: false, state: 'unknown' };
+  return { isAcquired: false, state: 'running' };
 }
 
 /** Tests whether a router that lives now made a run. */
@@ -56,7 +62,7 @@
 }
 
 /** Tells the disks what became of a run; `released` gives the key back, for a run that certainly never was. */
-export function tellRun(
+export function reportRun(
   follower: Follower,
   key: string,
   run: string,
--- a/src/data/parts.ts
+++ b/src/data/router-dependencies.ts
@@ -4,8 +4,8 @@
 import { TimeLimits } from '../shared/settings/time-limits';
 import { Settings } from '../shared/settings/settings';
 import { Service } from '../shared/state/intents';
-import { Engines, Seen } from './engines';
-import { Placer } from './place';
+import { EngineTracker, TrackedEngine } from './engine-tracker';
+import { EngineSelector } from './engine-selector';
 
 /** What a router counts, for metrics. */
 export interface RouterCounts {
@@ -23,28 +23,28 @@
 }
 
 /** An attempt whose first piece is still to come; it is cut when what it was placed under no longer holds. */
-export interface Attempt {
+export interface ForwardedAttempt {
   tenant: string;
   salt: string;
   model: string;
   weights: string;
-  seen: Seen;
+  seen: TrackedEngine;
   since: number;
   watched?: boolean;
   cut: AbortController;
 }
 
 /** All that a request needs on its way. */
-export interface RouterParts {
+export interface RouterDependencies {
   ports: Ports;
   settings: Settings;
-  bounds: TimeLimits;
+  timeLimits: TimeLimits;
   follower: Follower;
-  engines: Engines;
-  placer: Placer;
+  engines: EngineTracker;
+  selector: EngineSelector;
   counts: RouterCounts;
   metrics: Metrics;
-  firstTook: (ms: number) => void;
+  observeFirstPieceMs: (ms: number) => void;
   tenantOf: (hash: string) => string | undefined;
   serviceOf: (
     tenant: string,
@@ -53,13 +53,13 @@
   ) => Service | 'missing' | 'foreign';
   saltOf: (tenant: string) => string | undefined;
   freshWeights: (model: string) => {
-    now: (s: Seen) => string | undefined;
-    old?: (s: Seen) => string | undefined;
+    now: (s: TrackedEngine) => string | undefined;
+    old?: (s: TrackedEngine) => string | undefined;
     queried: string[];
   };
-  allowSecond: (service: Service) => boolean;
-  earn: (service: Service) => void;
+  trySpendRetry: (service: Service) => boolean;
+  earnRetry: (service: Service) => void;
   runId: () => string;
-  underWay: Set<Attempt>;
-  draining: () => boolean;
+  awaitingFirstPiece: Set<ForwardedAttempt>;
+  isDraining: () => boolean;
 }
--- a/src/data/router.ts
+++ b/src/data/router.ts
@@ -14,15 +14,15 @@
 import { Member } from '../shared/state/members';
 import { VersionedValue } from '../shared/state/versions';
 import { PlatformAdapter } from '../shared/platform-adapter/platform-adapter';
-import { CallerApi } from './api';
-import { Seen, watchEngines } from './engines';
+import { CallerApi } from './caller-api';
+import { TrackedEngine, trackEngines } from './engine-tracker';
 import { startGateway } from './gateway/gateway';
-import { Attempt, RouterCounts, RouterParts } from './parts';
-import { makePlacer } from './place';
+import { ForwardedAttempt, RouterCounts, RouterDependencies } from './router-dependencies';
+import { makeEngineSelector } from './engine-selector';
 
 /** A running router. */
 export interface Router {
-  parts: RouterParts;
+  parts: RouterDependencies;
   stop: () => Promise<void>;
   drain: () => Promise<void>;
 }
@@ -110,15 +110,23 @@
   const services = new Map<string, Service>();
   const olderSince = new Map<string, number>();
   const budget = new Map<string, number>();
-  const underWay = new Set<Attempt>();
+  const underWay = new Set<ForwardedAttempt>();
   let runs = 0;
   let leaving = false;
   const follower = followCore(ports, bounds, hello, member, settings.seeds, edges);
-  const engines = watchEngines(ports, bounds, follower);
-  const placer = makePlacer(ports, bounds, follower, engines, hello, edges, settings.placeBy);
+  const engines = trackEngines(ports, bounds, follower);
+  const placer = makeEngineSelector(
+    ports,
+    bounds,
+    follower,
+    engines,
+    hello,
+    edges,
+    settings.placeBy,
+  );
 
   function changed(n: VersionedValue): void {
-    if (n.key === CONTROL_KEYS.engines) engines.renew();
+    if (n.key === CONTROL_KEYS.engines) engines.update();
     else if (n.key === CONTROL_KEYS.intents) renewIntents((n.value as IntentsValue).doc);
     else if (n.key.startsWith(CONTROL_KEYS.tenantKeys))
       renewKeys(n.value as { tenant: string; keys: { hash: string }[] });
@@ -144,15 +152,15 @@
         !named.older.includes(l.weights) &&
         !named.older.includes('*');
       if (ended || saltOf(l.tenant) !== l.salt) l.cut.abort();
-      else if (engines.leaves(l.seen) && !l.watched) void cutSilent(l);
+      else if (engines.isDraining(l.seen) && !l.watched) void cutSilent(l);
     }
   }
 
   /** Cuts an attempt off that a leaving engine may not have begun: it has shown no turn since the attempt was sent on. */
-  async function cutSilent(l: Attempt): Promise<void> {
+  async function cutSilent(l: ForwardedAttempt): Promise<void> {
     l.watched = true;
     await ports.clock.sleep(bounds.drainingEngineCutMs);
-    if (underWay.has(l) && l.seen.shownAt <= l.since) l.cut.abort();
+    if (underWay.has(l) && l.seen.statusAskedAt <= l.since) l.cut.abort();
   }
 
   function renewIntents(doc: { services: Service[]; rules: Rule[] }): void {
@@ -189,16 +197,16 @@
     return follower.value<IntentsValue>(CONTROL_KEYS.intents)?.value.salts[tenant];
   }
 
-  function freshWeights(model: string): ReturnType<RouterParts['freshWeights']> {
+  function freshWeights(model: string): ReturnType<RouterDependencies['freshWeights']> {
     const key = CONTROL_KEYS.weights + model;
     const named = follower.value<NamedWeights>(key)?.value;
     const all = new Set<string>();
     for (const s of engines.ofModel(model)) if (s.status) all.add(s.status.weights);
-    function any(s: Seen): string | undefined {
+    function any(s: TrackedEngine): string | undefined {
       return s.status?.weights;
     }
     if (!named) return { now: any, queried: [...all] };
-    function only(s: Seen): string | undefined {
+    function only(s: TrackedEngine): string | undefined {
       return s.status?.weights === named!.weights ? named!.weights : undefined;
     }
     const ok = new Set(named.older.filter(stillOk));
@@ -207,7 +215,7 @@
         ports.clock.now() - (olderSince.get(`${key} ${w}`) ?? -Infinity) < bounds.oldWeightsRetireMs
       );
     }
-    function old(s: Seen): string | undefined {
+    function old(s: TrackedEngine): string | undefined {
       const w = s.status?.weights;
       return w !== undefined && (ok.has(w) || ok.has('*')) ? w : undefined;
     }
@@ -242,26 +250,26 @@
 
   void follower.changes.observe(changed);
   void follower.drainingNotices.observe(cutAttempts);
-  void follower.memberChanges.observe(placer.reach);
-  const parts: RouterParts = {
+  void follower.memberChanges.observe(placer.updateIndexers);
+  const parts: RouterDependencies = {
     ports,
     settings,
-    bounds,
+    timeLimits: bounds,
     follower,
     engines,
-    placer,
+    selector: placer,
     counts,
     metrics,
-    firstTook,
+    observeFirstPieceMs: firstTook,
     tenantOf,
     serviceOf,
     saltOf,
     freshWeights,
-    allowSecond,
-    earn,
+    trySpendRetry: allowSecond,
+    earnRetry: earn,
     runId,
-    underWay,
-    draining,
+    awaitingFirstPiece: underWay,
+    isDraining: draining,
   };
   const api = new CallerApi(parts);
   const [f, wire] = errorOrValue(await ports.network.listen(settings.wire, taken));
--- a/tools/sim/without.ts
+++ b/tools/sim/without.ts
@@ -3,10 +3,10 @@
 import type { Controller } from '../../src/control/controller';
 import * as duties from '../../src/control/singletons/background-tasks';
 import * as slots from '../../src/control/storage/control-store';
-import { CallerApi } from '../../src/data/api';
-import * as engines from '../../src/data/engines';
+import { CallerApi } from '../../src/data/caller-api';
+import * as engines from '../../src/data/engine-tracker';
 import * as router from '../../src/data/router';
-import * as once from '../../src/data/once';
+import * as once from '../../src/data/idempotency-keys';
 import * as indexMessages from '../../src/index/messages';
 import * as tree from '../../src/index/tree';
 import * as engine from '../../src/shared/contracts/engine';
@@ -30,14 +30,14 @@
 }
 
 function noVotes(): void {
-  async function won(): Promise<once.OnceAnswer> {
-    return { won: true, state: 'running' };
+  async function won(): Promise<once.KeyAcquisition> {
+    return { isAcquired: true, state: 'running' };
   }
   function mark(): undefined {
     return undefined;
   }
-  (once as unknown as Patch).holdKey = won;
-  (once as unknown as Patch).votersMark = mark;
+  (once as unknown as Patch).acquireIdempotencyKey = won;
+  (once as unknown as Patch).voterSetFingerprint = mark;
 }
 
 function noEffect(): void {
@@ -169,7 +169,7 @@
     ...x: Parameters<typeof router.startRouter>
   ): Promise<Result<router.Router>> {
     function free(r: router.Router): router.Router {
-      r.parts.allowSecond = always;
+      r.parts.trySpendRetry = always;
       return r;
     }
     return (await real(...x)).map(free);
@@ -320,14 +320,14 @@
 }
 
 function noFetch(): void {
-  const real = engines.watchEngines;
+  const real = engines.trackEngines;
   function never(): number {
     return Infinity;
   }
-  function far(...x: Parameters<typeof engines.watchEngines>): engines.Engines {
-    return { ...real(...x), linkCost: never };
+  function far(...x: Parameters<typeof engines.trackEngines>): engines.EngineTracker {
+    return { ...real(...x), transferMsPerToken: never };
   }
-  (engines as unknown as Patch).watchEngines = far;
+  (engines as unknown as Patch).trackEngines = far;
 }
 
 /** Mechanisms that the simulator can leave out, to see that its checks catch what they prevent. */
