--- a/src/data/caller-request.ts
+++ b/src/data/caller-request.ts
@@ -1,8 +1,12 @@
+/**
+ * A caller's request: its body as it came, and as it was checked.
+ */
+
 import { PromptBlock } from '../shared/contracts/engine';
 import { bodyField } from '../shared/transport/body-fields';
 import { Service } from '../shared/state/intents';
 
-/** What a caller asks for, as its body says it. */
+/** The body of `POST /v1/generate`. */
 export class GenerateBody {
   @bodyField('string', false) service?: string;
   @bodyField('string', false) label?: string;
@@ -12,26 +16,33 @@
   @bodyField('number', false) deadlineMs?: number;
 }
 
-/** A caller's request that was checked against keys, services and bounds. */
+/** A request that was checked against keys, services and bounds. Times are ms of the clock port. */
 export interface CheckedRequest {
   tenant: string;
+  /** The salt under which engines cache the tenant's blocks. */
   salt: string;
   service: Service;
-  parts: PromptBlock[];
+  blocks: PromptBlock[];
   maxTokens: number;
-  since: number;
-  until: number;
-  key?: string;
+  arrivedAt: number;
+  deadlineAt: number;
+  /** The idempotency key's hash, where the service may run only once. */
+  idempotencyKey?: string;
 }
 
 /** Whether a value is a token: a whole number from 0. */
-export function isToken(t: unknown): boolean {
-  return Number.isInteger(t) && (t as number) >= 0;
+export function isToken(value: unknown): boolean {
+  return Number.isInteger(value) && (value as number) >= 0;
+}
+
+/** The tokens of all blocks together. */
+export function tokensOf(blocks: readonly PromptBlock[]): number {
+  let tokens = 0;
+  for (const { size } of blocks) tokens += size;
+  return tokens;
 }
 
-/** The tokens of all parts together. */
-export function tokensOf(parts: readonly PromptBlock[]): number {
-  let t = 0;
-  for (const p of parts) t += p.size;
-  return t;
+/** Whether a request is urgent. */
+export function isUrgent({ service }: CheckedRequest): boolean {
+  return service.urgency === 'high';
 }
--- a/src/data/engine-selector.ts
+++ b/src/data/engine-selector.ts
@@ -1,248 +1,220 @@
+/**
+ * Chooses an engine for a prompt: the one that is taken to give the first piece soonest, by what an index knows of cached
+ * prefixes, or by affinity where none replied.
+ */
+
 import { PromptBlock } from '../shared/contracts/engine';
-import { errorOrValue } from '../shared/errors/errors';
 import { Follower } from '../shared/replication/follower';
 import { rankByRendezvousHash } from '../shared/util/hashing';
-import { Ports } from '../shared/ports/ports';
-import { TimeLimits } from '../shared/settings/time-limits';
-import { Hello, makeConnectionPool } from '../shared/transport/connections';
-import { addressOf } from '../shared/state/voter-set';
+import { RandomSource } from '../shared/ports/random';
 import { CacheStore, IntentsValue } from '../shared/state/intents';
 import { CONTROL_KEYS } from '../shared/state/control-keys';
-import { Member } from '../shared/state/members';
 import { EngineTracker, TrackedEngine } from './engine-tracker';
+import { Overlap } from './overlap-client';
 
-/** How much a doubted token counts of a sure one. */
-const DOUBTED = 0.5;
+/** How much a token counts of which an indexer is in doubt. */
+const DOUBTED_TOKEN_RATIO = 0.5;
 /** Tokens that a request waiting beyond the batch is taken to hold an engine up by. */
-const BEHIND_TOKENS = 300;
+const TOKENS_PER_WAITING_REQUEST = 300;
 /** The share of an engine's queue that requests which are not urgent may fill. */
-const PATIENT_QUEUE = 0.5;
-/** The share of a prompt that its home by affinity is taken to have to read. */
-const HOME_READS = 0.3;
-/** Costs are spread by this share, so that routers do not all pick the same. */
-const SPREAD = 0.02;
-/** Ms that each rank below the home costs where an index knows, which keeps equals together. */
-const RANK_MS = 0.5;
-/** Affinity looks at a prompt's parts up to this one, and never at the last. */
-const PREFIX_PART = 7;
-
-/** What an index said that a source holds. */
-export interface Overlap {
-  source: string;
-  tokens: number;
-  doubted: number;
-  parts: number;
-}
+const MAX_QUEUE_RATIO = 0.5;
+/** The share of a prompt that its first preferred engine is taken to have to read where no index knows. */
+const PREFERRED_PREFILL_RATIO = 0.3;
+/** Costs are spread by this share, so that routers do not all choose the same. */
+const COST_JITTER_RATIO = 0.02;
+/** Ms that each rank of preference costs: where no index knows, and where one does, which keeps equals together. */
+const RANK_COST_MS = 1;
+const INDEXED_RANK_COST_MS = 0.5;
+/** Affinity goes by a prompt's blocks up to this one, and never by the last. */
+const MAX_AFFINITY_BLOCK = 7;
 
 /** What is to be placed. */
 export interface ChoiceRequest {
   model: string;
   salt: string;
-  parts: PromptBlock[];
-  urgent: boolean;
-  weights: (s: TrackedEngine) => string | undefined;
-  excluded: Set<string>;
+  blocks: PromptBlock[];
+  isUrgent: boolean;
+  /** The weights that an engine would run it with; none where it must not. */
+  weightsAt: (tracked: TrackedEngine) => string | undefined;
+  /** Ids of engines that it must not be sent to. */
+  excluded: ReadonlySet<string>;
+}
+
+/** A fetch of cached blocks before an engine begins to read. */
+export interface BlockFetch {
+  /** The source's id and address. */
+  from: string;
+  at: string;
+  hashes: string[];
+  tokens: number;
 }
 
 /** Where a request goes, and what is fetched for it. */
 export interface EngineChoice {
   tracked: TrackedEngine;
   weights: string;
+  /** Blocks from the prompt's front that the engine is expected to have cached. */
   expectedBlocks: number;
+  /** Whether an indexer is certain of them. */
   isCertain: boolean;
-  fetch?: { from: string; at: string; hashes: string[]; tokens: number };
+  fetch?: BlockFetch;
+  /** Whether an indexer replied. */
   isIndexed: boolean;
 }
 
-/** Asks indexers and works out placements. */
-export interface EngineSelector {
-  queryOverlaps: (
-    model: string,
-    salt: string,
-    weights: string,
-    parts: PromptBlock[],
-  ) => Promise<Overlap[] | undefined>;
-  choose: (w: ChoiceRequest, by: Map<string, Overlap[] | undefined>) => EngineChoice | undefined;
-  notifyReused: (body: object) => void;
-  updateIndexers: (members: Member[]) => void;
-  stop: () => void;
+/** An engine that may take the request, and the weights that it would run with. */
+interface Candidate {
+  tracked: TrackedEngine;
+  weights: string;
+  /** Its rank of preference; 0 is the first. */
+  rank: number;
 }
 
-/** Makes the placer; it keeps a connection up to each indexer. */
-export function makeEngineSelector(
-  ports: Ports,
-  bounds: TimeLimits,
-  follower: Follower,
-  engines: EngineTracker,
-  hello: Hello,
-  edges: object[],
-  way: 'index' | 'affinity',
-): EngineSelector {
-  const helds = makeConnectionPool(ports, {
-    hello,
-    handlers: edges,
-    timeoutMs: bounds.connectTimeoutMs,
-    retryPauseMs: bounds.retryPauseMs,
-  });
-
-  function reach(members: Member[]): void {
-    helds.setPeers(members.filter(isIndexer).map(addressOf));
-  }
-
-  function isIndexer(m: Member): boolean {
-    return m.role === 'indexer';
-  }
+interface PricedChoice {
+  /** In ms. */
+  cost: number;
+  choice: EngineChoice;
+}
 
-  async function overlaps(
-    model: string,
-    salt: string,
-    weights: string,
-    parts: PromptBlock[],
-  ): Promise<Overlap[] | undefined> {
-    if (way === 'affinity') return undefined;
-    let tries = 0;
-    for (const at of rankByRendezvousHash(hello.name, helds.peerAddresses())) {
-      const ex = helds.channelTo(at);
-      if (!ex) continue;
-      if (++tries > 2) break;
-      const [f, r] = errorOrValue(
-        await ex.request('query', { model, salt, weights, parts }, bounds.indexQueryTimeoutMs),
-      );
-      if (!f) return r as Overlap[];
-    }
-    return undefined;
-  }
+function hashOf({ hash }: PromptBlock): string {
+  return hash;
+}
 
-  function room(s: TrackedEngine, urgent: boolean): boolean {
-    const st = s.status!;
-    const busy = st.running + st.waiting + s.sentSinceStatus;
-    return busy < (urgent ? st.batch + st.queue : st.batch + st.queue * PATIENT_QUEUE);
-  }
+function tokensFrom(blocks: readonly PromptBlock[], start = 0): number {
+  let tokens = 0;
+  for (let i = start; i < blocks.length; i++) tokens += blocks[i].size;
+  return tokens;
+}
 
-  function total(parts: readonly PromptBlock[], from = 0): number {
-    let t = 0;
-    for (let i = from; i < parts.length; i++) t += parts[i].size;
-    return t;
-  }
+/** Whether an engine's batch and queue have room for one more. */
+function hasRoom({ status, sentSinceStatus }: TrackedEngine, isUrgent: boolean): boolean {
+  const { running, waiting, batch, queue } = status!;
+  const maxQueue = isUrgent ? queue : queue * MAX_QUEUE_RATIO;
+  return running + waiting + sentSinceStatus < batch + maxQueue;
+}
 
-  function waitOf(s: TrackedEngine): number {
-    const st = s.status!;
-    const behind = (st.unreadTokens + s.sentTokensSinceStatus) * s.msPerPrefillToken;
-    const over = Math.max(0, st.running + st.waiting + s.sentSinceStatus + 1 - st.batch);
-    return behind + over * s.msPerPrefillToken * BEHIND_TOKENS;
-  }
+/** Ms until an engine begins to read the prompt. */
+function queueMs(tracked: TrackedEngine): number {
+  const { status, sentSinceStatus, sentTokensSinceStatus, msPerPrefillToken } = tracked;
+  const { unreadTokens, running, waiting, batch } = status!;
+  const unreadMs = (unreadTokens + sentTokensSinceStatus) * msPerPrefillToken;
+  const excessRequests = Math.max(0, running + waiting + sentSinceStatus + 1 - batch);
+  return unreadMs + excessRequests * msPerPrefillToken * TOKENS_PER_WAITING_REQUEST;
+}
 
-  function stores(): CacheStore[] {
-    return follower.value<IntentsValue>(CONTROL_KEYS.intents)?.value.doc.cacheStores ?? [];
-  }
+/** By what engines are ranked for a prompt: its salt, and the last block that prompts of one kind may share. */
+function affinityKeyOf({ blocks, salt }: ChoiceRequest): string {
+  const index = blocks.length > 1 ? Math.min(blocks.length - 2, MAX_AFFINITY_BLOCK) : 0;
+  return `${salt} ${blocks[index]?.hash ?? ''}`;
+}
 
-  function sourceAddress(source: string): string | undefined {
-    const e = engines.get(source);
-    if (e) return engines.isUsable(e) ? e.engine.at : undefined;
-    function named(s: CacheStore): boolean {
-      return s.id === source;
-    }
-    return stores().find(named)?.at;
-  }
+/** The cost where no index replied. */
+function priceByAffinity(candidate: Candidate, promptTokens: number): PricedChoice {
+  const { tracked, weights, rank } = candidate;
+  const prefillRatio = rank === 0 ? PREFERRED_PREFILL_RATIO : 1;
+  const prefillMs = promptTokens * tracked.msPerPrefillToken * prefillRatio;
+  return {
+    cost: queueMs(tracked) + prefillMs + rank * RANK_COST_MS,
+    choice: { tracked, weights, expectedBlocks: 0, isCertain: false, isIndexed: false },
+  };
+}
 
-  function choose(
-    w: ChoiceRequest,
-    by: Map<string, Overlap[] | undefined>,
+/** Chooses engines for prompts. */
+export class EngineSelector {
+  constructor(
+    private readonly random: RandomSource,
+    private readonly follower: Follower,
+    private readonly engines: EngineTracker,
+  ) {}
+
+  /** Chooses an engine; `overlaps` is what indexers replied by weights. Nothing where none may take the request. */
+  choose(
+    request: ChoiceRequest,
+    overlaps: ReadonlyMap<string, Overlap[] | undefined>,
   ): EngineChoice | undefined {
-    const all = total(w.parts);
-    let best: { cost: number; p: EngineChoice } | undefined;
-    const prefix =
-      w.parts.length > 1
-        ? w.parts[Math.min(w.parts.length - 2, PREFIX_PART)].hash
-        : (w.parts[0]?.hash ?? '');
-    const able: { s: TrackedEngine; weights: string }[] = [];
-    for (const s of engines.ofModel(w.model)) {
-      const weights = w.weights(s);
-      if (
-        weights !== undefined &&
-        !w.excluded.has(s.engine.id) &&
-        engines.isUsable(s) &&
-        room(s, w.urgent)
-      )
-        able.push({ s, weights });
-    }
-    const ranks = rankByRendezvousHash(`${w.salt} ${prefix}`, able.map(idOf));
-    for (const { s, weights } of able) {
-      const known = by.get(weights);
-      const cand = known ? byIndex(s, weights, known) : byAffinity(s, weights);
-      const cost = cand.cost * (1 + SPREAD * ports.random.next());
-      if (!best || cost < best.cost) best = { cost, p: cand.p };
-    }
-    return best?.p;
-
-    function idOf(a: { s: TrackedEngine }): string {
-      return a.s.engine.id;
+    const promptTokens = tokensFrom(request.blocks);
+    let best: PricedChoice | undefined;
+    for (const candidate of this.candidatesFor(request)) {
+      const known = overlaps.get(candidate.weights);
+      const priced = known
+        ? this.priceByIndex(candidate, request, promptTokens, known)
+        : priceByAffinity(candidate, promptTokens);
+      const cost = priced.cost * (1 + COST_JITTER_RATIO * this.random.next());
+      if (!best || cost < best.cost) best = { cost, choice: priced.choice };
     }
+    return best?.choice;
+  }
 
-    function byAffinity(s: TrackedEngine, weights: string): { cost: number; p: EngineChoice } {
-      const rank = ranks.indexOf(s.engine.id);
-      const likely = rank === 0 ? HOME_READS : 1;
-      return {
-        cost: waitOf(s) + all * s.msPerPrefillToken * likely + rank,
-        p: { tracked: s, weights, expectedBlocks: 0, isCertain: false, isIndexed: false },
-      };
+  private candidatesFor(request: ChoiceRequest): Candidate[] {
+    const candidates: Candidate[] = [];
+    const ids: string[] = [];
+    for (const tracked of this.engines.ofModel(request.model)) {
+      const weights = request.weightsAt(tracked);
+      const { id } = tracked.engine;
+      if (weights === undefined || request.excluded.has(id)) continue;
+      if (!this.engines.isUsable(tracked) || !hasRoom(tracked, request.isUrgent)) continue;
+      ids.push(id);
+      candidates.push({ tracked, weights, rank: 0 });
     }
+    const ranked = rankByRendezvousHash(affinityKeyOf(request), ids);
+    for (const candidate of candidates)
+      candidate.rank = ranked.indexOf(candidate.tracked.engine.id);
+    return candidates;
+  }
 
-    function byIndex(
-      s: TrackedEngine,
-      weights: string,
-      known: Overlap[],
-    ): { cost: number; p: EngineChoice } {
-      let own: Overlap = { source: s.engine.id, tokens: 0, doubted: 0, parts: 0 };
-      for (const o of known) if (o.source === s.engine.id) own = o;
-      const held = own.tokens + own.doubted * DOUBTED;
-      let cost =
-        waitOf(s) + (all - held) * s.msPerPrefillToken + ranks.indexOf(s.engine.id) * RANK_MS;
-      const p: EngineChoice = {
-        tracked: s,
-        weights,
-        expectedBlocks: own.parts,
-        isCertain: own.doubted === 0,
-        isIndexed: true,
-      };
-      for (const o of known) {
-        if (o.source === s.engine.id || o.parts <= own.parts) continue;
-        const at = sourceAddress(o.source);
-        if (!at) continue;
-        const more = total(w.parts.slice(0, o.parts), own.parts);
-        const link = engines.transferMsPerToken(o.source, s.engine.id);
-        const sure = o.tokens / Math.max(1, o.tokens + o.doubted);
-        const fetched =
-          waitOf(s) +
-          more * link +
-          (all - held - more * sure) * s.msPerPrefillToken +
-          ranks.indexOf(s.engine.id) * RANK_MS;
-        if (fetched >= cost) continue;
-        cost = fetched;
-        p.fetch = {
-          from: o.source,
-          at,
-          hashes: w.parts.slice(own.parts, o.parts).map(hashOf),
-          tokens: more,
-        };
-      }
-      return { cost, p };
+  /** The cost by what an index knows, with the fetch that saves most. */
+  private priceByIndex(
+    { tracked, weights, rank }: Candidate,
+    { blocks }: ChoiceRequest,
+    promptTokens: number,
+    overlaps: readonly Overlap[],
+  ): PricedChoice {
+    const { id } = tracked.engine;
+    const { msPerPrefillToken } = tracked;
+    let own: Overlap = { source: id, tokens: 0, doubted: 0, parts: 0 };
+    for (const overlap of overlaps) if (overlap.source === id) own = overlap;
+    const ownTokens = own.tokens + own.doubted * DOUBTED_TOKEN_RATIO;
+    const waitMs = queueMs(tracked);
+    const rankMs = rank * INDEXED_RANK_COST_MS;
+    let cost = waitMs + (promptTokens - ownTokens) * msPerPrefillToken + rankMs;
+    let fetch: BlockFetch | undefined;
+    for (const overlap of overlaps) {
+      if (overlap.source === id || overlap.parts <= own.parts) continue;
+      const at = this.sourceAddress(overlap.source);
+      if (!at) continue;
+      const tokens = tokensFrom(blocks.slice(0, overlap.parts), own.parts);
+      const transferMs = tokens * this.engines.transferMsPerToken(overlap.source, id);
+      const certainty = overlap.tokens / Math.max(1, overlap.tokens + overlap.doubted);
+      const readTokens = promptTokens - ownTokens - tokens * certainty;
+      const fetchedCost = waitMs + transferMs + readTokens * msPerPrefillToken + rankMs;
+      if (fetchedCost >= cost) continue;
+      cost = fetchedCost;
+      const hashes = blocks.slice(own.parts, overlap.parts).map(hashOf);
+      fetch = { from: overlap.source, at, hashes, tokens };
     }
+    const isCertain = own.doubted === 0;
+    const choice = {
+      tracked,
+      weights,
+      expectedBlocks: own.parts,
+      isCertain,
+      fetch,
+      isIndexed: true,
+    };
+    return { cost, choice };
   }
 
-  function hashOf(p: PromptBlock): string {
-    return p.hash;
+  /** The address of a source: a usable engine, or a store. */
+  private sourceAddress(source: string): string | undefined {
+    const tracked = this.engines.get(source);
+    if (tracked) return this.engines.isUsable(tracked) ? tracked.engine.at : undefined;
+    function isSource({ id }: CacheStore): boolean {
+      return id === source;
+    }
+    return this.stores().find(isSource)?.at;
   }
 
-  function tellReused(body: object): void {
-    for (const at of helds.peerAddresses()) helds.channelTo(at)?.notify('reused', body);
+  private stores(): CacheStore[] {
+    return this.follower.value<IntentsValue>(CONTROL_KEYS.intents)?.value.doc.cacheStores ?? [];
   }
-
-  return {
-    queryOverlaps: overlaps,
-    choose,
-    notifyReused: tellReused,
-    updateIndexers: reach,
-    stop: helds.stop,
-  };
 }
--- a/src/programs/router.ts
+++ b/src/programs/router.ts
@@ -1,6 +1,7 @@
 #!/usr/bin/env node
 import { Left, Right } from 'purify-ts';
-import { startDialectRouter, startRouter } from '../data/router';
+import { startDialectRouter } from '../data/platform-router';
+import { startRouter } from '../data/router';
 import { PlatformAdapter } from '../shared/platform-adapter/platform-adapter';
 import { OperationError, errorOrValue, Result } from '../shared/errors/errors';
 import { Ports } from '../shared/ports/ports';
--- a/tools/capacity/role.ts
+++ b/tools/capacity/role.ts
@@ -3,7 +3,8 @@
 import { serveOperators } from '../../src/control/api/operator-api';
 import { serveDeployment } from '../../src/control/api/deployment-api';
 import { startBackgroundTasks } from '../../src/control/singletons/background-tasks';
-import { Router, startDialectRouter, startRouter } from '../../src/data/router';
+import { startDialectRouter } from '../../src/data/platform-router';
+import { Router, startRouter } from '../../src/data/router';
 import { PlatformAdapter } from '../../src/shared/platform-adapter/platform-adapter';
 import { startIndexer, Indexer } from '../../src/index/indexer';
 import { errorOrValue } from '../../src/shared/errors/errors';
@@ -189,11 +190,11 @@
     all.push(r);
   }
   function followerOf(r: Router): Follower {
-    return r.parts.follower;
+    return r.dependencies.follower;
   }
   function done(): number {
     let n = 0;
-    for (const r of all) n += r.parts.counts.done;
+    for (const r of all) n += r.dependencies.counts.done;
     return n;
   }
   return followersMore(all.map(followerOf), done);
--- a/tools/sim/without.ts
+++ b/tools/sim/without.ts
@@ -5,6 +5,7 @@
 import * as slots from '../../src/control/storage/control-store';
 import { CallerApi } from '../../src/data/caller-api';
 import * as engines from '../../src/data/engine-tracker';
+import * as forwarding from '../../src/data/generate-forwarding';
 import * as router from '../../src/data/router';
 import * as once from '../../src/data/idempotency-keys';
 import * as indexMessages from '../../src/index/messages';
@@ -169,7 +170,7 @@
     ...x: Parameters<typeof router.startRouter>
   ): Promise<Result<router.Router>> {
     function free(r: router.Router): router.Router {
-      r.parts.trySpendRetry = always;
+      r.dependencies.retryBudget.trySpend = always;
       return r;
     }
     return (await real(...x)).map(free);
@@ -261,28 +262,24 @@
 
 /** A router that lets an attempt run on after it told the caller that it refused. */
 function refusesLate(): void {
-  const proto = CallerApi.prototype as unknown as {
-    forward: (...x: unknown[]) => Promise<{ done: boolean; fault?: object }>;
-  };
-  const real = proto.forward;
+  const real = forwarding.forwardAttempt;
   let calls = 0;
   async function late(
-    this: CallerApi,
-    ...x: unknown[]
-  ): Promise<{ done: boolean; fault?: object }> {
-    if (++calls % 20 !== 0) return real.apply(this, x);
+    ...x: Parameters<typeof forwarding.forwardAttempt>
+  ): Promise<forwarding.ForwardOutcome> {
+    if (++calls % 20 !== 0) return real(...x);
     function nothing(): void {}
     async function taken(): Promise<boolean> {
       return true;
     }
-    const mute = { ...(x[0] as IncomingRequest), writeHead: nothing, write: taken, end: nothing };
-    void real.call(this, mute, ...x.slice(1));
+    const [call, ...rest] = x;
+    void real({ ...call, writeHead: nothing, write: taken, end: nothing }, ...rest);
     return {
-      done: false,
-      fault: { step: 'generate', peer: '', reason: 'late', certainty: 'refused', code: 'late' },
+      hasAnswered: false,
+      error: { step: 'generate', peer: '', reason: 'late', certainty: 'refused', code: 'late' },
     };
   }
-  proto.forward = late;
+  (forwarding as unknown as Patch).forwardAttempt = late;
 }
 
 /** Index repair without one of its ways: peers' batches, engines' returns, doubt. */
@@ -325,7 +322,9 @@
     return Infinity;
   }
   function far(...x: Parameters<typeof engines.trackEngines>): engines.EngineTracker {
-    return { ...real(...x), transferMsPerToken: never };
+    const tracker = real(...x);
+    tracker.transferMsPerToken = never;
+    return tracker;
   }
   (engines as unknown as Patch).trackEngines = far;
 }
