--- a/src/data/gateway/engine-chooser.ts
+++ b/src/data/gateway/engine-chooser.ts
@@ -71,7 +71,7 @@
   pool: (name: string) => Pool | undefined;
   stores: () => readonly PartStore[];
   /** How many routers there are, as far as it is known. */
-  routers: () => number | undefined;
+  routerCount: () => number | undefined;
 }
 
 /** The first ejection of an engine that failed or rejected a request, as a share of `contactMs`. */
@@ -102,7 +102,7 @@
   private readonly directory: EngineDirectory;
 
   constructor(private readonly dependencies: EngineChooserDependencies) {
-    const { ports, settings, follower, weights, stores, routers } = dependencies;
+    const { ports, settings, follower, weights, stores, routerCount } = dependencies;
     this.placement = new Placement({
       now: ports.clock.now,
       random: ports.random.next,
@@ -115,7 +115,7 @@
       follower,
       hello: helloOf(settings, 'router'),
       loads: this.placement.loads,
-      routerCount: routers,
+      routerCount,
     });
     const onListed = this.placement.retain.bind(this.placement);
     this.directory = new EngineDirectory({ settings, follower, weights, stores, onListed });
--- a/src/data/gateway/gateway.ts
+++ b/src/data/gateway/gateway.ts
@@ -146,12 +146,12 @@
     await Promise.all([this.draining.close(callers), readiness.close()]);
   }
 
-  private makeChooser(routers: () => number | undefined): EngineChooser {
+  private makeChooser(routerCount: () => number | undefined): EngineChooser {
     const { ports, settings, follower } = this.options;
     const { state, weights } = this;
     const pool = state.poolOf.bind(state);
     const stores = state.stores.bind(state);
-    return new EngineChooser({ ports, settings, follower, weights, pool, stores, routers });
+    return new EngineChooser({ ports, settings, follower, weights, pool, stores, routerCount });
   }
 
   private makeDependencies(budget: RetryBudget): GatewayDependencies {
@@ -199,11 +199,15 @@
   private async answerReadiness(call: RawIncomingRequest): Promise<void> {
     const { readinessPath } = this.options.adapter.callers;
     const isAsked = call.method === 'GET' && call.target.split('?', 1)[0] === readinessPath;
-    const status = this.ready() ? 200 : 503;
-    call.writeHead(isAsked ? status : 404, ['Content-Length', '0']);
+    const status = isAsked ? this.readinessStatus() : 404;
+    call.writeHead(status, ['Content-Length', '0']);
     call.end();
   }
 
+  private readinessStatus(): number {
+    return this.ready() ? 200 : 503;
+  }
+
   private applyChange({ key, value }: VersionedValue): void {
     if (key === CONTROL_KEYS.engines) this.applyEngines(value as Engine[]);
     if (key.startsWith(CONTROL_KEYS.weights))
@@ -240,18 +244,18 @@
   }
 }
 
-/** Starts the request path. Handlers of our own messages are added to `edges`. Errors: no raw HTTP here, or a socket can't be listened on. */
+/** Starts the request path. Handlers of our own messages are added to `handlers`. Errors: no raw HTTP here, or a socket can't be listened on. */
 export async function startGateway(
   ports: Ports,
   settings: Settings,
   follower: Follower,
   adapter: PlatformAdapter,
-  edges: object[] = [],
+  handlers: object[] = [],
 ): Promise<Result<Gateway>> {
   const http = ports.rawHttp;
   if (!http) return failure('start gateway', settings.http, 'no raw HTTP here');
   const gateway = new Gateway({ ports, http, settings, follower, adapter });
-  edges.push(gateway.messages);
+  handlers.push(gateway.messages);
   const error = await gateway.listen();
   return error ? Left(error) : Right(gateway);
 }
--- a/test/data/drain-fixture.ts
+++ b/test/data/drain-fixture.ts
@@ -1,6 +1,12 @@
 /** Gateways that are told to end while a clock that a test moves stands still. */
 
-import { deployment, Rig, route, startRig, startStandIn } from './gateway-fixture';
+import {
+  deployment,
+  GatewayFixture,
+  route,
+  startGatewayFixture,
+  startStandIn,
+} from './gateway-fixture';
 import { heldStreams, HeldStreams } from './held-streams';
 import { ManualClock, manualClock } from '../shared/manual-clock';
 
@@ -11,7 +17,7 @@
 
 /** A gateway with one engine that holds its answers until they are let go. */
 export interface HeldRig {
-  rig: Rig;
+  rig: GatewayFixture;
   clock: ManualClock;
   streams: HeldStreams;
 }
@@ -20,7 +26,7 @@
 export async function startHeldRig(timeoutMs: number, isSilent = false): Promise<HeldRig> {
   const clock = manualClock();
   const streams = heldStreams(isSilent);
-  const rig = await startRig({
+  const rig = await startGatewayFixture({
     engines: [await startStandIn('e1', streams.answer)],
     deployment: deployment([route({ timeoutMs })]),
     settings: { graceMs: GRACE_MS, contactMs: CONTACT_MS },
--- a/test/data/gateway-callers.test.ts
+++ b/test/data/gateway-callers.test.ts
@@ -1,4 +1,11 @@
-import { deployment, Rig, route, startRig, startStandIn, streams } from './gateway-fixture';
+import {
+  deployment,
+  GatewayFixture,
+  route,
+  startGatewayFixture,
+  startStandIn,
+  streamEvents,
+} from './gateway-fixture';
 import { bareCaller, BareCaller } from './bare-caller';
 import { heldStreams } from './held-streams';
 
@@ -22,13 +29,13 @@
   return { ...d, limits: { ...d.limits, idleTimeoutMs, headerTimeoutMs } };
 }
 
-function tellLimits(rig: Rig, idleTimeoutMs: number): void {
-  rig.tell('deployment', { revision: 2, doc: withLimits(idleTimeoutMs) });
+function tellLimits(rig: GatewayFixture, idleTimeoutMs: number): void {
+  rig.publish('deployment', { revision: 2, doc: withLimits(idleTimeoutMs) });
 }
 
 /** A connection of the caller that rests from its first answer on; what it is told under the limits of now. */
-async function resting(rig: Rig): Promise<BareCaller> {
-  const c = await bareCaller(rig.at);
+async function resting(rig: GatewayFixture): Promise<BareCaller> {
+  const c = await bareCaller(rig.address);
   c.write(request('resting'));
   await c.has('first');
   return c;
@@ -38,17 +45,17 @@
 async function startHeld(told: ReturnType<typeof deployment>): Promise<{
   engine: ReturnType<typeof heldStreams>;
   e: Awaited<ReturnType<typeof startStandIn>>;
-  rig: Rig;
+  rig: GatewayFixture;
 }> {
   const engine = heldStreams();
   const e = await startStandIn('e1', engine.answer);
-  const rig = await startRig({ engines: [e], deployment: told });
+  const rig = await startGatewayFixture({ engines: [e], deployment: told });
   return { engine, e, rig };
 }
 
 async function shorterIdleInStream(): Promise<void> {
   const { engine, rig } = await startHeld(withLimits(15000));
-  const told = await bareCaller(rig.at);
+  const told = await bareCaller(rig.address);
   told.write(request());
   expect(await told.has('first')).toBe(true);
   expect(told.received()).toContain('Keep-Alive: timeout=12');
@@ -72,7 +79,7 @@
   const other = await resting(rig);
   engine.finish();
   await other.has('last');
-  const c = await bareCaller(rig.at);
+  const c = await bareCaller(rig.address);
   c.write(request());
   expect(await c.has('first')).toBe(true);
   await other.closed;
@@ -122,9 +129,9 @@
 }
 
 async function bodyThatCannotBeRead(): Promise<void> {
-  const e = await startStandIn('e1', streams(1));
-  const rig = await startRig({ engines: [e], deployment: withLimits(15000) });
-  const c = await bareCaller(rig.at);
+  const e = await startStandIn('e1', streamEvents(1));
+  const rig = await startGatewayFixture({ engines: [e], deployment: withLimits(15000) });
+  const c = await bareCaller(rig.address);
   c.write(request().replace('Content-Length: 5', 'Transfer-Encoding: chunked') + 'no chunk\n');
   await c.closed;
   expect(c.received()).toContain(' 400 ');
@@ -135,15 +142,15 @@
 async function partOfNextHead(): Promise<void> {
   const engine = heldStreams();
   const e = await startStandIn('e1', engine.answer);
-  const rig = await startRig({
+  const rig = await startGatewayFixture({
     engines: [e],
     deployment: withLimits(15000, 100),
     settings: { contactMs: 100 },
   });
-  const c = await bareCaller(rig.at);
+  const c = await bareCaller(rig.address);
   c.write(request() + 'POST /a/x HT');
   expect(await c.has('first')).toBe(true);
-  const slow = await bareCaller(rig.at);
+  const slow = await bareCaller(rig.address);
   slow.write('POST /a/x HT');
   await slow.closed;
   expect(slow.received()).toContain(' 408 ');
@@ -155,7 +162,7 @@
 
 async function bytesThatAreNoRequest(): Promise<void> {
   const { engine, rig, e } = await startHeld(withLimits(15000));
-  const c = await bareCaller(rig.at);
+  const c = await bareCaller(rig.address);
   c.write(request() + '\x00\x01 no request\n\n');
   expect(await c.has('first')).toBe(true);
   engine.finish();
@@ -163,7 +170,7 @@
   await c.closed;
   expect(c.received()).not.toContain(' 400 ');
   expect(e.calls.length).toBe(1);
-  const alone = await bareCaller(rig.at);
+  const alone = await bareCaller(rig.address);
   alone.write('\x00\x01 no request\n\n');
   await alone.closed;
   expect(alone.received()).toContain(' 400 ');
@@ -171,9 +178,9 @@
 }
 
 async function pipelined(): Promise<void> {
-  const e = await startStandIn('e1', streams(1));
-  const rig = await startRig({ engines: [e], deployment: withLimits(15000) });
-  const c = await bareCaller(rig.at);
+  const e = await startStandIn('e1', streamEvents(1));
+  const rig = await startGatewayFixture({ engines: [e], deployment: withLimits(15000) });
+  const c = await bareCaller(rig.address);
   c.write(request('one') + request('two', 'second body') + request('three'));
   expect(await c.has('Plumhollow-Attempt-Id: three')).toBe(true);
   const order = [...c.received().matchAll(/Attempt-Id: (\w+)/g)].map(firstGroup);
@@ -190,14 +197,14 @@
 async function pipelinedWhileLeaving(): Promise<void> {
   const engine = heldStreams();
   const e = await startStandIn('e1', engine.answer);
-  const rig = await startRig({
+  const rig = await startGatewayFixture({
     engines: [e],
     deployment: withLimits(15000),
     settings: { contactMs: 100, graceMs: 5000 },
   });
-  const c = await bareCaller(rig.at);
+  const c = await bareCaller(rig.address);
   c.write(request('one'));
-  const running = await bareCaller(rig.at);
+  const running = await bareCaller(rig.address);
   running.write(request('two') + request('three'));
   expect(await c.has('first')).toBe(true);
   expect(await running.has('first')).toBe(true);
@@ -222,11 +229,11 @@
 
 async function requestAfterLastAnswer(): Promise<void> {
   const { engine, rig, e } = await startHeld(withLimits(15000));
-  const c = await bareCaller(rig.at);
+  const c = await bareCaller(rig.address);
   c.write(request('one').replace('Authorization', 'Connection: close\nAuthorization'));
   expect(await c.has('first')).toBe(true);
   c.write(request('two'));
-  const other = await bareCaller(rig.at);
+  const other = await bareCaller(rig.address);
   other.write(request('other'));
   expect(await other.has('first')).toBe(true);
   engine.finish();
@@ -243,10 +250,10 @@
 
 async function sameIdAgain(): Promise<void> {
   const { engine, rig, e } = await startHeld(withLimits(15000));
-  const first = await bareCaller(rig.at);
+  const first = await bareCaller(rig.address);
   first.write(request('one'));
   expect(await first.has('first')).toBe(true);
-  const again = await bareCaller(rig.at);
+  const again = await bareCaller(rig.address);
   again.write(request('one'));
   expect(await again.has('HTTP/1.1')).toBe(true);
   expect(again.received()).toContain(' 502 ');
@@ -262,18 +269,18 @@
   const engine = heldStreams();
   const e = await startStandIn('e1', engine.answer);
   const d = withLimits(15000);
-  const rig = await startRig({ engines: [e], deployment: d });
-  const c = await bareCaller(rig.at);
+  const rig = await startGatewayFixture({ engines: [e], deployment: d });
+  const c = await bareCaller(rig.address);
   c.write(request());
   expect(await c.has('first')).toBe(true);
   const slower = { ...d, routes: [{ ...ROUTES[0], timeoutMs: 1 }] };
   const withdrawn = { ...d, tenants: [] };
   const dropped = { ...d, routes: [], pools: [], tenants: [] };
   for (const [i, doc] of [slower, withdrawn, dropped].entries())
-    rig.tell('deployment', { revision: 2 + i, doc });
-  rig.tellEngines([{ ...e, leaving: true }]);
-  rig.tellEngines([]);
-  const refused = await bareCaller(rig.at);
+    rig.publish('deployment', { revision: 2 + i, doc });
+  rig.publishEngines([{ ...e, leaving: true }]);
+  rig.publishEngines([]);
+  const refused = await bareCaller(rig.address);
   refused.write(request('late'));
   expect(await refused.has(' 404 ')).toBe(true);
   engine.finish();
--- a/test/data/gateway-drain-changes.test.ts
+++ b/test/data/gateway-drain-changes.test.ts
@@ -1,7 +1,15 @@
 import { CONTROL_KEYS } from '../../src/shared/state/control-keys';
 import { bareCaller } from './bare-caller';
 import { HeldRig, startHeldRig } from './drain-fixture';
-import { ask, deployment, Got, route, sealed, startStandIn, turnsAway } from './gateway-fixture';
+import {
+  sendRequest,
+  deployment,
+  CallerResponse,
+  route,
+  engineHeaders,
+  startStandIn,
+  rejectRequest,
+} from './gateway-fixture';
 
 const LONG_MS = 6000;
 const STEP_MS = 60;
@@ -12,10 +20,12 @@
 }
 
 /** A router that is told to end while it waits for a held answer. */
-async function startLeaving(): Promise<{ leaving: LeavingRig; asked: Promise<Got> }> {
+async function startLeaving(): Promise<{ leaving: LeavingRig; asked: Promise<CallerResponse> }> {
   const { rig, clock, streams } = await startHeldRig(LONG_MS);
   const isHeld = streams.next();
-  const asked = ask(rig.at, { headers: { 'Plumhollow-Deadline-Ms': String(LONG_MS) } });
+  const asked = sendRequest(rig.address, {
+    headers: { 'Plumhollow-Deadline-Ms': String(LONG_MS) },
+  });
   await isHeld;
   let isClosed = false;
   async function leave(): Promise<void> {
@@ -43,14 +53,14 @@
   for (let i = 0; i < CHANGES; i++) {
     const timeoutMs = i % 2 === 0 ? 100 : LONG_MS;
     const doc = deployment([route({ timeoutMs })], { limits: limitsOf(2000 + i) });
-    rig.tell(CONTROL_KEYS.deployment, { revision: ++revision, doc });
+    rig.publish(CONTROL_KEYS.deployment, { revision: ++revision, doc });
     if (i % 10 === 0) await clock.advance(STEP_MS);
   }
   const doc = deployment([route({ name: 'other', prefix: '/other/' })], { tenants: [], pools: [] });
-  rig.tell(CONTROL_KEYS.deployment, { revision: ++revision, doc });
+  rig.publish(CONTROL_KEYS.deployment, { revision: ++revision, doc });
   await clock.advance(STEP_MS);
   await leaving.finish();
-  expect(await asked).toMatchObject({ status: 200, whole: true });
+  expect(await asked).toMatchObject({ status: 200, isComplete: true });
 }
 
 function limitsOf(idleTimeoutMs: number): ReturnType<typeof deployment>['limits'] {
@@ -62,8 +72,8 @@
   const { leaving } = await startLeaving();
   const { rig } = leaving;
   const doc = deployment([route({ timeoutMs: LONG_MS })], { limits: limitsOf(9000) });
-  rig.tell(CONTROL_KEYS.deployment, { revision: ++revision, doc });
-  const got = await ask(rig.at, { path: '/nowhere/' });
+  rig.publish(CONTROL_KEYS.deployment, { revision: ++revision, doc });
+  const got = await sendRequest(rig.address, { path: '/nowhere/' });
   expect(got.status).toBe(404);
   expect(got.headers.connection).toBe('close');
   await leaving.finish();
@@ -73,16 +83,16 @@
 async function enginesLeaveToo(): Promise<void> {
   const { leaving } = await startLeaving();
   const { rig, clock } = leaving;
-  function answers(c: Parameters<typeof turnsAway>[0]): void {
-    c.res.writeHead(200, sealed(c));
+  function answers(c: Parameters<typeof rejectRequest>[0]): void {
+    c.res.writeHead(200, engineHeaders(c));
     c.res.end('id: 1\ndata: served\n\n');
   }
-  const goes = await startStandIn('e2', turnsAway);
+  const goes = await startStandIn('e2', rejectRequest);
   const stays = await startStandIn('e3', answers);
-  rig.tellEngines([{ ...goes, leaving: true }, stays]);
+  rig.publishEngines([{ ...goes, leaving: true }, stays]);
   await clock.advance(STEP_MS);
-  const got = await ask(rig.at, { headers: { 'Plumhollow-Deadline-Ms': '2000' } });
-  expect(got).toMatchObject({ status: 200, whole: true });
+  const got = await sendRequest(rig.address, { headers: { 'Plumhollow-Deadline-Ms': '2000' } });
+  expect(got).toMatchObject({ status: 200, isComplete: true });
   await leaving.finish();
   goes.close();
   stays.close();
@@ -92,7 +102,7 @@
 async function lastAnswersAreWhole(): Promise<void> {
   const { leaving } = await startLeaving();
   const { rig, streams } = leaving;
-  const caller = await bareCaller(rig.at);
+  const caller = await bareCaller(rig.address);
   function request(id: string): string {
     return `POST /a/x HTTP/1.1\nHost: desk.example\nPlumhollow-Attempt-Id: ${id}\nPlumhollow-Model: m\nPlumhollow-Deadline-Ms: 2000\nAuthorization: Token k1\nContent-Length: 0\n\n`;
   }
--- a/test/data/gateway-drain-end.test.ts
+++ b/test/data/gateway-drain-end.test.ts
@@ -39,7 +39,7 @@
 
 async function startDrainRig(): Promise<DrainRig> {
   const { rig, clock, streams } = await startHeldRig(LONG_MS);
-  const kept = await bareCaller(rig.at);
+  const kept = await bareCaller(rig.address);
   await begin(kept, streams);
   streams.finish();
   expect(await kept.has('data: last')).toBe(true);
@@ -92,7 +92,7 @@
 
 async function answersAtLastEnd(): Promise<void> {
   const r = await startDrainRig();
-  const held = await bareCaller(r.rig.at);
+  const held = await bareCaller(r.rig.address);
   await begin(held, r.streams);
   const left = r.leave();
   await r.clock.advance(GRACE_MS * DRAIN - HELD_UP_MS / 2);
@@ -109,7 +109,7 @@
 /** The process was held up while its signal came; all bounds count from when the signal may have been sent. */
 async function countsFromTheSignal(): Promise<void> {
   const r = await startDrainRig();
-  const held = await bareCaller(r.rig.at);
+  const held = await bareCaller(r.rig.address);
   await begin(held, r.streams);
   await r.clock.advance(ROUTER_LOOK_MS);
   const sentAt = r.clock.now();
@@ -129,7 +129,7 @@
 
 async function playRecord(lateMs: number, deadlineMs: number): Promise<string> {
   const r = await startDrainRig();
-  await begin(await bareCaller(r.rig.at), r.streams);
+  await begin(await bareCaller(r.rig.address), r.streams);
   await r.clock.advance(ROUTER_LOOK_MS);
   const sentAt = r.clock.now();
   r.clock.holdUp(lateMs);
--- a/test/data/gateway-drain.test.ts
+++ b/test/data/gateway-drain.test.ts
@@ -2,7 +2,7 @@
 import { RandomSource } from '../../src/shared/ports/random';
 import { seededDice } from '../../tools/sim/dice';
 import { CONTACT_MS, GRACE_MS, startHeldRig } from './drain-fixture';
-import { ask, Got, Rig } from './gateway-fixture';
+import { sendRequest, CallerResponse, GatewayFixture } from './gateway-fixture';
 import { ManualClock } from '../shared/manual-clock';
 
 /** The last part of the grace, in which what was taken early may be cut off. */
@@ -25,9 +25,9 @@
 
 /** What became of it. */
 interface Outcome {
-  got: Got;
+  got: CallerResponse;
   /** What became of the one that was in flight when the router was told to end. */
-  earlier: Got;
+  earlier: CallerResponse;
   /** Whether it reached an engine. */
   isPassedOn: boolean;
   /** When its answer ended, from the SIGTERM on. */
@@ -45,19 +45,23 @@
 
 /** A rig of one engine that holds its answers until they are let go; a silent one has not begun on them before. */
 interface HoldingRig {
-  rig: Rig;
+  rig: GatewayFixture;
   clock: ManualClock;
   /** Asks, and comes once the engine holds the answer or it has ended otherwise. */
-  asks: (more?: Parameters<typeof ask>[1]) => Promise<{ asked: Promise<Got>; finish?: () => void }>;
+  asks: (
+    more?: Parameters<typeof sendRequest>[1],
+  ) => Promise<{ asked: Promise<CallerResponse>; finish?: () => void }>;
 }
 
 async function startHoldingRig(isSilent = false): Promise<HoldingRig> {
   const { rig, clock, streams } = await startHeldRig(LONG_MS, isSilent);
-  async function asks(more: Parameters<typeof ask>[1] = {}): ReturnType<HoldingRig['asks']> {
+  async function asks(
+    more: Parameters<typeof sendRequest>[1] = {},
+  ): ReturnType<HoldingRig['asks']> {
     const before = streams.held();
     const passedOn = streams.next();
     const headers = { 'Plumhollow-Deadline-Ms': String(LONG_MS), ...more.headers };
-    const asked = ask(rig.at, { ...more, headers });
+    const asked = sendRequest(rig.address, { ...more, headers });
     await Promise.race([asked, passedOn]);
     return { asked, finish: streams.ends[before] };
   }
@@ -67,8 +71,8 @@
 /** Asks until an engine holds the answer: connecting may take too long on a busy machine. */
 async function asksUntilHeld(
   r: HoldingRig,
-  more?: Parameters<typeof ask>[1],
-): Promise<{ asked: Promise<Got>; finish: () => void }> {
+  more?: Parameters<typeof sendRequest>[1],
+): Promise<{ asked: Promise<CallerResponse>; finish: () => void }> {
   for (;;) {
     const { asked, finish } = await r.asks(more);
     if (finish) return { asked, finish };
@@ -112,7 +116,7 @@
 
 /** Whether a router kept its word: the answer came whole, or it was refused unsent, or it was taken early and had most of the grace. */
 function isKept(request: LateRequest, o: Outcome): boolean {
-  if (o.got.whole && o.got.status === 200) return true;
+  if (o.got.isComplete && o.got.status === 200) return true;
   if (!o.isPassedOn) return o.got.status === 503 && Number(o.got.headers['retry-after']) > 0;
   const isOver = o.endedAt - request.at >= request.deadlineMs;
   const hadMost =
@@ -138,13 +142,17 @@
 
 async function answersTheSilent(): Promise<void> {
   const { got, earlier } = await play({ at: 2000, deadlineMs: 7500, workMs: 7000 }, true);
-  for (const g of [got, earlier]) expect(g).toMatchObject({ status: 502, whole: true });
+  for (const g of [got, earlier]) expect(g).toMatchObject({ status: 502, isComplete: true });
 }
 
 async function servesEarly(): Promise<void> {
   for (const at of [0, 1000, 2200]) {
     const { got } = await play({ at, deadlineMs: 6000, workMs: 1500 });
-    expect({ at, status: got.status, whole: got.whole }).toEqual({ at, status: 200, whole: true });
+    expect({ at, status: got.status, isComplete: got.isComplete }).toEqual({
+      at,
+      status: 200,
+      isComplete: true,
+    });
   }
 }
 
--- a/test/data/gateway-fixture.ts
+++ b/test/data/gateway-fixture.ts
@@ -24,7 +24,7 @@
 }
 
 /** A stand-in engine whose answers a test writes; it notes what it ran. */
-export interface StandIn {
+export interface EngineStandIn {
   id: string;
   at: string;
   zone: string;
@@ -39,9 +39,9 @@
   id: string,
   answer: (c: EngineCall) => void,
   zone = 'zone-a',
-): Promise<StandIn> {
+): Promise<EngineStandIn> {
   const server = nodeHttp.createServer(asked);
-  const e: StandIn = { id, at: '', zone, calls: [], bodies: [], connections: 0, close };
+  const e: EngineStandIn = { id, at: '', zone, calls: [], bodies: [], connections: 0, close };
   function asked(req: nodeHttp.IncomingMessage, res: nodeHttp.ServerResponse): void {
     let body = '';
     function data(p: Buffer): void {
@@ -72,7 +72,10 @@
 }
 
 /** Headers that an engine's own answer to a request has. */
-export function sealed(c: EngineCall, more: Record<string, string> = {}): Record<string, string> {
+export function engineHeaders(
+  c: EngineCall,
+  more: Record<string, string> = {},
+): Record<string, string> {
   return {
     'Plumhollow-Attempt-Id': String(c.req.headers['plumhollow-attempt-id']),
     'Plumhollow-Response-Seal': 's.1',
@@ -82,9 +85,9 @@
 }
 
 /** Answers with a stream of numbered events from where the caller left off. */
-export function streams(events: number): (c: EngineCall) => void {
+export function streamEvents(events: number): (c: EngineCall) => void {
   function answer(c: EngineCall): void {
-    c.res.writeHead(200, sealed(c, { 'Content-Type': 'text/event-stream' }));
+    c.res.writeHead(200, engineHeaders(c, { 'Content-Type': 'text/event-stream' }));
     for (let i = Number(c.req.headers['last-event-id'] ?? 0) + 1; i <= events; i++)
       c.res.write(`id: ${i}\ndata: piece ${i}\n\n`);
     c.res.end();
@@ -93,7 +96,7 @@
 }
 
 /** Turns a request away. */
-export function turnsAway(c: EngineCall): void {
+export function rejectRequest(c: EngineCall): void {
   c.res.writeHead(503, {
     'Plumhollow-Attempt-Id': String(c.req.headers['plumhollow-attempt-id']),
     'Plumhollow-Not-Executed': '1',
@@ -102,7 +105,7 @@
 }
 
 /** Closes the connection without an answer. */
-export function resets(c: EngineCall): void {
+export function resetConnection(c: EngineCall): void {
   c.req.socket.resetAndDestroy();
 }
 
@@ -160,24 +163,24 @@
 }
 
 /** A gateway with a follower whose news a test tells. */
-export interface Rig {
+export interface GatewayFixture {
   gateway: Gateway;
-  at: string;
-  readiness: string;
-  tell: (key: string, value: unknown) => void;
-  tellEngines: (list: Partial<Engine>[]) => void;
-  live: (on: boolean) => void;
+  address: string;
+  readinessAddress: string;
+  publish: (key: string, value: unknown) => void;
+  publishEngines: (list: Partial<Engine>[]) => void;
+  setLease: (on: boolean) => void;
   close: () => Promise<void>;
 }
 
 /** What a rig starts with. */
-export interface RigWays {
-  engines?: (StandIn & Partial<Engine>)[];
+export interface GatewayFixtureOptions {
+  engines?: (EngineStandIn & Partial<Engine>)[];
   deployment?: Deployment;
   settings?: Partial<Settings>;
   routers?: number;
   /** Whether it holds a majority's leases from the start. */
-  live?: boolean;
+  hasLease?: boolean;
   clock?: Ports['clock'];
   /** Called when a connection to an engine has come up, before it is used. */
   onConnect?: (at: string) => void;
@@ -202,10 +205,10 @@
 }
 
 /** Starts a gateway on loopback sockets. */
-export async function startRig(ways: RigWays): Promise<Rig> {
+export async function startGatewayFixture(ways: GatewayFixtureOptions): Promise<GatewayFixture> {
   const state = new Map<string, VersionedValue>();
   const changes = makePushStream<VersionedValue>();
-  let live = ways.live ?? true;
+  let live = ways.hasLease ?? true;
   let number = 0;
   function tell(key: string, value: unknown): void {
     const n: VersionedValue = { key, value, epoch: 1, by: 'core', number: ++number };
@@ -291,28 +294,28 @@
   }
   return {
     gateway,
-    at: settings.http,
-    readiness: settings.readiness,
-    tell,
-    tellEngines,
-    live: setLive,
+    address: settings.http,
+    readinessAddress: settings.readiness,
+    publish: tell,
+    publishEngines: tellEngines,
+    setLease: setLive,
     close,
   };
 }
 
 /** What a caller got. */
-export interface Got {
+export interface CallerResponse {
   status: number;
   headers: nodeHttp.IncomingHttpHeaders;
   body: string;
   /** Whether the answer came whole. */
-  whole: boolean;
+  isComplete: boolean;
 }
 
 let ids = 0;
 
 /** Asks as a caller does; a connection that ends without a head is status 0. */
-export function ask(
+export function sendRequest(
   at: string,
   more: {
     path?: string;
@@ -324,7 +327,7 @@
     agent?: nodeHttp.Agent;
     onPiece?: (text: string, req: nodeHttp.ClientRequest) => void;
   } = {},
-): Promise<Got & { id: string }> {
+): Promise<CallerResponse & { id: string }> {
   const id = `try-${++ids}`;
   const [host, port] = at.split(':');
   const headers: Record<string, string> = {
@@ -335,7 +338,7 @@
     ...more.headers,
   };
   if (more.key !== '') headers.Authorization = `Token ${more.key ?? 'k1'}`;
-  function wait(done: (g: Got & { id: string }) => void): void {
+  function wait(done: (g: CallerResponse & { id: string }) => void): void {
     const req = nodeHttp.request({
       host,
       port,
@@ -346,7 +349,7 @@
       setHost: false,
     });
     function failed(): void {
-      done({ id, status: 0, headers: {}, body: '', whole: false });
+      done({ id, status: 0, headers: {}, body: '', isComplete: false });
     }
     function answered(res: nodeHttp.IncomingMessage): void {
       let body = '';
@@ -355,7 +358,7 @@
         more.onPiece?.(body, req);
       }
       function closed(): void {
-        done({ id, status: res.statusCode!, headers: res.headers, body, whole: res.complete });
+        done({ id, status: res.statusCode!, headers: res.headers, body, isComplete: res.complete });
       }
       function nothing(): void {}
       res.on('data', data);
--- a/test/data/gateway-late-bytes.test.ts
+++ b/test/data/gateway-late-bytes.test.ts
@@ -1,5 +1,11 @@
 import net from 'node:net';
-import { ask, deployment, Rig, route, startRig } from './gateway-fixture';
+import {
+  sendRequest,
+  deployment,
+  GatewayFixture,
+  route,
+  startGatewayFixture,
+} from './gateway-fixture';
 import { say } from './bare-caller';
 
 /** A request as it came to an engine. */
@@ -83,20 +89,20 @@
 
 /** Two engines and a router whose budget allows further attempts, on a route that allows two. */
 async function rigOf(taken: (a: Arrived) => void): Promise<{
-  rig: Rig;
+  rig: GatewayFixture;
   engines: BareEngine[];
   count: () => number;
   close: () => Promise<void>;
 }> {
   const engines = [await bareEngine('e1', taken), await bareEngine('e2', taken)];
-  const rig = await startRig({
+  const rig = await startGatewayFixture({
     deployment: deployment([
       route({ kind: 'unsafe' }),
       route({ name: 's', prefix: '/s/', kind: 'safe' }),
     ]),
     settings: { retryWindowMs: 1, retrySlack: 1000 },
   });
-  rig.tellEngines(engines);
+  rig.publishEngines(engines);
   function count(): number {
     return engines[0].arrived.length + engines[1].arrived.length;
   }
@@ -110,8 +116,8 @@
 const WARMING = 3;
 
 /** Keeps a connection to the engine that comes first; how many requests that took. */
-async function warm(rig: Rig): Promise<number> {
-  for (let i = 0; i < WARMING; i++) expect((await ask(rig.at)).status).toBe(200);
+async function warm(rig: GatewayFixture): Promise<number> {
+  for (let i = 0; i < WARMING; i++) expect((await sendRequest(rig.address)).status).toBe(200);
   return WARMING;
 }
 
@@ -124,9 +130,9 @@
   const r = await rigOf(forgets);
   const asked = await warm(r.rig);
   forget = true;
-  expect((await ask(r.rig.at)).status).toBe(502);
+  expect((await sendRequest(r.rig.address)).status).toBe(502);
   expect(r.count()).toBe(asked + 1);
-  expect((await ask(r.rig.at, { path: '/s/x' })).status).toBe(200);
+  expect((await sendRequest(r.rig.address, { path: '/s/x' })).status).toBe(200);
   await r.close();
 }
 
@@ -134,7 +140,7 @@
   const r = await rigOf(answers);
   const asked = await warm(r.rig);
   for (const e of r.engines) for (const s of e.sockets) s.resetAndDestroy();
-  const got = await ask(r.rig.at);
+  const got = await sendRequest(r.rig.address);
   expect([200, 502]).toContain(got.status);
   expect(r.count()).toBeLessThanOrEqual(asked + 1);
   await r.close();
@@ -149,7 +155,7 @@
   const r = await rigOf(readsPart);
   const asked = await warm(r.rig);
   cut = true;
-  expect((await ask(r.rig.at, { body: 'x'.repeat(90000) })).status).toBe(502);
+  expect((await sendRequest(r.rig.address, { body: 'x'.repeat(90000) })).status).toBe(502);
   expect(r.count()).toBe(asked + 1);
   await r.close();
 }
@@ -159,7 +165,7 @@
     a.socket.end(answerOf(a.id, 'body').slice(0, 40));
   }
   const r = await rigOf(cuts);
-  const got = await ask(r.rig.at);
+  const got = await sendRequest(r.rig.address);
   expect(got.status).toBe(502);
   expect(got.headers['plumhollow-response-seal']).toBeUndefined();
   expect(r.count()).toBe(1);
@@ -171,7 +177,7 @@
     a.socket.end(answerOf(a.id, 'body of the answer').slice(0, -8));
   }
   const r = await rigOf(cuts);
-  expect((await ask(r.rig.at)).whole).toBe(false);
+  expect((await sendRequest(r.rig.address)).isComplete).toBe(false);
   expect(r.count()).toBe(1);
   await r.close();
 }
@@ -183,16 +189,16 @@
     else answers(a);
   }
   const engine = await bareEngine('e1', firstIsLate);
-  const rig = await startRig({
+  const rig = await startGatewayFixture({
     deployment: deployment([route({ kind: 'unsafe' })]),
     settings: { contactMs: 1 },
   });
-  rig.tellEngines([engine]);
-  const first = await ask(rig.at, { headers: { 'Plumhollow-Deadline-Ms': '60' } });
+  rig.publishEngines([engine]);
+  const first = await sendRequest(rig.address, { headers: { 'Plumhollow-Deadline-Ms': '60' } });
   expect(first.status).toBe(504);
   late[0].socket.write(answerOf(first.id, 'too late'));
   for (let i = 0; i < 3; i++) {
-    const next = await ask(rig.at);
+    const next = await sendRequest(rig.address);
     if (next.status !== 503) expect(next).toMatchObject({ status: 200, body: `of ${next.id}` });
   }
   expect(engine.sockets.length).toBeGreaterThan(1);
@@ -209,14 +215,14 @@
     before = a.id;
   }
   const engine = await bareEngine('e1', doubles);
-  const rig = await startRig({
+  const rig = await startGatewayFixture({
     deployment: deployment([route({ kind: 'unsafe' })]),
     settings: { contactMs: 1 },
   });
-  rig.tellEngines([engine]);
+  rig.publishEngines([engine]);
   const statuses: number[] = [];
   for (let i = 0; i < 6; i++) {
-    const got = await ask(rig.at);
+    const got = await sendRequest(rig.address);
     statuses.push(got.status);
     if (got.status === 200) expect(got.body).toBe(`of ${got.id}`);
   }
@@ -232,7 +238,7 @@
 
 async function silentOnce(): Promise<void> {
   const r = await rigOf(nothing);
-  const got = await ask(r.rig.at, { headers: { 'Plumhollow-Deadline-Ms': '400' } });
+  const got = await sendRequest(r.rig.address, { headers: { 'Plumhollow-Deadline-Ms': '400' } });
   expect(got.status).toBe(504);
   expect(r.count()).toBe(1);
   await r.close();
@@ -251,11 +257,12 @@
   const r = await rigOf(answers);
   const twoLengths = `${HEAD}Content-Length: 0\nContent-Length: ${INNER.length}\n\n${INNER}`;
   const bothFramings = `${HEAD}Content-Length: 5\nTransfer-Encoding: chunked\n\n0\n\n${INNER}`;
-  for (const text of [twoLengths, bothFramings]) expect(await say(r.rig.at, text)).toMatch(/ 400 /);
+  for (const text of [twoLengths, bothFramings])
+    expect(await say(r.rig.address, text)).toMatch(/ 400 /);
   expect(r.count()).toBe(0);
   const size = INNER.replaceAll('\n', '\r\n').length;
   const asBody = `${HEAD}Content-Length: ${size}\n\n${INNER}`;
-  expect(await say(r.rig.at, asBody)).toContain('of outer');
+  expect(await say(r.rig.address, asBody)).toContain('of outer');
   expect(r.count()).toBe(1);
   await r.close();
 }
--- a/test/data/gateway-readiness.test.ts
+++ b/test/data/gateway-readiness.test.ts
@@ -1,42 +1,42 @@
 import http from 'node:http';
 import {
-  ask,
+  sendRequest,
   deployment,
   EngineCall,
-  Got,
+  CallerResponse,
   route,
-  sealed,
-  startRig,
+  engineHeaders,
+  startGatewayFixture,
   startStandIn,
-  streams,
+  streamEvents,
 } from './gateway-fixture';
 
 async function statusAt(at: string, path = '/api/readiness'): Promise<number> {
-  return (await ask(at, { method: 'GET', path, body: '' })).status;
+  return (await sendRequest(at, { method: 'GET', path, body: '' })).status;
 }
 
 async function beforeDeployment(): Promise<void> {
-  const e = await startStandIn('e1', streams(1));
-  const rig = await startRig({ live: false });
-  expect(await statusAt(rig.readiness)).toBe(503);
-  const early = await ask(rig.at);
+  const e = await startStandIn('e1', streamEvents(1));
+  const rig = await startGatewayFixture({ hasLease: false });
+  expect(await statusAt(rig.readinessAddress)).toBe(503);
+  const early = await sendRequest(rig.address);
   expect(early.status).toBe(503);
   expect(Number(early.headers['retry-after'])).toBeGreaterThan(0);
-  rig.tell('deployment', { revision: 1, doc: deployment([route({})]) });
-  rig.tellEngines([e]);
-  expect(await statusAt(rig.readiness)).toBe(503);
-  rig.live(true);
-  expect(await statusAt(rig.readiness)).toBe(200);
-  rig.live(false);
-  expect(await statusAt(rig.readiness)).toBe(200);
-  expect((await ask(rig.at)).status).toBe(200);
-  expect(await statusAt(rig.readiness, '/other')).toBe(404);
+  rig.publish('deployment', { revision: 1, doc: deployment([route({})]) });
+  rig.publishEngines([e]);
+  expect(await statusAt(rig.readinessAddress)).toBe(503);
+  rig.setLease(true);
+  expect(await statusAt(rig.readinessAddress)).toBe(200);
+  rig.setLease(false);
+  expect(await statusAt(rig.readinessAddress)).toBe(200);
+  expect((await sendRequest(rig.address)).status).toBe(200);
+  expect(await statusAt(rig.readinessAddress, '/other')).toBe(404);
   await rig.close();
   e.close();
 }
 
 async function deniesNothingEarly(): Promise<void> {
-  const rig = await startRig({ live: false, settings: { bodyMostBytes: 10 } });
+  const rig = await startGatewayFixture({ hasLease: false, settings: { bodyMostBytes: 10 } });
   const asks = [
     { path: '/unknown/x' },
     { key: 'unknown' },
@@ -46,54 +46,58 @@
   ];
   async function refused(): Promise<void> {
     for (const more of asks) {
-      const got = await ask(rig.at, more);
+      const got = await sendRequest(rig.address, more);
       expect(got.status).toBe(503);
       expect(Number(got.headers['retry-after'])).toBeGreaterThan(0);
     }
-    expect(await statusAt(rig.readiness)).toBe(503);
+    expect(await statusAt(rig.readinessAddress)).toBe(503);
   }
   await refused();
-  rig.live(true);
+  rig.setLease(true);
   await refused();
-  rig.tellEngines([]);
+  rig.publishEngines([]);
   await refused();
-  rig.tell('deployment', { revision: 1, doc: undefined });
+  rig.publish('deployment', { revision: 1, doc: undefined });
   await refused();
-  rig.tell('deployment', { revision: 2, doc: deployment([route({})]) });
-  expect(await statusAt(rig.readiness)).toBe(200);
-  expect((await ask(rig.at, { path: '/unknown/x' })).status).toBe(404);
+  rig.publish('deployment', { revision: 2, doc: deployment([route({})]) });
+  expect(await statusAt(rig.readinessAddress)).toBe(200);
+  expect((await sendRequest(rig.address, { path: '/unknown/x' })).status).toBe(404);
   await rig.close();
 }
 
 async function leavingEngine(): Promise<void> {
-  const a = await startStandIn('e1', streams(1));
-  const b = await startStandIn('e2', streams(1));
-  const rig = await startRig({ engines: [a, b], deployment: deployment([route({})]) });
-  rig.tellEngines([{ ...a, leaving: true }, b]);
-  for (let i = 0; i < 6; i++) expect((await ask(rig.at)).status).toBe(200);
+  const a = await startStandIn('e1', streamEvents(1));
+  const b = await startStandIn('e2', streamEvents(1));
+  const rig = await startGatewayFixture({ engines: [a, b], deployment: deployment([route({})]) });
+  rig.publishEngines([{ ...a, leaving: true }, b]);
+  for (let i = 0; i < 6; i++) expect((await sendRequest(rig.address)).status).toBe(200);
   expect({ a: a.calls.length, b: b.calls.length }).toEqual({ a: 0, b: 6 });
-  rig.tellEngines([b]);
-  for (let i = 0; i < 3; i++) expect((await ask(rig.at)).status).toBe(200);
-  rig.tellEngines([]);
-  expect((await ask(rig.at)).status).toBe(503);
+  rig.publishEngines([b]);
+  for (let i = 0; i < 3; i++) expect((await sendRequest(rig.address)).status).toBe(200);
+  rig.publishEngines([]);
+  expect((await sendRequest(rig.address)).status).toBe(503);
   expect(a.calls.length).toBe(0);
   await rig.close();
 }
 
 async function leavesMeanwhile(): Promise<void> {
-  const a = await startStandIn('e1', streams(1));
-  const b = await startStandIn('e2', streams(1));
+  const a = await startStandIn('e1', streamEvents(1));
+  const b = await startStandIn('e2', streamEvents(1));
   let left: string | undefined;
   function onConnect(at: string): void {
     if (left !== undefined) return;
     left = at;
-    rig.tellEngines([
+    rig.publishEngines([
       { ...a, leaving: a.at === at },
       { ...b, leaving: b.at === at },
     ]);
   }
-  const rig = await startRig({ engines: [a, b], deployment: deployment([route({})]), onConnect });
-  expect((await ask(rig.at)).status).toBe(200);
+  const rig = await startGatewayFixture({
+    engines: [a, b],
+    deployment: deployment([route({})]),
+    onConnect,
+  });
+  expect((await sendRequest(rig.address)).status).toBe(200);
   const [gone, stays] = a.at === left ? [a, b] : [b, a];
   expect({
     gone: gone.calls.length,
@@ -115,7 +119,7 @@
     began();
   }
   function slow(c: EngineCall): void {
-    c.res.writeHead(200, sealed(c));
+    c.res.writeHead(200, engineHeaders(c));
     c.res.write('id: 1\ndata: x\n\n');
     function end(): void {
       c.res.end('id: 2\ndata: y\n\n');
@@ -123,23 +127,23 @@
     finish = end;
   }
   const e = await startStandIn('e1', slow);
-  const rig = await startRig({
+  const rig = await startGatewayFixture({
     engines: [e],
     deployment: deployment([route({})]),
     settings: { contactMs: 100, graceMs: 5000 },
   });
   const agent = new http.Agent({ keepAlive: true });
-  const first = ask(rig.at, { agent, onPiece });
+  const first = sendRequest(rig.address, { agent, onPiece });
   await running;
   const over = rig.gateway.drain();
-  expect(await statusAt(rig.readiness)).toBe(503);
+  expect(await statusAt(rig.readinessAddress)).toBe(503);
   finish();
   const got = await first;
-  expect(got).toMatchObject({ status: 200, whole: true });
+  expect(got).toMatchObject({ status: 200, isComplete: true });
   expect(got.headers.connection).toBe('keep-alive');
-  const late = ask(rig.at, { agent });
-  function whole(g: Got): void {
-    expect(g).toMatchObject({ status: 200, whole: true });
+  const late = sendRequest(rig.address, { agent });
+  function whole(g: CallerResponse): void {
+    expect(g).toMatchObject({ status: 200, isComplete: true });
     expect(g.headers.connection).toBe('close');
   }
   void late.then(whole);
@@ -159,32 +163,37 @@
 }
 
 async function keys(): Promise<void> {
-  const e = await startStandIn('e1', streams(1));
+  const e = await startStandIn('e1', streamEvents(1));
   const d = deployment([route({}), route({ name: 'open', prefix: '/open/', public: true })]);
-  const rig = await startRig({ engines: [e], deployment: d });
-  expect((await ask(rig.at, { key: 'unknown' })).status).toBe(401);
-  expect((await ask(rig.at, { key: '' })).status).toBe(401);
+  const rig = await startGatewayFixture({ engines: [e], deployment: d });
+  expect((await sendRequest(rig.address, { key: 'unknown' })).status).toBe(401);
+  expect((await sendRequest(rig.address, { key: '' })).status).toBe(401);
   expect(
-    (await ask(rig.at, { key: '', path: '/open/x', headers: { 'Plumhollow-Tenant': 'forged' } }))
-      .status,
+    (
+      await sendRequest(rig.address, {
+        key: '',
+        path: '/open/x',
+        headers: { 'Plumhollow-Tenant': 'forged' },
+      })
+    ).status,
   ).toBe(200);
   expect(e.calls[0].headers['plumhollow-tenant']).toBeUndefined();
-  expect((await ask(rig.at, { key: 'k1' })).status).toBe(200);
+  expect((await sendRequest(rig.address, { key: 'k1' })).status).toBe(200);
   expect(e.calls[1].headers).toMatchObject({
     'plumhollow-tenant': 'walled',
     'plumhollow-cache-salt': 'walled:1',
   });
-  rig.tell('deployment', {
+  rig.publish('deployment', {
     revision: 2,
     doc: { ...d, tenants: [{ ...d.tenants[0], keys: [] }, d.tenants[1]] },
   });
-  expect((await ask(rig.at, { key: 'k1' })).status).toBe(401);
+  expect((await sendRequest(rig.address, { key: 'k1' })).status).toBe(401);
   await rig.close();
 }
 
 async function routes(): Promise<void> {
-  const a = await startStandIn('e1', streams(1));
-  const b = await startStandIn('e2', streams(1));
+  const a = await startStandIn('e1', streamEvents(1));
+  const b = await startStandIn('e2', streamEvents(1));
   const d = deployment([
     route({ name: 'all', prefix: '/', targets: [{ pool: 'p', weight: 1 }] }),
     route({ name: 'deep', prefix: '/a/b/', targets: [{ pool: 'q', weight: 1 }] }),
@@ -198,21 +207,25 @@
       ],
     }),
   ]);
-  const rig = await startRig({
+  const rig = await startGatewayFixture({
     deployment: { ...d, pools: [...d.pools, { ...d.pools[0], name: 'q' }] },
   });
-  rig.tellEngines([a, { ...b, pool: 'q' }]);
+  rig.publishEngines([a, { ...b, pool: 'q' }]);
   const went: string[] = [];
   for (const path of ['/', '/a', '/a/b', '/a/b/', '/a/b/c?d=/x/', '/a/bc/d', '/z/a/b/']) {
     const before = a.calls.length;
-    expect((await ask(rig.at, { path })).status).toBe(200);
+    expect((await sendRequest(rig.address, { path })).status).toBe(200);
     went.push(a.calls.length > before ? 'p' : 'q');
   }
   expect(went).toEqual(['p', 'p', 'p', 'q', 'q', 'p', 'p']);
-  expect((await ask(rig.at, { path: '/a/b/', host: 'other.example' })).status).toBe(404);
-  expect((await ask(rig.at, { path: '/a/b/', host: 'DESK.example:80' })).status).toBe(200);
+  expect((await sendRequest(rig.address, { path: '/a/b/', host: 'other.example' })).status).toBe(
+    404,
+  );
+  expect((await sendRequest(rig.address, { path: '/a/b/', host: 'DESK.example:80' })).status).toBe(
+    200,
+  );
   const before = { a: a.calls.length, b: b.calls.length };
-  for (let i = 0; i < 200; i++) await ask(rig.at, { path: '/split/x' });
+  for (let i = 0; i < 200; i++) await sendRequest(rig.address, { path: '/split/x' });
   const share =
     (b.calls.length - before.b) / (a.calls.length - before.a + b.calls.length - before.b);
   expect(share).toBeGreaterThan(0.1);
@@ -223,15 +236,20 @@
 }
 
 async function bounds(): Promise<void> {
-  const e = await startStandIn('e1', streams(1));
-  const rig = await startRig({ engines: [e], deployment: deployment([route({})]) });
-  expect((await ask(rig.at, { body: 'x'.repeat(200000) })).status).toBe(413);
-  expect((await ask(rig.at, { headers: { 'Plumhollow-Attempt-Id': '' } })).status).toBe(400);
-  expect((await ask(rig.at, { headers: { 'X-Long': 'z'.repeat(17000) } })).status).toBe(431);
+  const e = await startStandIn('e1', streamEvents(1));
+  const rig = await startGatewayFixture({ engines: [e], deployment: deployment([route({})]) });
+  expect((await sendRequest(rig.address, { body: 'x'.repeat(200000) })).status).toBe(413);
+  expect(
+    (await sendRequest(rig.address, { headers: { 'Plumhollow-Attempt-Id': '' } })).status,
+  ).toBe(400);
+  expect(
+    (await sendRequest(rig.address, { headers: { 'X-Long': 'z'.repeat(17000) } })).status,
+  ).toBe(431);
   expect(e.calls.length).toBe(0);
   const big = 'y'.repeat(99000);
   expect(
-    (await ask(rig.at, { body: big, headers: { 'Transfer-Encoding': 'chunked' } })).status,
+    (await sendRequest(rig.address, { body: big, headers: { 'Transfer-Encoding': 'chunked' } }))
+      .status,
   ).toBe(200);
   expect(e.bodies[0]).toBe(big);
   expect(e.calls[0].headers['content-length']).toBe('99000');
@@ -239,9 +257,9 @@
 }
 
 async function keepsConnections(): Promise<void> {
-  const e = await startStandIn('e1', streams(1));
-  const rig = await startRig({ engines: [e], deployment: deployment([route({})]) });
-  for (let i = 0; i < 10; i++) expect((await ask(rig.at)).status).toBe(200);
+  const e = await startStandIn('e1', streamEvents(1));
+  const rig = await startGatewayFixture({ engines: [e], deployment: deployment([route({})]) });
+  for (let i = 0; i < 10; i++) expect((await sendRequest(rig.address)).status).toBe(200);
   expect(e.connections).toBe(1);
   await rig.close();
 }
--- a/test/data/gateway-silent-engines.test.ts
+++ b/test/data/gateway-silent-engines.test.ts
@@ -1,14 +1,14 @@
 import { makeRawHttpNetwork } from '../../src/shared/system/raw-http';
 import { makeSystemNetwork } from '../../src/shared/system/tcp-network';
 import {
-  ask,
+  sendRequest,
   deployment,
   EngineCall,
   route,
-  sealed,
-  startRig,
+  engineHeaders,
+  startGatewayFixture,
   startStandIn,
-  streams,
+  streamEvents,
 } from './gateway-fixture';
 
 const roomy = { retryWindowMs: 1, retrySlack: 1000 };
@@ -35,7 +35,7 @@
 async function pausesAlone(): Promise<void> {
   let finish: (() => void) | undefined;
   function pauses(c: EngineCall): void {
-    c.res.writeHead(200, sealed(c));
+    c.res.writeHead(200, engineHeaders(c));
     c.res.write('id: 1\ndata: x\n\n');
     function end(): void {
       c.res.end('id: 2\ndata: y\n\n');
@@ -43,19 +43,19 @@
     finish = end;
   }
   const e = await startStandIn('e1', pauses);
-  const rig = await startRig({
+  const rig = await startGatewayFixture({
     engines: [e],
     deployment: deployment([route(QUICK)]),
     settings: roomy,
   });
-  const got = ask(rig.at);
+  const got = sendRequest(rig.address);
   while (finish === undefined) await turn();
   await turnsFor(300);
   finish();
   expect(await got).toMatchObject({
     status: 200,
     body: 'id: 1\ndata: x\n\nid: 2\ndata: y\n\n',
-    whole: true,
+    isComplete: true,
   });
   expect(e.calls.length).toBe(1);
   await rig.close();
@@ -64,18 +64,18 @@
 async function heldUpRouter(): Promise<void> {
   let running: EngineCall | undefined;
   function begins(c: EngineCall): void {
-    c.res.writeHead(200, sealed(c));
+    c.res.writeHead(200, engineHeaders(c));
     c.res.write('id: 1\ndata: x\n\n');
     running = c;
   }
   const a = await startStandIn('e1', begins);
   const b = await startStandIn('e2', begins);
-  const rig = await startRig({
+  const rig = await startGatewayFixture({
     engines: [a, b],
     deployment: deployment([route(QUICK)]),
     settings: roomy,
   });
-  const got = ask(rig.at);
+  const got = sendRequest(rig.address);
   while (running === undefined) await turn();
   for (let i = 2; i < 5; i++) {
     running.res.write(`id: ${i}\ndata: x\n\n`);
@@ -84,14 +84,14 @@
     await turn();
   }
   running.res.end('id: 5\ndata: x\n\n');
-  expect(await got).toMatchObject({ status: 200, whole: true });
+  expect(await got).toMatchObject({ status: 200, isComplete: true });
   expect(a.calls.length + b.calls.length).toBe(1);
   expect(rig.gateway.counts.resumed).toBe(0);
   await rig.close();
 }
 
 async function connectsWhileHeldUp(): Promise<void> {
-  const e = await startStandIn('e1', streams(1));
+  const e = await startStandIn('e1', streamEvents(1));
   const coming = makeRawHttpNetwork().connect(e.at, 20);
   holdUp(60);
   const connection = (await coming).unsafeCoerce();
@@ -100,7 +100,7 @@
 }
 
 async function wireWhileHeldUp(): Promise<void> {
-  const e = await startStandIn('e1', streams(1));
+  const e = await startStandIn('e1', streamEvents(1));
   const wire = makeSystemNetwork(20);
   const asking = wire.request({
     address: e.at,
--- a/test/data/gateway-transcripts.test.ts
+++ b/test/data/gateway-transcripts.test.ts
@@ -1,5 +1,5 @@
 import net from 'node:net';
-import { deployment, route, startRig } from './gateway-fixture';
+import { deployment, route, startGatewayFixture } from './gateway-fixture';
 import { say } from './bare-caller';
 
 /** A bare peer: it shows what was said to it and says what a test has written down. */
@@ -100,17 +100,17 @@
   const x: Script = { answers, said: [], names: new Map() };
   const a = await bareEngine('e1', x);
   const b = await bareEngine('e2', x);
-  const rig = await startRig({
+  const rig = await startGatewayFixture({
     deployment: deployment([route({}), route({ name: 's', prefix: '/s/', resumable: true })]),
     settings: { retryWindowMs: 1, retrySlack: 100 },
   });
-  rig.tellEngines([
+  rig.publishEngines([
     { id: 'e1', at: a.at },
     { id: 'e2', at: b.at },
   ]);
   const q = request(path);
   x.said.push(`-> router\n${q}`);
-  x.said.push(`<- router\n${tidy(await say(rig.at, q))}`);
+  x.said.push(`<- router\n${tidy(await say(rig.address, q))}`);
   await rig.close();
   a.close();
   b.close();
--- a/test/data/gateway-uncertain-attempts.test.ts
+++ b/test/data/gateway-uncertain-attempts.test.ts
@@ -1,16 +1,16 @@
 import http from 'node:http';
 import {
-  ask,
+  sendRequest,
   deployment,
   EngineCall,
-  Got,
-  resets,
+  CallerResponse,
+  resetConnection,
   route,
-  sealed,
-  startRig,
+  engineHeaders,
+  startGatewayFixture,
   startStandIn,
-  streams,
-  turnsAway,
+  streamEvents,
+  rejectRequest,
 } from './gateway-fixture';
 
 const FIVE = streamOf(1, 5);
@@ -25,7 +25,7 @@
 
 /** Gives two events and a half of a third, then breaks off. */
 function breaksOff(c: EngineCall): void {
-  c.res.writeHead(200, sealed(c, { 'Content-Type': 'text/event-stream' }));
+  c.res.writeHead(200, engineHeaders(c, { 'Content-Type': 'text/event-stream' }));
   c.res.write(streamOf(1, 2) + 'id: 3\nda');
   function cut(): void {
     c.req.socket.destroy();
@@ -39,28 +39,28 @@
 async function brokenOff(): Promise<void> {
   const e = await startStandIn('e1', breaksOff);
   const other = await startStandIn('e2', breaksOff);
-  const rig = await startRig({
+  const rig = await startGatewayFixture({
     engines: [e, other],
     deployment: deployment([route({})]),
     settings: roomy,
   });
-  const got = await ask(rig.at);
-  expect(got).toMatchObject({ status: 200, whole: false });
+  const got = await sendRequest(rig.address);
+  expect(got).toMatchObject({ status: 200, isComplete: false });
   expect(e.calls.length + other.calls.length).toBe(1);
   await rig.close();
 }
 
 async function takenUp(): Promise<void> {
   const a = await startStandIn('e1', breaksOff);
-  const b = await startStandIn('e2', streams(5), 'zone-b');
-  const rig = await startRig({
+  const b = await startStandIn('e2', streamEvents(5), 'zone-b');
+  const rig = await startGatewayFixture({
     engines: [a, b],
     deployment: deployment([route({ resumable: true })]),
     settings: roomy,
   });
   for (let i = 0; i < 4; i++) {
-    const got = await ask(rig.at);
-    expect(got).toMatchObject({ status: 200, body: FIVE, whole: true });
+    const got = await sendRequest(rig.address);
+    expect(got).toMatchObject({ status: 200, body: FIVE, isComplete: true });
   }
   function last(q: http.IncomingMessage): string | undefined {
     return q.headers['last-event-id'] as string | undefined;
@@ -71,31 +71,31 @@
 }
 
 async function takenUpByCaller(): Promise<void> {
-  const a = await startStandIn('e1', streams(5));
-  const rig = await startRig({
+  const a = await startStandIn('e1', streamEvents(5));
+  const rig = await startGatewayFixture({
     engines: [a],
     deployment: deployment([route({ resumable: true })]),
   });
-  const got = await ask(rig.at, { headers: { 'Last-Event-Id': '3' } });
-  expect(got).toMatchObject({ status: 200, body: streamOf(4, 5), whole: true });
+  const got = await sendRequest(rig.address, { headers: { 'Last-Event-Id': '3' } });
+  expect(got).toMatchObject({ status: 200, body: streamOf(4, 5), isComplete: true });
   await rig.close();
 }
 
 /** Starts anew where it was to go on. */
 function startsAnew(c: EngineCall): void {
-  c.res.writeHead(200, sealed(c, { 'Content-Type': 'text/event-stream' }));
+  c.res.writeHead(200, engineHeaders(c, { 'Content-Type': 'text/event-stream' }));
   c.res.end(FIVE);
 }
 
 async function nothingTwice(): Promise<void> {
   const a = await startStandIn('e1', breaksOff);
   const b = await startStandIn('e2', startsAnew, 'zone-b');
-  const rig = await startRig({
+  const rig = await startGatewayFixture({
     engines: [a, b],
     deployment: deployment([route({ resumable: true })]),
     settings: roomy,
   });
-  expect(await ask(rig.at)).toMatchObject({ body: streamOf(1, 2), whole: false });
+  expect(await sendRequest(rig.address)).toMatchObject({ body: streamOf(1, 2), isComplete: false });
   expect({ a: a.calls.length, b: b.calls.length }).toEqual({ a: 1, b: 1 });
   await rig.close();
 }
@@ -110,7 +110,7 @@
 
 /** Sends more behind its whole answer, a little later. */
 function surplusLater(c: EngineCall): void {
-  c.res.writeHead(200, sealed(c, { 'Content-Length': '2' }));
+  c.res.writeHead(200, engineHeaders(c, { 'Content-Length': '2' }));
   c.res.end('ok');
   function more(): void {
     c.req.socket.write('HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nother');
@@ -121,10 +121,14 @@
 async function surplus(): Promise<void> {
   for (const garbles of [surplusAtOnce, surplusLater]) {
     const e = await startStandIn('e1', garbles);
-    const rig = await startRig({ engines: [e], deployment: deployment([route({})]) });
+    const rig = await startGatewayFixture({ engines: [e], deployment: deployment([route({})]) });
     const agent = new http.Agent({ keepAlive: true, maxSockets: 1 });
     for (let i = 0; i < 5; i++)
-      expect(await ask(rig.at, { agent })).toMatchObject({ status: 200, body: 'ok', whole: true });
+      expect(await sendRequest(rig.address, { agent })).toMatchObject({
+        status: 200,
+        body: 'ok',
+        isComplete: true,
+      });
     expect(e.connections).toBeGreaterThanOrEqual(4);
     agent.destroy();
     await rig.close();
@@ -141,35 +145,39 @@
 
 async function misdirected(): Promise<void> {
   const a = await startStandIn('e1', otherInstance);
-  const b = await startStandIn('e2', streams(5), 'zone-b');
-  const rig = await startRig({
+  const b = await startStandIn('e2', streamEvents(5), 'zone-b');
+  const rig = await startGatewayFixture({
     engines: [a, b],
     deployment: deployment([route({})]),
     settings: roomy,
   });
-  for (let i = 0; i < 6; i++) expect(await ask(rig.at)).toMatchObject({ status: 200, body: FIVE });
+  for (let i = 0; i < 6; i++)
+    expect(await sendRequest(rig.address)).toMatchObject({ status: 200, body: FIVE });
   expect(a.calls.length).toBe(1);
   await rig.close();
 }
 
 async function misdirectedAlone(): Promise<void> {
   const a = await startStandIn('e1', otherInstance);
-  const rig = await startRig({ engines: [a], deployment: deployment([route({ maxAttempts: 1 })]) });
-  const got = await ask(rig.at);
+  const rig = await startGatewayFixture({
+    engines: [a],
+    deployment: deployment([route({ maxAttempts: 1 })]),
+  });
+  const got = await sendRequest(rig.address);
   expect(got.status).toBe(503);
   expect(Number(got.headers['retry-after'])).toBeGreaterThan(0);
   await rig.close();
 }
 
 async function budgeted(): Promise<void> {
-  const a = await startStandIn('e1', turnsAway);
-  const b = await startStandIn('e2', turnsAway);
-  const rig = await startRig({
+  const a = await startStandIn('e1', rejectRequest);
+  const b = await startStandIn('e2', rejectRequest);
+  const rig = await startGatewayFixture({
     engines: [a, b],
     deployment: deployment([route({})]),
     settings: { retryWindowMs: 60000, retryRatio: 0.2, retrySlack: 0, contactMs: 1 },
   });
-  for (let i = 0; i < 50; i++) expect((await ask(rig.at)).status).toBe(503);
+  for (let i = 0; i < 50; i++) expect((await sendRequest(rig.address)).status).toBe(503);
   const { attempts, retries: furtherAttempts } = rig.gateway.counts;
   expect(attempts).toBe(a.calls.length + b.calls.length);
   expect(furtherAttempts).toBeGreaterThan(0);
@@ -180,7 +188,7 @@
 async function timeUp(): Promise<void> {
   const a = await startStandIn('e1', silent);
   const b = await startStandIn('e2', silent);
-  const rig = await startRig({
+  const rig = await startGatewayFixture({
     engines: [a, b],
     deployment: deployment([
       route({}),
@@ -188,41 +196,45 @@
     ]),
   });
   const got = await Promise.all([
-    ask(rig.at, { headers: { 'Plumhollow-Deadline-Ms': '100' } }),
-    ask(rig.at, { path: '/s/x' }),
+    sendRequest(rig.address, { headers: { 'Plumhollow-Deadline-Ms': '100' } }),
+    sendRequest(rig.address, { path: '/s/x' }),
   ]);
   expect(got.map(statusOf)).toEqual([504, 504]);
   expect(a.calls.length + b.calls.length).toBe(2);
   await rig.close();
 }
 
-function statusOf(g: Got): number {
+function statusOf(g: CallerResponse): number {
   return g.status;
 }
 
 async function darkEngine(): Promise<void> {
   const a = await startStandIn('e1', silent);
-  const b = await startStandIn('e2', streams(5), 'zone-b');
-  const rig = await startRig({
+  const b = await startStandIn('e2', streamEvents(5), 'zone-b');
+  const rig = await startGatewayFixture({
     engines: [a, b],
     deployment: deployment([route({ resumable: true, aimMs: 30, gapAimMs: 10 })]),
     settings: roomy,
   });
   for (let i = 0; i < 3; i++)
-    expect(await ask(rig.at)).toMatchObject({ status: 200, body: FIVE, whole: true });
+    expect(await sendRequest(rig.address)).toMatchObject({
+      status: 200,
+      body: FIVE,
+      isComplete: true,
+    });
   expect(a.calls.length).toBeGreaterThan(0);
   await rig.close();
 }
 
 function refusesToRun(c: EngineCall): void {
-  c.res.writeHead(500, sealed(c, { 'Content-Type': 'text/plain' }));
+  c.res.writeHead(500, engineHeaders(c, { 'Content-Type': 'text/plain' }));
   c.res.end('own fault');
 }
 
 async function ownFault(): Promise<void> {
   const a = await startStandIn('e1', refusesToRun);
-  const rig = await startRig({ engines: [a], deployment: deployment([route({})]) });
-  const got = await ask(rig.at);
+  const rig = await startGatewayFixture({ engines: [a], deployment: deployment([route({})]) });
+  const got = await sendRequest(rig.address);
   expect(got).toMatchObject({ status: 500, body: 'own fault' });
   expect(got.headers['plumhollow-response-seal']).toBe('s.1');
   await rig.close();
@@ -234,7 +246,7 @@
 }
 
 function doubtful503(c: EngineCall): void {
-  c.res.writeHead(503, sealed(c));
+  c.res.writeHead(503, engineHeaders(c));
   c.res.end('ran');
 }
 
@@ -250,21 +262,21 @@
 }
 
 async function noPromises(): Promise<void> {
-  for (const answer of [unsealed, doubtful503, noAnswer, resets]) {
+  for (const answer of [unsealed, doubtful503, noAnswer, resetConnection]) {
     const a = await startStandIn('e1', answer);
     const b = await startStandIn('e2', answer);
-    const rig = await startRig({
+    const rig = await startGatewayFixture({
       engines: [a, b],
       deployment: deployment([route({})]),
       settings: roomy,
     });
-    expect((await ask(rig.at)).status).toBe(502);
+    expect((await sendRequest(rig.address)).status).toBe(502);
     expect(a.calls.length + b.calls.length).toBe(1);
     await rig.close();
   }
   const a = await startStandIn('e1', unframed);
-  const rig = await startRig({ engines: [a], deployment: deployment([route({})]) });
-  expect((await ask(rig.at)).whole).toBe(false);
+  const rig = await startGatewayFixture({ engines: [a], deployment: deployment([route({})]) });
+  expect((await sendRequest(rig.address)).isComplete).toBe(false);
   await rig.close();
 }
 
@@ -275,30 +287,31 @@
   }
   const seen = new Promise<void>(wait);
   function endless(c: EngineCall): void {
-    c.res.writeHead(200, sealed(c));
+    c.res.writeHead(200, engineHeaders(c));
     c.res.write('id: 1\ndata: x\n\n');
     c.req.socket.on('close', closed);
   }
   const a = await startStandIn('e1', endless);
-  const rig = await startRig({ engines: [a], deployment: deployment([route({})]) });
+  const rig = await startGatewayFixture({ engines: [a], deployment: deployment([route({})]) });
   function leave(_text: string, req: http.ClientRequest): void {
     req.destroy();
   }
-  await ask(rig.at, { onPiece: leave });
+  await sendRequest(rig.address, { onPiece: leave });
   await seen;
   expect(rig.gateway.counts).toMatchObject({ attempts: 1, unknown: 0 });
   await rig.close();
 }
 
 async function unreachable(): Promise<void> {
-  const b = await startStandIn('e2', streams(5));
+  const b = await startStandIn('e2', streamEvents(5));
   const gone = await startStandIn('e1', silent);
   gone.close();
-  const rig = await startRig({
+  const rig = await startGatewayFixture({
     engines: [gone, b],
     deployment: deployment([route({ maxAttempts: 1 })]),
   });
-  for (let i = 0; i < 4; i++) expect(await ask(rig.at)).toMatchObject({ status: 200, body: FIVE });
+  for (let i = 0; i < 4; i++)
+    expect(await sendRequest(rig.address)).toMatchObject({ status: 200, body: FIVE });
   expect(rig.gateway.counts.retries).toBe(0);
   await rig.close();
 }
--- a/test/data/gateway.test.ts
+++ b/test/data/gateway.test.ts
@@ -1,23 +1,23 @@
 import {
-  ask,
+  sendRequest,
   deployment,
   EngineCall,
-  resets,
+  resetConnection,
   route,
-  sealed,
-  startRig,
+  engineHeaders,
+  startGatewayFixture,
   startStandIn,
-  streams,
-  turnsAway,
+  streamEvents,
+  rejectRequest,
 } from './gateway-fixture';
 
 const THREE = 'id: 1\ndata: piece 1\n\nid: 2\ndata: piece 2\n\nid: 3\ndata: piece 3\n\n';
 
 async function calm(): Promise<void> {
-  const e = await startStandIn('e1', streams(3));
-  const rig = await startRig({ engines: [e], deployment: deployment([route({})]) });
+  const e = await startStandIn('e1', streamEvents(3));
+  const rig = await startGatewayFixture({ engines: [e], deployment: deployment([route({})]) });
   const body = 'prompt \xff\x00 bytes';
-  const got = await ask(rig.at, {
+  const got = await sendRequest(rig.address, {
     path: '/a/x?y=%20z',
     key: 'k2',
     headers: {
@@ -29,7 +29,7 @@
     },
     body,
   });
-  expect(got).toMatchObject({ status: 200, body: THREE, whole: true });
+  expect(got).toMatchObject({ status: 200, body: THREE, isComplete: true });
   expect(got.headers).toMatchObject({
     'plumhollow-attempt-id': got.id,
     'plumhollow-response-seal': 's.1',
@@ -56,16 +56,16 @@
 }
 
 async function secondEngine(): Promise<void> {
-  const a = await startStandIn('e1', turnsAway);
-  const b = await startStandIn('e2', streams(3), 'zone-b');
-  const rig = await startRig({
+  const a = await startStandIn('e1', rejectRequest);
+  const b = await startStandIn('e2', streamEvents(3), 'zone-b');
+  const rig = await startGatewayFixture({
     engines: [a, b],
     deployment: deployment([route({})]),
     settings: { retryWindowMs: 1, retrySlack: 100 },
   });
   for (let i = 0; i < 6; i++) {
-    const got = await ask(rig.at);
-    expect(got).toMatchObject({ status: 200, body: THREE, whole: true });
+    const got = await sendRequest(rig.address);
+    expect(got).toMatchObject({ status: 200, body: THREE, isComplete: true });
   }
   expect(b.calls.length).toBe(6);
   expect(a.calls.length).toBeGreaterThan(0);
@@ -73,28 +73,28 @@
 }
 
 async function resetOnce(): Promise<void> {
-  const a = await startStandIn('e1', resets);
-  const b = await startStandIn('e2', resets);
-  const rig = await startRig({
+  const a = await startStandIn('e1', resetConnection);
+  const b = await startStandIn('e2', resetConnection);
+  const rig = await startGatewayFixture({
     engines: [a, b],
     deployment: deployment([route({ maxAttempts: 3 })]),
     settings: { retryWindowMs: 1, retrySlack: 100 },
   });
-  const got = await ask(rig.at);
+  const got = await sendRequest(rig.address);
   expect(got.status).toBe(502);
   expect(a.calls.length + b.calls.length).toBe(1);
   await rig.close();
 }
 
 function foreign(c: EngineCall): void {
-  c.res.writeHead(200, sealed(c, { 'Plumhollow-Attempt-Id': 'of another' }));
+  c.res.writeHead(200, engineHeaders(c, { 'Plumhollow-Attempt-Id': 'of another' }));
   c.res.end('another answer');
 }
 
 async function foreignAnswer(): Promise<void> {
   const e = await startStandIn('e1', foreign);
-  const rig = await startRig({ engines: [e], deployment: deployment([route({})]) });
-  const got = await ask(rig.at);
+  const rig = await startGatewayFixture({ engines: [e], deployment: deployment([route({})]) });
+  const got = await sendRequest(rig.address);
   expect(got.status).toBe(502);
   expect(got.body).not.toContain('another');
   await rig.close();
--- a/test/data/held-streams.ts
+++ b/test/data/held-streams.ts
@@ -1,6 +1,6 @@
 /** A stand-in engine's answers that a test lets go. */
 
-import { EngineCall, sealed } from './gateway-fixture';
+import { EngineCall, engineHeaders } from './gateway-fixture';
 
 /** Streams of two events: the first comes at once, the last when told. */
 export interface HeldStreams {
@@ -22,7 +22,7 @@
 
   function answer(c: EngineCall): void {
     function begin(): void {
-      c.res.writeHead(200, sealed(c));
+      c.res.writeHead(200, engineHeaders(c));
       c.res.write('id: 1\ndata: first\n\n');
     }
     function end(): void {
