--- /dev/null
+++ b/src/data/caller-api.ts
@@ -0,0 +1,60 @@
+/**
+ * The callers' HTTP interface of a router.
+ */
+
+import { httpHandler, sendJson } from '../shared/transport/http-handlers';
+import { IncomingRequest } from '../shared/ports/network';
+import { runGenerateAttempts } from './generate-attempts';
+import { checkRequest } from './request-validation';
+import { RouterDependencies } from './router-dependencies';
+
+/** Counters as rows of metrics: `plumhollow_router_` and the field's name in snake case. */
+function counterRows(counts: object): string[] {
+  const rows: string[] = [];
+  for (const [field, value] of Object.entries(counts)) {
+    const name = field.replace(/[A-Z]/g, '_$&').toLowerCase();
+    rows.push(`plumhollow_router_${name}_total ${value}`);
+  }
+  return rows;
+}
+
+/** Handles callers' requests. */
+export class CallerApi {
+  private inFlight = 0;
+
+  constructor(private readonly router: RouterDependencies) {}
+
+  /** How many requests are in flight. */
+  inFlightCount(): number {
+    return this.inFlight;
+  }
+
+  /** Takes a prompt, places it, sends it on, and gives the pieces back. */
+  @httpHandler('POST', '/v1/generate')
+  async generate(call: IncomingRequest): Promise<void> {
+    this.router.counts.asked++;
+    const request = await checkRequest(this.router, call);
+    if (!request) return;
+    this.inFlight++;
+    await runGenerateAttempts(this.router, call, request);
+    this.inFlight--;
+  }
+
+  /** Whether this router takes requests. */
+  @httpHandler('GET', '/healthz')
+  async health(call: IncomingRequest): Promise<void> {
+    const lease = this.router.follower.hasLease();
+    const draining = this.router.isDraining();
+    const ok = lease && !draining;
+    sendJson(call, ok ? 200 : 503, { ok, lease, draining });
+  }
+
+  /** Figures in the text form that collectors read. */
+  @httpHandler('GET', '/metrics')
+  async metrics(call: IncomingRequest): Promise<void> {
+    const rows = counterRows(this.router.counts);
+    rows.push(`plumhollow_router_under_way ${this.inFlight}`);
+    call.writeHead(200, { 'content-type': 'text/plain; version=0.0.4' });
+    call.end(await this.router.metrics.text(rows));
+  }
+}
--- a/src/programs/router.ts
+++ b/src/programs/router.ts
@@ -1,10 +1,7 @@
 #!/usr/bin/env node
-/**
- * The router daemon.
- */
-
-import { startDialectRouter, startRouter } from '../data/router';
-import { Result } from '../shared/errors/errors';
+import { Left, Right } from 'purify-ts';
+import { startDialectRouter } from '../data/platform-router';
+import { startRouter } from '../data/router';
 import { PlatformAdapter } from '../shared/platform-adapter/platform-adapter';
 import { Ports } from '../shared/ports/ports';
 import { Settings } from '../shared/settings/settings';
--- a/test/control/deployment-parsing.test.ts
+++ b/test/control/deployment-parsing.test.ts
@@ -1,5 +1,5 @@
-import { usersPlatform } from '../../platform/adapter';
-import { makeRouteTable, RouteTable } from '../../src/data/gateway/routes';
+import { platform } from '../../platform/dialect';
+import { RouteTable } from '../../src/data/gateway/route-table';
 import { Deployment } from '../../src/shared/state/deployment';
 
 type Item = Record<string, unknown>;
@@ -51,7 +51,7 @@
 
 function found(table: RouteTable): unknown[] {
   const out: unknown[] = [];
-  for (const n of NAMES) out.push(table.find(`${n[0]}.example`, `/${n}/x`));
+  for (const n of NAMES) out.push(table.findRoute(`${n[0]}.example`, `/${n}/x`));
   return out;
 }
 
@@ -73,8 +73,8 @@
       items.splice(where, draw(3), ...(draw(4) > 0 ? [fresh] : []));
     }
     const d: Deployment = read(items).unsafeCoerce();
-    table = makeRouteTable(d, table);
-    expect(found(table)).toEqual(found(makeRouteTable(d)));
+    table = new RouteTable(d, table);
+    expect(found(table)).toEqual(found(new RouteTable(d)));
   }
 }
 
--- a/test/control/weights.test.ts
+++ b/test/control/weights.test.ts
@@ -1,9 +1,5 @@
-import {
-  makeWeightsBook,
-  saltUnder,
-  WeightsBook,
-  WeightsEdge,
-} from '../../src/data/gateway/weights';
+import { cacheSalt, WeightsTracker } from '../../src/data/gateway/weights-tracker';
+import { WeightsMessages } from '../../src/data/gateway/weights-messages';
 import { dispatch } from '../../src/shared/transport/message-handlers';
 import { Clock } from '../../src/shared/ports/clock';
 import { compareWeights, lacks } from '../../src/shared/state/weights';
@@ -12,12 +8,12 @@
 const STOP = 6000;
 const LATE = 2000;
 
-interface Desk {
-  book: WeightsBook;
+interface Fixture {
+  tracker: WeightsTracker;
   pass: (ms: number) => void;
 }
 
-function desk(): Desk {
+function makeFixture(): Fixture {
   let t = 1000;
   function now(): number {
     return t;
@@ -25,7 +21,7 @@
   function pass(ms: number): void {
     t += ms;
   }
-  return { book: makeWeightsBook({ now } as Clock, STOP, LATE), pass };
+  return { tracker: new WeightsTracker({ now } as Clock, STOP, LATE), pass };
 }
 
 function engine(id: string, ...weights: string[]): Engine {
@@ -53,98 +49,98 @@
 }
 
 function servesOldForATime(): void {
-  const { book, pass } = desk();
-  book.listed([engine('a', '1'), engine('b', '2')]);
-  expect(book.expect('a', 'm1')).toEqual({ weights: '1', kind: 'now' });
-  book.named({ model: 'm1', weights: '2', older: ['*'] }, true);
-  expect(book.expect('a', 'm1')).toEqual({ weights: '1', kind: 'old' });
-  expect(book.expect('b', 'm1')).toEqual({ weights: '2', kind: 'now' });
+  const { tracker, pass } = makeFixture();
+  tracker.recordEngines([engine('a', '1'), engine('b', '2')]);
+  expect(tracker.expectedWeights('a', 'm1')).toEqual({ weights: '1', kind: 'now' });
+  tracker.recordNaming({ model: 'm1', weights: '2', older: ['*'] }, true);
+  expect(tracker.expectedWeights('a', 'm1')).toEqual({ weights: '1', kind: 'old' });
+  expect(tracker.expectedWeights('b', 'm1')).toEqual({ weights: '2', kind: 'now' });
   pass(STOP - 1);
-  expect(book.expect('a', 'm1')?.kind).toBe('old');
+  expect(tracker.expectedWeights('a', 'm1')?.kind).toBe('old');
   pass(1);
-  expect(book.expect('a', 'm1')).toBeUndefined();
-  expect(book.expect('b', 'm1')).toEqual({ weights: '2', kind: 'now' });
+  expect(tracker.expectedWeights('a', 'm1')).toBeUndefined();
+  expect(tracker.expectedWeights('b', 'm1')).toEqual({ weights: '2', kind: 'now' });
 }
 
 function eachByItsOwnTime(): void {
-  const { book, pass } = desk();
-  book.listed([engine('a', '1'), engine('b', '2')]);
-  book.named({ model: 'm1', weights: '2', older: ['*'] }, true);
+  const { tracker, pass } = makeFixture();
+  tracker.recordEngines([engine('a', '1'), engine('b', '2')]);
+  tracker.recordNaming({ model: 'm1', weights: '2', older: ['*'] }, true);
   pass(STOP / 2);
-  book.named({ model: 'm1', weights: '3', older: ['*', '2'] }, true);
+  tracker.recordNaming({ model: 'm1', weights: '3', older: ['*', '2'] }, true);
   pass(STOP / 2);
-  expect(book.expect('a', 'm1')).toBeUndefined();
-  expect(book.expect('b', 'm1')?.kind).toBe('old');
+  expect(tracker.expectedWeights('a', 'm1')).toBeUndefined();
+  expect(tracker.expectedWeights('b', 'm1')?.kind).toBe('old');
   pass(STOP / 2);
-  expect(book.expect('b', 'm1')).toBeUndefined();
+  expect(tracker.expectedWeights('b', 'm1')).toBeUndefined();
 }
 
 function caughtUp(): void {
-  const { book, pass } = desk();
-  book.listed([engine('a', '1')]);
-  book.named({ model: 'm1', weights: '2', older: ['*'] }, false);
+  const { tracker, pass } = makeFixture();
+  tracker.recordEngines([engine('a', '1')]);
+  tracker.recordNaming({ model: 'm1', weights: '2', older: ['*'] }, false);
   pass(LATE - 1);
-  expect(book.expect('a', 'm1')?.kind).toBe('old');
+  expect(tracker.expectedWeights('a', 'm1')?.kind).toBe('old');
   pass(1);
-  expect(book.expect('a', 'm1')).toBeUndefined();
+  expect(tracker.expectedWeights('a', 'm1')).toBeUndefined();
 }
 
 function endedIsTooLate(): void {
-  const { book } = desk();
-  book.listed([engine('a', '1')]);
-  book.named({ model: 'm1', weights: '2', older: ['*'] }, true);
-  book.named({ model: 'm1', weights: '2', older: [] }, true);
-  expect(book.expect('a', 'm1')).toBeUndefined();
+  const { tracker } = makeFixture();
+  tracker.recordEngines([engine('a', '1')]);
+  tracker.recordNaming({ model: 'm1', weights: '2', older: ['*'] }, true);
+  tracker.recordNaming({ model: 'm1', weights: '2', older: [] }, true);
+  expect(tracker.expectedWeights('a', 'm1')).toBeUndefined();
 }
 
 function answersGoBeforeTheList(): void {
-  const { book } = desk();
-  book.listed([engine('a', '1', '7')]);
-  book.named({ model: 'm1', weights: '2', older: ['*'] }, true);
-  book.told('a', { m1: '2' });
-  book.listed([engine('a', '1', '7')]);
-  expect(book.expect('a', 'm1')).toEqual({ weights: '2', kind: 'now' });
-  expect(book.expect('a', 'm2')).toEqual({ weights: '7', kind: 'now' });
-  book.told('a', { m1: '3' });
-  expect(book.expect('a', 'm1')).toEqual({ weights: '3', kind: 'now' });
-  book.listed([]);
-  book.listed([engine('a', '1', '7')]);
-  expect(book.expect('a', 'm1')).toEqual({ weights: '1', kind: 'old' });
+  const { tracker } = makeFixture();
+  tracker.recordEngines([engine('a', '1', '7')]);
+  tracker.recordNaming({ model: 'm1', weights: '2', older: ['*'] }, true);
+  tracker.recordReported('a', { m1: '2' });
+  tracker.recordEngines([engine('a', '1', '7')]);
+  expect(tracker.expectedWeights('a', 'm1')).toEqual({ weights: '2', kind: 'now' });
+  expect(tracker.expectedWeights('a', 'm2')).toEqual({ weights: '7', kind: 'now' });
+  tracker.recordReported('a', { m1: '3' });
+  expect(tracker.expectedWeights('a', 'm1')).toEqual({ weights: '3', kind: 'now' });
+  tracker.recordEngines([]);
+  tracker.recordEngines([engine('a', '1', '7')]);
+  expect(tracker.expectedWeights('a', 'm1')).toEqual({ weights: '1', kind: 'old' });
 }
 
 function loadingIsLeftAlone(): void {
-  const { book, pass } = desk();
-  book.listed([engine('a', '1', '7'), engine('b', '1')]);
-  book.named({ model: 'm1', weights: '2', older: ['*'] }, true);
-  book.loading(['a'], 900);
-  expect(book.expect('a', 'm1')).toEqual({ weights: '2', kind: 'loading' });
-  expect(book.expect('a', 'm2')).toEqual({ weights: '7', kind: 'now' });
-  expect(book.expect('b', 'm1')?.kind).toBe('old');
+  const { tracker, pass } = makeFixture();
+  tracker.recordEngines([engine('a', '1', '7'), engine('b', '1')]);
+  tracker.recordNaming({ model: 'm1', weights: '2', older: ['*'] }, true);
+  tracker.recordLoading(['a'], 900);
+  expect(tracker.expectedWeights('a', 'm1')).toEqual({ weights: '2', kind: 'loading' });
+  expect(tracker.expectedWeights('a', 'm2')).toEqual({ weights: '7', kind: 'now' });
+  expect(tracker.expectedWeights('b', 'm1')?.kind).toBe('old');
   pass(900);
-  expect(book.expect('a', 'm1')?.kind).toBe('old');
-  book.loading(['a'], 900);
-  book.told('a', { m1: '2' });
-  expect(book.expect('a', 'm1')?.kind).toBe('now');
+  expect(tracker.expectedWeights('a', 'm1')?.kind).toBe('old');
+  tracker.recordLoading(['a'], 900);
+  tracker.recordReported('a', { m1: '2' });
+  expect(tracker.expectedWeights('a', 'm1')?.kind).toBe('now');
 }
 
 async function coreSays(): Promise<void> {
-  const { book } = desk();
-  const edge = [new WeightsEdge(book)];
-  book.listed([engine('a', '1')]);
-  book.named({ model: 'm1', weights: '2', older: ['*'] }, true);
-  await dispatch(edge, 'loading', { engines: ['a'], within: 900 }, undefined, 'core');
-  expect(book.expect('a', 'm1')?.kind).toBe('loading');
-  await dispatch(edge, 'loading', { engines: ['a'], within: 0 }, undefined, 'core');
-  expect(book.expect('a', 'm1')?.kind).toBe('old');
-  await dispatch(edge, 'loaded', { engine: 'a', weights: { m1: '2' } }, undefined, 'core');
-  expect(book.expect('a', 'm1')).toEqual({ weights: '2', kind: 'now' });
-  expect((await dispatch(edge, 'loading', { engines: 'a' }, undefined, 'core')).isLeft()).toBe(
+  const { tracker } = makeFixture();
+  const handlers = [new WeightsMessages(tracker)];
+  tracker.recordEngines([engine('a', '1')]);
+  tracker.recordNaming({ model: 'm1', weights: '2', older: ['*'] }, true);
+  await dispatch(handlers, 'loading', { engines: ['a'], within: 900 }, undefined, 'core');
+  expect(tracker.expectedWeights('a', 'm1')?.kind).toBe('loading');
+  await dispatch(handlers, 'loading', { engines: ['a'], within: 0 }, undefined, 'core');
+  expect(tracker.expectedWeights('a', 'm1')?.kind).toBe('old');
+  await dispatch(handlers, 'loaded', { engine: 'a', weights: { m1: '2' } }, undefined, 'core');
+  expect(tracker.expectedWeights('a', 'm1')).toEqual({ weights: '2', kind: 'now' });
+  expect((await dispatch(handlers, 'loading', { engines: 'a' }, undefined, 'core')).isLeft()).toBe(
     true,
   );
 }
 
 function saltsHoldWeights(): void {
-  expect(saltUnder('w', '1')).not.toBe(saltUnder('w', '2'));
+  expect(cacheSalt('w', '1')).not.toBe(cacheSalt('w', '2'));
 }
 
 test('whole numbers rise by size, others by their naming', ordersWeights);
--- a/tools/sim/without.ts
+++ b/tools/sim/without.ts
@@ -4,12 +4,13 @@
 import * as backgroundTasks from '../../src/control/singletons/background-tasks';
 import * as oldWeights from '../../src/control/singletons/old-weights-retirement';
 import * as slots from '../../src/control/storage/control-store';
-import { CallerApi } from '../../src/data/api';
-import * as engines from '../../src/data/engines';
+import { CallerApi } from '../../src/data/caller-api';
+import * as engines from '../../src/data/engine-tracker';
+import * as forwarding from '../../src/data/generate-forwarding';
 import * as router from '../../src/data/router';
-import * as once from '../../src/data/once';
-import * as indexMessages from '../../src/index/index-handlers';
-import * as tree from '../../src/index/prefix-trees';
+import * as once from '../../src/data/idempotency-keys';
+import * as indexMessages from '../../src/index/messages';
+import * as tree from '../../src/index/tree';
 import * as engine from '../../src/shared/contracts/engine';
 import * as platform from '../../src/shared/contracts/platform';
 import * as delta from '../../src/shared/replication/delta';
@@ -32,14 +33,14 @@
 }
 
 function noVotes(): void {
-  async function won(): Promise<once.OnceAnswer> {
-    return { won: true, state: 'running' };
+  async function won(): Promise<once.KeyAcquisition> {
+    return { isAcquired: true, state: 'running' };
   }
   function mark(): undefined {
     return undefined;
   }
-  (once as unknown as Patch).holdKey = won;
-  (once as unknown as Patch).votersMark = mark;
+  (once as unknown as Patch).acquireIdempotencyKey = won;
+  (once as unknown as Patch).voterSetFingerprint = mark;
 }
 
 function noEffect(): void {
@@ -171,7 +172,7 @@
     ...x: Parameters<typeof router.startRouter>
   ): Promise<Result<router.Router>> {
     function free(r: router.Router): router.Router {
-      r.parts.allowSecond = always;
+      r.dependencies.retryBudget.trySpend = always;
       return r;
     }
     return (await real(...x)).map(free);
@@ -263,28 +264,24 @@
 
 /** A router that lets an attempt run on after it told the caller that it refused. */
 function refusesLate(): void {
-  const proto = CallerApi.prototype as unknown as {
-    forward: (...x: unknown[]) => Promise<{ done: boolean; fault?: object }>;
-  };
-  const real = proto.forward;
+  const real = forwarding.forwardAttempt;
   let calls = 0;
   async function late(
-    this: CallerApi,
-    ...x: unknown[]
-  ): Promise<{ done: boolean; fault?: object }> {
-    if (++calls % 20 !== 0) return real.apply(this, x);
+    ...x: Parameters<typeof forwarding.forwardAttempt>
+  ): Promise<forwarding.ForwardOutcome> {
+    if (++calls % 20 !== 0) return real(...x);
     function nothing(): void {}
     async function taken(): Promise<boolean> {
       return true;
     }
-    const mute = { ...(x[0] as IncomingRequest), writeHead: nothing, write: taken, end: nothing };
-    void real.call(this, mute, ...x.slice(1));
+    const [call, ...rest] = x;
+    void real({ ...call, writeHead: nothing, write: taken, end: nothing }, ...rest);
     return {
-      done: false,
-      fault: { step: 'generate', peer: '', reason: 'late', certainty: 'refused', code: 'late' },
+      hasAnswered: false,
+      error: { step: 'generate', peer: '', reason: 'late', certainty: 'refused', code: 'late' },
     };
   }
-  proto.forward = late;
+  (forwarding as unknown as Patch).forwardAttempt = late;
 }
 
 /** Index repair without one of its ways: peers' batches, engines' returns, doubt. */
@@ -322,14 +319,16 @@
 }
 
 function noFetch(): void {
-  const real = engines.watchEngines;
+  const real = engines.trackEngines;
   function never(): number {
     return Infinity;
   }
-  function far(...x: Parameters<typeof engines.watchEngines>): engines.Engines {
-    return { ...real(...x), linkCost: never };
+  function far(...x: Parameters<typeof engines.trackEngines>): engines.EngineTracker {
+    const tracker = real(...x);
+    tracker.transferMsPerToken = never;
+    return tracker;
   }
-  (engines as unknown as Patch).watchEngines = far;
+  (engines as unknown as Patch).trackEngines = far;
 }
 
 /** Mechanisms that the simulator can leave out, to see that its checks catch what they prevent. */
