--- a/src/data/platform-router.ts
+++ b/src/data/platform-router.ts
@@ -33,7 +33,13 @@
   const member = routerMember(ports, settings);
   const handlers: object[] = [new HelloHandlers(hello)];
   const timeLimits = timeLimitsOf(settings);
-  const follower = followCore(ports, timeLimits, hello, member, settings.seeds, handlers);
+  const follower = followCore(ports, {
+    timeLimits,
+    hello,
+    member,
+    seeds: settings.seeds,
+    handlers,
+  });
   function accept(connection: Connection): void {
     openChannel(ports, connection, handlers);
   }
--- a/src/data/router.ts
+++ b/src/data/router.ts
@@ -51,7 +51,13 @@
   const hello = helloOf(settings, 'router');
   const member = routerMember(ports, settings);
   const handlers: object[] = [new HelloHandlers(hello)];
-  const follower = followCore(ports, timeLimits, hello, member, settings.seeds, handlers);
+  const follower = followCore(ports, {
+    timeLimits,
+    hello,
+    member,
+    seeds: settings.seeds,
+    handlers,
+  });
   return { hello, member, follower, handlers };
 }
 
--- a/src/programs/router.ts
+++ b/src/programs/router.ts
@@ -1,7 +1,11 @@
 #!/usr/bin/env node
-import { Left, Right } from 'purify-ts';
+/**
+ * The router daemon.
+ */
+
 import { startDialectRouter } from '../data/platform-router';
 import { startRouter } from '../data/router';
+import { Result } from '../shared/errors/errors';
 import { PlatformAdapter } from '../shared/platform-adapter/platform-adapter';
 import { Ports } from '../shared/ports/ports';
 import { Settings } from '../shared/settings/settings';
--- a/test/compatibility/wire.test.ts
+++ b/test/compatibility/wire.test.ts
@@ -18,9 +18,9 @@
 import { MembershipRequests } from '../../src/control/membership/membership-requests';
 import { IdempotencyVotes } from '../../src/control/storage/idempotency-votes';
 import { WeightsMessages } from '../../src/data/gateway/weights-messages';
-import { IndexEdge } from '../../src/index/messages';
-import { OverlapEdge } from '../../src/index/overlap';
-import { WholeEdge } from '../../src/index/repair';
+import { IndexHandlers } from '../../src/index/index-handlers';
+import { OverlapHandlers } from '../../src/index/overlap-handlers';
+import { SourceContentHandlers } from '../../src/index/source-repair';
 import { HelloHandlers } from '../../src/shared/transport/connections';
 import { dispatch } from '../../src/shared/transport/message-handlers';
 import { FollowerHandlers } from '../../src/shared/replication/follower-handlers';
@@ -49,9 +49,9 @@
   MembershipRequests,
   IdempotencyVotes,
   WeightsMessages,
-  IndexEdge,
-  OverlapEdge,
-  WholeEdge,
+  IndexHandlers,
+  OverlapHandlers,
+  SourceContentHandlers,
 ];
 /** Compressed bytes, and their hashes and sizes, may differ between machines. */
 const COMPRESSED = /: bytes$|\.sum: /;
--- a/test/control/deployment-parsing.test.ts
+++ b/test/control/deployment-parsing.test.ts
@@ -1,4 +1,4 @@
-import { platform } from '../../platform/dialect';
+import { usersPlatform } from '../../platform/adapter';
 import { RouteTable } from '../../src/data/gateway/route-table';
 import { Deployment } from '../../src/shared/state/deployment';
 
--- a/tools/compatibility/scenarios.ts
+++ b/tools/compatibility/scenarios.ts
@@ -2,7 +2,7 @@
  * The runs whose messages are recorded. All are in virtual time and give the same messages each time.
  */
 
-import { makeRollOutDesk } from '../../test/control/rolloutdesk';
+import { makeRolloutRig } from '../../test/control/rolloutrig';
 import { IndexerClient } from '../../src/data/gateway/indexer-client';
 import { EngineLoads } from '../../src/data/gateway/engine-loads';
 import { timeLimitsOf } from '../../src/shared/settings/time-limits';
