--- a/src/control/membership/bootstrap.ts
+++ b/src/control/membership/bootstrap.ts
@@ -1,135 +1,159 @@
+/**
+ * The bootstrap of a blank cluster: its founders become the first voter set.
+ */
+
 import { Left, Right } from 'purify-ts';
-import { failure, errorOrValue, Result } from '../../shared/errors/errors';
+import { errorOrValue, Result } from '../../shared/errors/errors';
 import { Clock } from '../../shared/ports/clock';
 import { TimeLimits } from '../../shared/settings/time-limits';
 import { Settings } from '../../shared/settings/settings';
-import { isVoter, Voter, VoterSet } from '../../shared/state/voter-set';
+import { Voter, VoterSet } from '../../shared/state/voter-set';
 import { CONTROL_KEYS } from '../../shared/state/control-keys';
 import { ControlStore } from '../storage/control-store';
+import {
+  checkDiskIntact,
+  checkFounderQuorum,
+  checkKnownVoters,
+  precededByAnother,
+  voterOfFounder,
+} from './bootstrap-checks';
+import { IdentifyReply } from './identify-reply';
 
-/** How the disk of a founder is named that was not there. */
-export const ABSENT_DISK_PREFIX = 'absent ';
-
-interface Who {
-  disk: string;
-  blank: boolean;
-  mayFound: boolean;
-}
+export { ABSENT_DISK_PREFIX } from './bootstrap-checks';
 
-interface BootstrapDependencies {
+/** What the bootstrap needs of its controller. */
+export interface BootstrapDependencies {
   settings: Settings;
   timeLimits: TimeLimits;
   clock: Clock;
   store: ControlStore;
   voters: () => VoterSet | undefined;
-  who: (at: string) => Promise<Result<unknown>>;
-  requestVoter: (v: Voter, type: string, body: unknown) => Promise<Result<unknown>>;
-  /** Commits the founders as the voters, where this controller owns that key. */
-  commitBootstrap: (v: VoterSet) => Promise<void>;
+  /** Asks the controller at an address for its disk and voter set; the value is an `IdentifyReply`. */
+  identify: (address: string) => Promise<Result<unknown>>;
+  requestVoter: (voter: Voter, type: string, body: unknown) => Promise<Result<unknown>>;
+  /** Commits the founders as the voter set, where this controller owns that key. */
+  commitBootstrap: (founders: VoterSet) => Promise<void>;
 }
 
-/** The founding of a blank fleet. */
-export interface Bootstrap {
-  /** Founds without the founders that are named as absent; refused where that is unsafe. */
-  bootstrap: (without: string[]) => Promise<Result<VoterSet>>;
-  /** Founds where this start may, and it is this founder's turn. */
-  bootstrapIfReady: () => Promise<void>;
-  /** Tells the other founders what was founded, until the voters are committed. */
-  announce: () => Promise<void>;
+/** What a founder showed as it was asked: one that does not answer may be blank. */
+interface FounderProbe {
+  address: string;
+  mayBeBlank: boolean;
+  mayBootstrap: boolean;
 }
 
-/** Makes the founding of one controller. */
-export function makeBootstrap(p: BootstrapDependencies): Bootstrap {
-  const { settings, store: slots, voters } = p;
-  const founders = [...settings.founders].sort();
-  let majoritySince: number | undefined;
-
-  async function found(without: string[]): Promise<Result<VoterSet>> {
-    const stood = voters();
-    if (stood)
-      return isVoter(stood, slots.diskId)
-        ? Right(stood)
-        : failure(
-            'found',
-            slots.diskId,
-            'a fleet is founded, and this disk is not of it',
-            'refused',
-            'not-blank',
-          );
-    function absent(at: string): boolean {
-      return without.includes(at);
+/** The bootstrap of a blank cluster by one of its founders. */
+export class ClusterBootstrap {
+  private readonly founders: readonly string[];
+  /** Since when a majority of the founders is present, in ms of the clock port. */
+  private quorumSince: number | undefined;
+
+  constructor(private readonly dependencies: BootstrapDependencies) {
+    this.founders = [...dependencies.settings.founders].sort();
+  }
+
+  /** Bootstraps without the founders at these addresses; refused where that is unsafe. */
+  async bootstrap(absent: readonly string[]): Promise<Result<VoterSet>> {
+    const { settings, store, voters } = this.dependencies;
+    const known = voters();
+    if (known) return checkKnownVoters(known, store.diskId);
+    const [diskError] = errorOrValue(checkDiskIntact(store.diskId, store.isCorrupt));
+    if (diskError) return Left(diskError);
+    const sets = { ownAddress: settings.wire, founders: this.founders, absent };
+    const [quorumError] = errorOrValue(checkFounderQuorum(settings.name, sets));
+    if (quorumError) return Left(quorumError);
+    const [founderError, now] = errorOrValue(await this.collectFounders(absent));
+    if (founderError) return Left(founderError);
+    if (voters()) return precededByAnother(settings.name);
+    const [storeError] = errorOrValue(await store.recordBootstrap({ now }));
+    return storeError ? Left(storeError) : Right({ now });
+  }
+
+  /**
+   * Bootstraps where this start has leave to, and it is this founder's turn: the first address of those present. All
+   * founders must be present, or, if the settings allow it, a majority for the bootstrap wait.
+   */
+  async bootstrapIfReady(): Promise<void> {
+    const { settings, store } = this.dependencies;
+    if (!settings.bootstrap || store.isCorrupt || !this.founders.includes(settings.wire)) return;
+    const probes = await Promise.all(this.probeFounders());
+    if (!probes.every(mayBeBlank)) return;
+    const present = probes.filter(mayBootstrap).map(addressOfProbe);
+    this.noteQuorum(present.length * 2 > this.founders.length);
+    if (present[0] !== settings.wire || !this.isTimeFor(present.length)) return;
+    function isAbsent(address: string): boolean {
+      return !present.includes(address);
     }
-    if (slots.isCorrupt)
-      return failure('found', slots.diskId, 'this disk was of a fleet', 'refused', 'not-blank');
-    if (absent(settings.wire) || founders.filter(absent).length * 2 >= founders.length)
-      return failure(
-        'found',
-        settings.name,
-        'a majority of the founders must be here',
-        'refused',
-        'no-quorum',
-      );
-    const set: Voter[] = [];
-    for (const at of founders) {
-      if (at === settings.wire) {
-        set.push({ disk: slots.diskId, at });
+    await this.bootstrap(this.founders.filter(isAbsent));
+  }
+
+  /** Tells the other founders of the bootstrap that this disk recorded, until the voter set is committed. */
+  async announce(): Promise<void> {
+    const { store, requestVoter, commitBootstrap } = this.dependencies;
+    const founders = store.bootstrapVoterSet() as VoterSet | undefined;
+    if (!founders || store.registers.get(CONTROL_KEYS.voters)?.learned) return;
+    await Promise.all(founders.now.map(announceTo));
+    await commitBootstrap(founders);
+
+    async function announceTo(founder: Voter): Promise<void> {
+      if (founder.disk !== store.diskId) await requestVoter(founder, 'found', founders);
+    }
+  }
+
+  /** Asks the other founders one after the other, and makes voters of all. */
+  private async collectFounders(absent: readonly string[]): Promise<Result<Voter[]>> {
+    const { settings, store, identify } = this.dependencies;
+    const voters: Voter[] = [];
+    for (const address of this.founders) {
+      if (address === settings.wire) {
+        voters.push({ disk: store.diskId, at: address });
         continue;
       }
-      const [g, w] = errorOrValue(await p.who(at));
-      const r = w as Who | undefined;
-      if (absent(at) && r && (r.mayFound || !r.blank))
-        return failure('found', at, 'is named as absent, and is here', 'refused', 'conflict');
-      if (!absent(at) && g) return Left({ ...g, certainty: 'refused' });
-      if (r && !r.blank) return failure('found', at, 'is not blank', 'refused', 'not-blank');
-      set.push({ disk: r && !absent(at) ? r.disk : `${ABSENT_DISK_PREFIX}${at}`, at });
+      const reply = errorOrValue(await identify(address));
+      const [error, voter] = errorOrValue(voterOfFounder(address, absent.includes(address), reply));
+      if (error) return Left(error);
+      voters.push(voter);
     }
-    const [h] = errorOrValue(
-      voters()
-        ? failure<void>('found', settings.name, 'another came first', 'refused', 'conflict')
-        : await slots.recordBootstrap({ now: set }),
-    );
-    return h ? Left(h) : Right({ now: set });
+    return Right(voters);
   }
 
-  async function foundByItself(): Promise<void> {
-    if (!settings.bootstrap || slots.isCorrupt || !founders.includes(settings.wire)) return;
-    const here: string[] = [];
-    async function look(at: string): Promise<boolean> {
-      const [f, w] =
-        at === settings.wire
-          ? [undefined, { blank: true, mayFound: true }]
-          : errorOrValue(await p.who(at));
-      if (!f && (w as Who).mayFound) here.push(at);
-      return f !== undefined || (w as Who).blank;
-    }
-    function isFine(x: boolean): boolean {
-      return x;
-    }
-    if (!(await Promise.all(founders.map(look))).every(isFine)) return;
-    here.sort();
-    if (here.length * 2 <= founders.length) majoritySince = undefined;
-    else majoritySince = majoritySince ?? p.clock.now();
-    if (here[0] !== settings.wire || majoritySince === undefined) return;
-    if (
-      here.length < founders.length &&
-      (settings.foundBy === 'all' || p.clock.now() - majoritySince < p.timeLimits.bootstrapWaitMs)
-    )
-      return;
-    function isAway(at: string): boolean {
-      return !here.includes(at);
-    }
-    await found(founders.filter(isAway));
+  private probeFounders(): Promise<FounderProbe>[] {
+    const probes: Promise<FounderProbe>[] = [];
+    for (const address of this.founders) probes.push(this.probe(address));
+    return probes;
   }
 
-  async function spread(): Promise<void> {
-    const v = slots.bootstrapVoterSet() as VoterSet | undefined;
-    if (!v || slots.registers.get(CONTROL_KEYS.voters)?.learned) return;
-    async function tell(x: Voter): Promise<void> {
-      if (x.disk !== slots.diskId) await p.requestVoter(x, 'found', v);
-    }
-    await Promise.all(v.now.map(tell));
-    await p.commitBootstrap(v);
+  private async probe(address: string): Promise<FounderProbe> {
+    const { settings, identify } = this.dependencies;
+    if (address === settings.wire) return { address, mayBeBlank: true, mayBootstrap: true };
+    const [error, value] = errorOrValue(await identify(address));
+    if (error) return { address, mayBeBlank: true, mayBootstrap: false };
+    const { blank, mayFound } = value as IdentifyReply;
+    return { address, mayBeBlank: blank, mayBootstrap: mayFound };
   }
 
-  return { bootstrap: found, bootstrapIfReady: foundByItself, announce: spread };
+  private noteQuorum(hasQuorum: boolean): void {
+    if (!hasQuorum) this.quorumSince = undefined;
+    else this.quorumSince ??= this.dependencies.clock.now();
+  }
+
+  private isTimeFor(presentCount: number): boolean {
+    const { settings, clock, timeLimits } = this.dependencies;
+    if (this.quorumSince === undefined) return false;
+    if (presentCount === this.founders.length) return true;
+    if (settings.foundBy === 'all') return false;
+    return clock.now() - this.quorumSince >= timeLimits.bootstrapWaitMs;
+  }
+}
+
+function mayBeBlank(probe: FounderProbe): boolean {
+  return probe.mayBeBlank;
+}
+
+function mayBootstrap(probe: FounderProbe): boolean {
+  return probe.mayBootstrap;
+}
+
+function addressOfProbe(probe: FounderProbe): string {
+  return probe.address;
 }
