--- a/src/control/controller-node.ts
+++ b/src/control/controller-node.ts
@@ -43,19 +43,13 @@
 import { announceToSeeds } from './membership/seed-announcer';
 import { VoterConnections } from './membership/voter-connections';
 import { makeVoterLiveness, VoterLiveness } from './membership/voter-liveness';
+import { waitForNextRound } from './maintenance-pause';
 import { PeerHandlers } from './peer-handlers';
 import { ControlStore } from './storage/control-store';
 import { IdempotencyVotes } from './storage/idempotency-votes';
 import { learnedValues } from './storage/register-state';
 import { StoredVotes } from './storage/vote-files';
 
-/** The maintenance loop pauses for a random time in this range, as ratios of the lease renewal. */
-const MIN_MAINTENANCE_PAUSE_RATIO = 0.8;
-const MAINTENANCE_PAUSE_SPREAD_RATIO = 0.4;
-
-/** How long after a wake-up the maintenance loop runs, as a ratio of the retry pause. */
-const WAKE_DELAY_RATIO = 0.1;
-
 /** What a controller is made of. */
 export interface ControllerNodeOptions {
   ports: Ports;
@@ -426,18 +420,10 @@
       if (this.voters()) await this.clusterBootstrap.announce();
       this.connections.refresh();
       if (this.voters()) await this.keyMaintenance.acquireAssignedKeys();
-      await waker.wait(
-        this.drawMaintenancePauseMs(),
-        this.timeLimits.retryPauseMs * WAKE_DELAY_RATIO,
-      );
+      await waitForNextRound(waker, this.timeLimits, this.ports.random);
     }
   }
 
-  private drawMaintenancePauseMs(): number {
-    const jitterRatio = MAINTENANCE_PAUSE_SPREAD_RATIO * this.ports.random.next();
-    return this.timeLimits.leaseRenewalMs * (MIN_MAINTENANCE_PAUSE_RATIO + jitterRatio);
-  }
-
   private onLearned(learned: VersionedValue, before?: VersionedValue): void {
     const isOwn = learned.by === this.ownerId;
     this.learnedLive.add(learned.key);
--- a/src/control/membership/graceful-leave.ts
+++ b/src/control/membership/graceful-leave.ts
@@ -1,3 +1,7 @@
+/**
+ * The graceful leave of a controller: it votes on until its disk is not needed any more, or its time is over.
+ */
+
 import { errorOrValue, Result } from '../../shared/errors/errors';
 import { Clock } from '../../shared/ports/clock';
 import { Logger } from '../../shared/ports/logger';
@@ -8,11 +12,15 @@
 import { LeaveReply } from './membership-requests';
 import { ControlStore } from '../storage/control-store';
 
-/** Why a controller that was told to end may go: it did not vote, another has its place, the others have all that it has and are a majority, all others leave as well, or its time is over. */
+/**
+ * Why a controller that was told to end may stop. `not-voting`: it was no voter. `replaced`: another has its place.
+ * `covered`: the others are a quorum and have all that it has. `all-leave`: all others leave as well. `grace-over`: its
+ * time is over.
+ */
 export type LeaveReason = 'not-voting' | 'replaced' | 'covered' | 'all-leave' | 'grace-over';
 
-/** How often a leaving controller looks whether it may go, as a share of `pause`. */
-const LOOK = 0.5;
+/** How often a leaving controller looks whether it may stop, as a ratio of the retry pause. */
+const POLL_INTERVAL_RATIO = 0.5;
 
 /** What leaving needs of its controller. */
 export interface LeaveDependencies {
@@ -23,85 +31,123 @@
   self: Voter;
   liveness: VoterLiveness;
   voters: () => VoterSet | undefined;
-  /** Controllers that would vote. */
+  /** Controllers that ask to vote. */
   candidates: () => Voter[];
-  requestVoter: (v: Voter, type: string, body: unknown) => Promise<Result<unknown>>;
-  /** Has the loops of this controller look at the voters anew. */
+  requestVoter: (voter: Voter, type: string, body: unknown) => Promise<Result<unknown>>;
+  /** Has the loops of this controller look at the voters at once. */
   wake: () => void;
 }
 
-/** Leaves the voters: hands this controller's keys over at once, and comes back when its disk is needed no longer, or its time is nearly over. Until then it votes on. */
-export async function leaveGracefully(p: LeaveDependencies): Promise<LeaveReason> {
-  const began = p.clock.now();
-  const wasVoter = isVoter(p.voters(), p.self.disk);
-  const granted = new Set<string>();
-  let isLate = false;
-  p.liveness.beginLeave();
-  p.wake();
-  const reason = await Promise.race([untilFree(), untilLate()]);
-  const tookMs = p.clock.now() - began;
-  p.logger.notice({ step: 'leave', peer: p.self.at, reason, tookMs }, `leaves as ${reason}`);
-  return reason;
-
-  async function untilLate(): Promise<LeaveReason> {
-    await p.clock.sleep(p.timeLimits.leaveTimeoutMs);
-    isLate = true;
-    return 'grace-over';
+/**
+ * Leaves the voter set: hands this controller's keys over at once, and resolves when its disk is not needed any more,
+ * or the leave time-out is over. Until then it votes on.
+ */
+export function leaveGracefully(dependencies: LeaveDependencies): Promise<LeaveReason> {
+  return new GracefulLeave(dependencies).run();
+}
+
+class GracefulLeave {
+  private readonly wasVoter: boolean;
+  /** The disks of voters that promised to stay until this one is gone. */
+  private readonly stayingDisks = new Set<string>();
+  private isTimedOut = false;
+
+  constructor(private readonly dependencies: LeaveDependencies) {
+    this.wasVoter = isVoter(dependencies.voters(), dependencies.self.disk);
   }
 
-  async function untilFree(): Promise<LeaveReason> {
-    while (!isLate) {
-      await announce();
-      const free = await reasonToGo();
-      if (free) return free;
-      await p.clock.sleep(p.timeLimits.retryPauseMs * LOOK);
-    }
+  async run(): Promise<LeaveReason> {
+    const { clock, liveness, wake } = this.dependencies;
+    const startedAt = clock.now();
+    liveness.beginLeave();
+    wake();
+    const reason = await Promise.race([this.untilDispensable(), this.untilTimedOut()]);
+    this.logLeave(reason, clock.now() - startedAt);
+    return reason;
+  }
+
+  private logLeave(reason: LeaveReason, tookMs: number): void {
+    const { logger, self } = this.dependencies;
+    const fields = { event: 'voters.left', peer: self.at, reason, tookMs };
+    logger.notice(fields, `leaves as ${reason}`);
+  }
+
+  private async untilTimedOut(): Promise<LeaveReason> {
+    const { clock, timeLimits } = this.dependencies;
+    await clock.sleep(timeLimits.leaveTimeoutMs);
+    this.isTimedOut = true;
     return 'grace-over';
   }
 
-  function others(): Voter[] {
-    const v = p.voters();
-    return v ? allVoters(v).filter(isOther) : [];
+  private async untilDispensable(): Promise<LeaveReason> {
+    const { clock, timeLimits } = this.dependencies;
+    while (!this.isTimedOut) {
+      await this.announce();
+      const reason = await this.reasonToStop();
+      if (reason) return reason;
+      await clock.sleep(timeLimits.retryPauseMs * POLL_INTERVAL_RATIO);
+    }
+    return 'grace-over';
   }
 
-  function isOther(x: Voter): boolean {
-    return !p.liveness.isSelf(x);
+  private otherVoters(): Voter[] {
+    const { voters, liveness } = this.dependencies;
+    function isOther(voter: Voter): boolean {
+      return !liveness.isSelf(voter);
+    }
+    const known = voters();
+    return known ? allVoters(known).filter(isOther) : [];
   }
 
-  /** Tells the other voters, again and again, since one whose connection came up anew takes it for a return; notes who stays while this one goes. */
-  async function announce(): Promise<void> {
-    async function tell(x: Voter): Promise<void> {
-      const [f, r] = errorOrValue(await p.requestVoter(x, 'core-leave', p.self));
-      if (!f && (r as LeaveReply).stays !== false) granted.add(x.disk);
+  /**
+   * Announces the leave to the other voters, again and again, since one whose connection came up again takes that for a
+   * return; notes who stays until this one is gone.
+   */
+  private async announce(): Promise<void> {
+    const { self, liveness, requestVoter } = this.dependencies;
+    const { stayingDisks } = this;
+    async function announceTo(voter: Voter): Promise<void> {
+      const [error, reply] = errorOrValue(await requestVoter(voter, 'core-leave', self));
+      if (!error && (reply as LeaveReply).stays !== false) stayingDisks.add(voter.disk);
     }
-    await Promise.all(others().filter(p.liveness.isUp).map(tell));
+    await Promise.all(this.otherVoters().filter(liveness.isUp).map(announceTo));
   }
 
-  async function reasonToGo(): Promise<LeaveReason | undefined> {
-    const v = p.voters();
-    if (!v || !wasVoter) return 'not-voting';
-    if (others().every(p.liveness.isLeaving)) return 'all-leave';
-    const isReplaced = !isVoter(v, p.self.disk);
-    if (!isReplaced && (v.next || p.candidates().some(p.liveness.isUp))) return undefined;
-    const live = others().filter(isStaying);
-    const copies = await upToDate(live);
-    if (isReplaced) return isQuorum(v, copies) ? 'replaced' : undefined;
-    return copies.size === live.length && isQuorum(v, copies) ? 'covered' : undefined;
+  private async reasonToStop(): Promise<LeaveReason | undefined> {
+    const { voters, candidates, self, liveness } = this.dependencies;
+    const known = voters();
+    if (!known || !this.wasVoter) return 'not-voting';
+    if (this.otherVoters().every(liveness.isLeaving)) return 'all-leave';
+    const isReplaced = !isVoter(known, self.disk);
+    const isReplacementDue = known.next !== undefined || candidates().some(liveness.isUp);
+    if (!isReplaced && isReplacementDue) return undefined;
+    const staying = this.stayingVoters();
+    const syncedDisks = await this.syncedDisksOf(staying);
+    if (!isQuorum(known, syncedDisks)) return undefined;
+    if (isReplaced) return 'replaced';
+    return syncedDisks.size === staying.length ? 'covered' : undefined;
   }
 
-  /** Whether a voter is here for good: one that leaves as well counts where it let this one go first. */
-  function isStaying(x: Voter): boolean {
-    if (!p.liveness.isUp(x)) return false;
-    return granted.has(x.disk) || !p.liveness.isLeaving(x);
+  /** The other voters that are up and stay: one that leaves as well counts where it lets this one go first. */
+  private stayingVoters(): Voter[] {
+    const { liveness } = this.dependencies;
+    const { stayingDisks } = this;
+    function stays(voter: Voter): boolean {
+      if (!liveness.isUp(voter)) return false;
+      return stayingDisks.has(voter.disk) || !liveness.isLeaving(voter);
+    }
+    return this.otherVoters().filter(stays);
   }
 
-  /** The disks that have learned, by their own word, all that this one has. */
-  async function upToDate(live: readonly Voter[]): Promise<Set<string>> {
-    const disks = new Set<string>();
-    async function bring(x: Voter): Promise<void> {
-      if ((await syncReplica(p, x)).isRight() && granted.has(x.disk)) disks.add(x.disk);
+  /** The disks that have learned, by their own acknowledgement, all that this one has. */
+  private async syncedDisksOf(voters: readonly Voter[]): Promise<Set<string>> {
+    const { dependencies, stayingDisks } = this;
+    const syncedDisks = new Set<string>();
+    async function sync(voter: Voter): Promise<void> {
+      const isSynced = (await syncReplica(dependencies, voter)).isRight();
+      if (isSynced && stayingDisks.has(voter.disk)) syncedDisks.add(voter.disk);
     }
-    await Promise.all(live.map(bring));
-    return disks;
+    await Promise.all(voters.map(sync));
+    return syncedDisks;
   }
 }
--- /dev/null
+++ b/src/control/membership/voter-health.ts
@@ -0,0 +1,56 @@
+/**
+ * The health of the voters as one controller sees it over time.
+ */
+
+import { Clock } from '../../shared/ports/clock';
+import { TimeLimits } from '../../shared/settings/time-limits';
+import { allVoters, Voter, VoterSet } from '../../shared/state/voter-set';
+import { Controller } from '../controller-interface';
+import { VoterHealth } from './voter-set-plan';
+
+/** What the health of the voters is told by. */
+export interface VoterHealthDependencies extends Pick<
+  Controller,
+  'isUp' | 'isLeaving' | 'hasOtherDisk'
+> {
+  clock: Clock;
+  timeLimits: TimeLimits;
+}
+
+/** Tracks since when voters are unreachable, and tells the health of each. */
+export class VoterHealthTracker {
+  /** By disk, in ms of the clock port. */
+  private readonly unreachableSince = new Map<string, number>();
+
+  constructor(private readonly dependencies: VoterHealthDependencies) {}
+
+  /** Notes which voters are reachable now. */
+  observe(voters: VoterSet): void {
+    const now = this.dependencies.clock.now();
+    for (const voter of allVoters(voters)) {
+      if (this.dependencies.isUp(voter)) this.unreachableSince.delete(voter.disk);
+      else if (!this.unreachableSince.has(voter.disk)) this.unreachableSince.set(voter.disk, now);
+    }
+  }
+
+  /** The health of a voter now. */
+  healthOf(voter: Voter): VoterHealth {
+    const { hasOtherDisk, isLeaving, isUp } = this.dependencies;
+    if (hasOtherDisk(voter)) return 'emptied';
+    if (isLeaving(voter)) return 'leaving';
+    if (isUp(voter)) return 'here';
+    return this.isUnreachableTooLong(voter) ? 'lost' : 'away';
+  }
+
+  /** Whether a voter that is not up should not be waited for: its disk is another one, or it is lost. */
+  isGone(voter: Voter): boolean {
+    return this.dependencies.hasOtherDisk(voter) || this.isUnreachableTooLong(voter);
+  }
+
+  private isUnreachableTooLong(voter: Voter): boolean {
+    const { clock, timeLimits } = this.dependencies;
+    const since = this.unreachableSince.get(voter.disk);
+    const unreachableForMs = since === undefined ? 0 : clock.now() - since;
+    return unreachableForMs > timeLimits.voterLostAfterMs;
+  }
+}
--- a/src/control/membership/voter-set-controller.ts
+++ b/src/control/membership/voter-set-controller.ts
@@ -1,147 +1,171 @@
 /**
- * Keeps the voter set at its size and off machines that are gone.
+ * The control loop of the voter set: keeps it at its size, and replaces voters whose machines are gone.
  */
 
 import { errorOrValue } from '../../shared/errors/errors';
 import { Ports } from '../../shared/ports/ports';
-import { allVoters, addressOf, isVoter, Voter, VoterSet } from '../../shared/state/voter-set';
+import { addressOf, isVoter, Voter, VoterSet } from '../../shared/state/voter-set';
 import { CONTROL_KEYS } from '../../shared/state/control-keys';
 import { Controller } from '../controller-interface';
-import {
-  makeReconfigurationProgress,
-  changeVoterSet,
-  NEW_VOTER_UNWRITABLE,
-  revertVoterSet,
-} from './reconfiguration';
-import { VoterHealth, planVoterSet } from './voter-set-plan';
-
-/** Asks the voters to take this disk in, for as long as it is a quorum member's that does not vote. */
-export async function requestMembership(c: Controller, ports: Ports): Promise<void> {
-  const waker = c.addWaker();
-  while (!c.isStopped()) {
-    const v = c.voters();
-    const self: Voter = { disk: c.store.diskId, at: c.settings.wire };
-    const wants =
-      c.settings.quorumMember && c.store.isWritable() && c.votes.isWritable() && !c.isLeaving(self);
-    if (wants && v && !isVoter(v, self.disk))
-      for (const x of allVoters(v))
-        void c.requestVoter(x, 'join', self, c.timeLimits.requestTimeoutMs);
-    await waker.wait(
-      c.timeLimits.leaseRenewalMs * (0.8 + 0.4 * ports.random.next()),
-      c.timeLimits.retryPauseMs * 0.1,
-    );
-  }
+import { waitForNextRound } from '../maintenance-pause';
+import { NEW_VOTER_UNWRITABLE } from './joint-set-completion';
+import { changeVoterSet, revertVoterSet } from './reconfiguration';
+import { makeReconfigurationProgress } from './reconfiguration-progress';
+import { VoterHealthTracker } from './voter-health';
+import { planVoterSet } from './voter-set-plan';
+
+/**
+ * Has the voter set follow the machines, while this node owns it. A joint set that another node left is completed, or
+ * reverted where its new voters are gone.
+ */
+export function maintainVoterSet(controller: Controller, ports: Ports): Promise<void> {
+  return new VoterSetController(controller, ports).run();
 }
 
-/** Has the voter set follow the machines, while this node owns it; a joint set that another left is brought to its end, or back where its newcomers are gone. */
-export async function maintainVoterSet(c: Controller, ports: Ports): Promise<void> {
-  const waker = c.addWaker();
-  const awaySince = new Map<string, number>();
-  const progress = makeReconfigurationProgress();
-  while (!c.isStopped()) {
-    await waker.wait(
-      c.timeLimits.leaseRenewalMs * (0.8 + 0.4 * ports.random.next()),
-      c.timeLimits.retryPauseMs * 0.1,
-    );
-    const v = c.voters();
-    if (!v) continue;
-    note(v);
-    if (!c.isPreferredOwner(CONTROL_KEYS.voters) || !c.hasQuorum()) continue;
-    const [f] = errorOrValue(await c.keyOwner.acquire(CONTROL_KEYS.voters));
-    const stood = c.committedValue<VoterSet>(CONTROL_KEYS.voters);
-    if (f || !stood) continue;
-    const { now, next } = stood.value;
-    const fresh = next?.filter(isNewcomer) ?? [];
-    function isNewcomer(x: Voter): boolean {
-      return !isVoter({ now }, x.disk);
-    }
-    if (next && fresh.some(isAway)) {
-      if (fresh.some(isOver)) await revertVoterSet(c, stood);
-      continue;
-    }
-    const set =
-      next ??
-      planVoterSet(
-        now,
-        c.membershipRequests.candidates().filter(isUp),
-        standing,
-        c.settings.tolerated * 2 + 1,
-      );
-    if (!set || !(await othersAgree(now, set))) continue;
-    ports.logger.warn(
-      { step: 'follow machines', peer: c.name },
-      `voters ${now.map(addressOf).join(' ')} become ${set.map(addressOf).join(' ')}`,
-    );
-    const [g] = errorOrValue(await changeVoterSet(c, ports, set, isOverdue, progress));
-    if (!g) {
-      waker.wake();
-      continue;
-    }
-    ports.logger.warn({ step: g.step, peer: g.peer }, g.reason);
-    if (g.code === NEW_VOTER_UNWRITABLE) await refuse(set.filter(isNewcomer));
-  }
+/** What a round does with the voter set. */
+type Decision = { kind: 'wait' } | { kind: 'revert' } | { kind: 'change'; target: Voter[] };
 
-  /** Goes back from a joint set whose newcomers' disks take no writes; they ask again once they do. */
-  async function refuse(newcomers: readonly Voter[]): Promise<void> {
-    newcomers.forEach(forget);
-    const stood = c.committedValue<VoterSet>(CONTROL_KEYS.voters);
-    if (stood?.value.next) await revertVoterSet(c, stood);
-  }
+class VoterSetController {
+  private readonly health: VoterHealthTracker;
+  private readonly progress = makeReconfigurationProgress();
 
-  function forget(x: Voter): void {
-    c.membershipRequests.discard(x);
+  constructor(
+    private readonly controller: Controller,
+    private readonly ports: Ports,
+  ) {
+    const { isUp, isLeaving, hasOtherDisk, timeLimits } = controller;
+    const { clock } = ports;
+    this.health = new VoterHealthTracker({ isUp, isLeaving, hasOtherDisk, timeLimits, clock });
   }
 
-  /** Whether a joint set has stood for longer than the repair of a disk may take. */
-  function isOverdue(): boolean {
-    return c.jointForMs() > c.timeLimits.diskRepairMs;
+  /** Reconciles in rounds until the controller is stopped; the round after a change follows at once. */
+  async run(): Promise<void> {
+    const { controller, ports } = this;
+    const waker = controller.addWaker();
+    while (!controller.isStopped()) {
+      await waitForNextRound(waker, controller.timeLimits, ports.random);
+      if (!this.observeVoters() || !this.shouldOwnVoterSet()) continue;
+      const [ownerError] = errorOrValue(await controller.keyOwner.acquire(CONTROL_KEYS.voters));
+      const committed = controller.committedValue<VoterSet>(CONTROL_KEYS.voters);
+      if (ownerError || !committed) continue;
+      const { now } = committed.value;
+      const decision = this.decide(committed.value);
+      if (decision.kind === 'revert') await revertVoterSet(controller, committed);
+      if (decision.kind !== 'change') continue;
+      const { target } = decision;
+      if (!(await this.areDropsConfirmed(now, target))) continue;
+      this.logChange(now, target);
+      const isOverdue = this.isJointSetOverdue.bind(this);
+      const [error] = errorOrValue(
+        await changeVoterSet(controller, ports, target, isOverdue, this.progress),
+      );
+      if (!error) {
+        waker.wake();
+        continue;
+      }
+      ports.logger.warn({ step: error.step, peer: error.peer }, error.reason);
+      if (error.code === NEW_VOTER_UNWRITABLE) await this.rejectNewVoters(newVotersOf(now, target));
+    }
   }
 
-  function note(v: VoterSet): void {
-    const t = ports.clock.now();
-    for (const x of allVoters(v)) {
-      if (c.isUp(x)) awaySince.delete(x.disk);
-      else if (!awaySince.has(x.disk)) awaySince.set(x.disk, t);
-    }
+  /** Notes the health of the voters; false where none are known. */
+  private observeVoters(): boolean {
+    const voters = this.controller.voters();
+    if (voters) this.health.observe(voters);
+    return voters !== undefined;
   }
 
-  function awayFor(x: Voter): number {
-    const since = awaySince.get(x.disk);
-    return since === undefined ? 0 : ports.clock.now() - since;
+  private shouldOwnVoterSet(): boolean {
+    return this.controller.isPreferredOwner(CONTROL_KEYS.voters) && this.controller.hasQuorum();
   }
 
-  function isUp(x: Voter): boolean {
-    return c.isUp(x);
+  /** A joint set is completed once its new voters are up, and reverted where one of them is gone. */
+  private decide({ now, next }: VoterSet): Decision {
+    if (next && this.hasUnreachableNewVoter(now, next))
+      return { kind: this.hasGoneNewVoter(now, next) ? 'revert' : 'wait' };
+    const target = next ?? this.plan(now);
+    return target ? { kind: 'change', target } : { kind: 'wait' };
   }
 
-  function isAway(x: Voter): boolean {
-    return !c.isUp(x);
+  private hasUnreachableNewVoter(now: Voter[], next: Voter[]): boolean {
+    const { isUp } = this.controller;
+    function isUnreachable(voter: Voter): boolean {
+      return !isUp(voter);
+    }
+    return newVotersOf(now, next).some(isUnreachable);
   }
 
-  function isOver(x: Voter): boolean {
-    return c.hasOtherDisk(x) || awayFor(x) > c.timeLimits.voterLostAfterMs;
+  private hasGoneNewVoter(now: Voter[], next: Voter[]): boolean {
+    const { health } = this;
+    function isGone(voter: Voter): boolean {
+      return health.isGone(voter);
+    }
+    return newVotersOf(now, next).some(isGone);
   }
 
-  function standing(x: Voter): VoterHealth {
-    if (c.hasOtherDisk(x)) return 'emptied';
-    if (c.isLeaving(x)) return 'leaving';
-    if (c.isUp(x)) return 'here';
-    return awayFor(x) > c.timeLimits.voterLostAfterMs ? 'lost' : 'away';
+  private plan(now: readonly Voter[]): Voter[] | undefined {
+    const { isUp, membershipRequests, settings } = this.controller;
+    const { health } = this;
+    function isReachable(voter: Voter): boolean {
+      return isUp(voter);
+    }
+    function healthOf(voter: Voter): ReturnType<VoterHealthTracker['healthOf']> {
+      return health.healthOf(voter);
+    }
+    const candidates = membershipRequests.candidates().filter(isReachable);
+    return planVoterSet(now, candidates, healthOf, settings.tolerated * 2 + 1);
   }
 
-  /** Whether the other voters miss those that only seem to be lost, too. */
-  async function othersAgree(now: readonly Voter[], set: readonly Voter[]): Promise<boolean> {
-    function isDropped(x: Voter): boolean {
-      return !set.includes(x) && standing(x) === 'lost';
+  /** Whether the other voters don't reach those either that are dropped because they only seem to be lost. */
+  private async areDropsConfirmed(
+    now: readonly Voter[],
+    target: readonly Voter[],
+  ): Promise<boolean> {
+    const { isUp, requestVoter, timeLimits } = this.controller;
+    const { health } = this;
+    function isDroppedAsLost(voter: Voter): boolean {
+      return !target.includes(voter) && health.healthOf(voter) === 'lost';
     }
-    const dropped = now.filter(isDropped);
+    function isReachable(voter: Voter): boolean {
+      return isUp(voter);
+    }
+    const dropped = now.filter(isDroppedAsLost);
     if (dropped.length === 0) return true;
-    for (const x of now.filter(isUp)) {
-      const [f, up] = errorOrValue(
-        await c.requestVoter(x, 'sees', dropped, c.timeLimits.requestTimeoutMs),
+    for (const voter of now.filter(isReachable)) {
+      const [error, isOneUp] = errorOrValue(
+        await requestVoter(voter, 'sees', dropped, timeLimits.requestTimeoutMs),
       );
-      if (!f && (up as boolean)) return false;
+      if (!error && (isOneUp as boolean)) return false;
     }
     return true;
   }
+
+  private logChange(now: readonly Voter[], target: readonly Voter[]): void {
+    // The simulation's event hash covers the step of warnings, so that this line keeps it.
+    this.ports.logger.warn(
+      { step: 'follow machines', peer: this.controller.name },
+      `voters ${now.map(addressOf).join(' ')} become ${target.map(addressOf).join(' ')}`,
+    );
+  }
+
+  /** Reverts a joint set whose new voters' disks take no writes; they ask again once they do. */
+  private async rejectNewVoters(newVoters: readonly Voter[]): Promise<void> {
+    const { controller } = this;
+    for (const voter of newVoters) controller.membershipRequests.discard(voter);
+    const committed = controller.committedValue<VoterSet>(CONTROL_KEYS.voters);
+    if (committed?.value.next) await revertVoterSet(controller, committed);
+  }
+
+  /** Whether a joint set has been in force for longer than the repair of a disk may take. */
+  private isJointSetOverdue(): boolean {
+    return this.controller.jointForMs() > this.controller.timeLimits.diskRepairMs;
+  }
+}
+
+/** Those of the target set that do not vote now. */
+function newVotersOf(now: readonly Voter[], target: readonly Voter[]): Voter[] {
+  function isNew(voter: Voter): boolean {
+    return !isVoter({ now: [...now] }, voter.disk);
+  }
+  return target.filter(isNew);
 }
--- a/src/control/membership/voter-set-plan.ts
+++ b/src/control/membership/voter-set-plan.ts
@@ -1,68 +1,147 @@
 /**
- * Which voter set should stand next: a pure function of the voters, of who asks to vote, and of each voter's health.
+ * Which voter set should come next: a pure function of the voters, of who asks to vote, and of each voter's health.
  */
 
 import { Voter } from '../../shared/state/voter-set';
 
-/** How a voter's machine stands: there with its disk, away, away for good while, leaving by its own word, or there with another disk. */
+/**
+ * The health of a voter's machine. `here`: connected, with its disk. `away`: not connected for a short time. `lost`:
+ * not connected for so long that it may be replaced. `leaving`: it announced that it leaves. `emptied`: connected, with
+ * another disk.
+ */
 export type VoterHealth = 'here' | 'away' | 'lost' | 'leaving' | 'emptied';
 
-/** The voter set that should stand next, or nothing where the one that stands is right: a machine with another disk takes its own place at once; others take the places of those that are lost or leave; up to `target`, in odd numbers. */
+type HealthOf = (voter: Voter) => VoterHealth;
+
+/**
+ * The voter set that should come next, or nothing where the current one is right. A machine with another disk takes its
+ * own place; other candidates take the places of voters that are lost or leave. The set then grows or shrinks to
+ * `targetSize`, in odd numbers.
+ */
 export function planVoterSet(
-  now: readonly Voter[],
-  joiners: readonly Voter[],
-  standing: (v: Voter) => VoterHealth,
-  target: number,
+  current: readonly Voter[],
+  candidates: readonly Voter[],
+  healthOf: HealthOf,
+  targetSize: number,
 ): Voter[] | undefined {
-  const spare = [...joiners];
-  let changed = false;
-  function take(test: (x: Voter) => boolean): Voter | undefined {
-    const i = spare.findIndex(test);
-    return i < 0 ? undefined : spare.splice(i, 1)[0];
+  const pool = new CandidatePool(current, candidates);
+  const replaced = replaceElsewhere(
+    replaceOnSameMachine(current, healthOf, pool),
+    current,
+    healthOf,
+    pool,
+  );
+  const grown = grow(replaced, pool.onOtherMachines(), targetSize);
+  const planned = shrink(grown, current, healthOf, targetSize);
+  return isSameSet(planned, current) ? undefined : planned;
+}
+
+/** The candidates that were not given a place yet. */
+class CandidatePool {
+  private readonly spare: Voter[];
+  private readonly voterAddresses = new Set<string>();
+
+  constructor(current: readonly Voter[], candidates: readonly Voter[]) {
+    this.spare = [...candidates];
+    for (const voter of current) this.voterAddresses.add(voter.at);
   }
-  /** Whether a joiner is no voter's machine: one that is waits for its own place. */
-  function isElsewhere(x: Voter): boolean {
-    function isItsMachine(v: Voter): boolean {
-      return v.at === x.at;
+
+  /** Takes the first candidate at an address. */
+  takeAt(address: string): Voter | undefined {
+    function isAtAddress(candidate: Voter): boolean {
+      return candidate.at === address;
     }
-    return !now.some(isItsMachine);
+    return this.take(this.spare.findIndex(isAtAddress));
+  }
+
+  /** Takes the first candidate on a machine of no voter: one on a voter's machine waits for its own place. */
+  takeOnOtherMachine(): Voter | undefined {
+    const [first] = this.onOtherMachines();
+    return first && this.take(this.spare.indexOf(first));
   }
-  function sameMachine(v: Voter): Voter {
-    function isAt(x: Voter): boolean {
-      return x.at === v.at;
+
+  /** The candidates on machines of no voter. */
+  onOtherMachines(): Voter[] {
+    const { voterAddresses } = this;
+    function isOnOtherMachine(candidate: Voter): boolean {
+      return !voterAddresses.has(candidate.at);
     }
-    const s = standing(v);
-    const into = s === 'here' || s === 'away' ? undefined : take(isAt);
-    changed ||= into !== undefined;
-    return into ?? v;
+    return this.spare.filter(isOnOtherMachine);
+  }
+
+  private take(index: number): Voter | undefined {
+    return index < 0 ? undefined : this.spare.splice(index, 1)[0];
   }
-  function anyMachine(v: Voter): Voter {
-    const s = standing(v);
-    const into = !now.includes(v) || s === 'here' || s === 'away' ? undefined : take(isElsewhere);
-    changed ||= into !== undefined;
-    return into ?? v;
+}
+
+/** Whether a voter with this health may be replaced or dropped. */
+function isReplaceable(health: VoterHealth): boolean {
+  return health !== 'here' && health !== 'away';
+}
+
+/** Replaces voters by candidates at their own addresses: their machines are there with other disks. */
+function replaceOnSameMachine(
+  voters: readonly Voter[],
+  healthOf: HealthOf,
+  pool: CandidatePool,
+): Voter[] {
+  function successorOf(voter: Voter): Voter {
+    const successor = isReplaceable(healthOf(voter)) ? pool.takeAt(voter.at) : undefined;
+    return successor ?? voter;
+  }
+  return voters.map(successorOf);
+}
+
+/** Replaces those of the current voters that are still in the set by candidates on other machines. */
+function replaceElsewhere(
+  voters: readonly Voter[],
+  current: readonly Voter[],
+  healthOf: HealthOf,
+  pool: CandidatePool,
+): Voter[] {
+  function successorOf(voter: Voter): Voter {
+    const isDue = isReplaceable(healthOf(voter)) && current.includes(voter);
+    return (isDue ? pool.takeOnOtherMachine() : undefined) ?? voter;
   }
-  let set = now.map(sameMachine).map(anyMachine);
-  const additional = spare.filter(isElsewhere);
-  const room = Math.min(target - set.length, additional.length);
-  const more = room > 0 && (set.length + room) % 2 === 0 && set.length % 2 === 1 ? room - 1 : room;
-  if (more > 0) {
-    set = [...set, ...additional.slice(0, more)];
-    changed = true;
+  return voters.map(successorOf);
+}
+
+/** Adds candidates up to the target size; an odd set stays odd, since an even one tolerates no more losses. */
+function grow(
+  voters: readonly Voter[],
+  candidates: readonly Voter[],
+  targetSize: number,
+): readonly Voter[] {
+  const maxAdded = Math.min(targetSize - voters.length, candidates.length);
+  const wouldBeEven = (voters.length + maxAdded) % 2 === 0 && voters.length % 2 === 1;
+  const added = maxAdded > 0 && wouldBeEven ? maxAdded - 1 : maxAdded;
+  return added > 0 ? [...voters, ...candidates.slice(0, added)] : voters;
+}
+
+/** Drops replaceable voters down to the target size, and to no even number. */
+function shrink(
+  voters: readonly Voter[],
+  current: readonly Voter[],
+  healthOf: HealthOf,
+  targetSize: number,
+): Voter[] {
+  function isDroppable(voter: Voter): boolean {
+    return current.includes(voter) && isReplaceable(healthOf(voter));
   }
-  const gone = set.filter(isGone);
-  function isGone(v: Voter): boolean {
-    return now.includes(v) && standing(v) !== 'here' && standing(v) !== 'away';
+  const droppable = voters.filter(isDroppable);
+  const maxDropped = Math.min(voters.length - targetSize, droppable.length);
+  const wouldBeEven = (voters.length - maxDropped) % 2 === 0;
+  const droppedCount = maxDropped > 0 && wouldBeEven ? maxDropped - 1 : maxDropped;
+  const dropped = droppable.slice(0, Math.max(0, droppedCount));
+  function stays(voter: Voter): boolean {
+    return !dropped.includes(voter);
   }
-  const most = Math.min(set.length - target, gone.length);
-  const fewer = most > 0 && (set.length - most) % 2 === 0 ? most - 1 : most;
-  if (fewer > 0) {
-    const out = gone.slice(0, fewer);
-    function stays(v: Voter): boolean {
-      return !out.includes(v);
-    }
-    set = set.filter(stays);
-    changed = true;
+  return voters.filter(stays);
+}
+
+function isSameSet(first: readonly Voter[], second: readonly Voter[]): boolean {
+  function isSameAt(voter: Voter, index: number): boolean {
+    return voter === second[index];
   }
-  return changed ? set : undefined;
+  return first.length === second.length && first.every(isSameAt);
 }
--- a/src/control/singletons/background-tasks.ts
+++ b/src/control/singletons/background-tasks.ts
@@ -8,7 +8,8 @@
 import { Controller } from '../controller-interface';
 import { listAllEngines, keepReportedWarmUp } from './engine-listing';
 import { runWeightsRollout } from './weights-rollout';
-import { requestMembership, maintainVoterSet } from '../membership/voter-set-controller';
+import { requestMembership } from '../membership/join-requester';
+import { maintainVoterSet } from '../membership/voter-set-controller';
 
 /** Starts all duties of a controller. */
 export function startBackgroundTasks(c: Controller, ports: Ports, dialect?: PlatformAdapter): void {
