--- a/src/control/api/call-draining.ts
+++ b/src/control/api/call-draining.ts
@@ -1,41 +1,46 @@
+/**
+ * Draining of HTTP calls: a process that stops answers the calls that it has accepted.
+ */
+
 import { IncomingRequest, Listener, Network } from '../../shared/ports/network';
 import { Clock } from '../../shared/ports/clock';
 import { TimeLimits } from '../../shared/settings/time-limits';
 
-/** How often it is looked whether calls are under way, as a share of `pause`. */
-const LOOK = 0.1;
+/** How often it is looked whether calls are in flight, as a ratio of the retry pause. */
+const POLL_INTERVAL_RATIO = 0.1;
 
-/** Calls that a process has taken and not answered yet. */
+/** Counts the calls that a process has accepted and not answered yet. */
 export interface CallCounter {
-  /** A wire whose served calls are counted. */
+  /** A network whose served calls are counted. */
   network: Network;
+  /** How many calls are in flight. */
   inFlight: () => number;
 }
 
-/** Counts the calls that are served by a wire. */
-export function countCalls(wire: Network): CallCounter {
-  let open = 0;
+/** Makes a counter of the calls that are served by a network. */
+export function countCalls(network: Network): CallCounter {
+  let inFlightCount = 0;
 
-  function serve(
-    at: string,
-    take: (call: IncomingRequest) => Promise<void>,
+  function serveHttp(
+    address: string,
+    handle: (call: IncomingRequest) => Promise<void>,
   ): ReturnType<Network['serveHttp']> {
-    return wire.serveHttp(at, counted);
-    async function counted(call: IncomingRequest): Promise<void> {
-      open++;
-      await take(call);
-      open--;
+    async function handleCounted(call: IncomingRequest): Promise<void> {
+      inFlightCount++;
+      await handle(call);
+      inFlightCount--;
     }
+    return network.serveHttp(address, handleCounted);
   }
 
-  function underWay(): number {
-    return open;
+  function inFlight(): number {
+    return inFlightCount;
   }
 
-  return { network: { ...wire, serveHttp: serve }, inFlight: underWay };
+  return { network: { ...network, serveHttp }, inFlight };
 }
 
-/** What ending the service of calls needs. */
+/** What draining calls needs. */
 export interface CallDrainingDependencies {
   clock: Clock;
   timeLimits: TimeLimits;
@@ -43,11 +48,12 @@
   calls: CallCounter;
 }
 
-/** Takes no further connections and comes back once each call that was taken is answered, or that took too long. */
-export async function drainCalls(p: CallDrainingDependencies): Promise<void> {
-  const closed = p.listener.close();
-  const until = p.clock.now() + p.timeLimits.callDrainTimeoutMs;
-  while (p.calls.inFlight() > 0 && p.clock.now() < until)
-    await p.clock.sleep(p.timeLimits.retryPauseMs * LOOK);
-  await Promise.race([closed, p.clock.sleep(p.timeLimits.retryPauseMs)]);
+/** Accepts no further connections; resolves once each accepted call is answered, or the drain time-out is over. */
+export async function drainCalls(dependencies: CallDrainingDependencies): Promise<void> {
+  const { clock, timeLimits, listener, calls } = dependencies;
+  const closed = listener.close();
+  const drainUntil = clock.now() + timeLimits.callDrainTimeoutMs;
+  while (calls.inFlight() > 0 && clock.now() < drainUntil)
+    await clock.sleep(timeLimits.retryPauseMs * POLL_INTERVAL_RATIO);
+  await Promise.race([closed, clock.sleep(timeLimits.retryPauseMs)]);
 }
--- a/src/control/api/deployment-api.ts
+++ b/src/control/api/deployment-api.ts
@@ -1,134 +1,147 @@
+/**
+ * The HTTP interface for operators who speak a platform's dialect; the operators' own interface is served beside it.
+ */
+
 import { PlatformAdapter } from '../../shared/platform-adapter/platform-adapter';
-import {
-  sendError,
-  sendJson,
-  makeRequestListener,
-  readJsonBody,
-} from '../../shared/transport/http-handlers';
+import { sendError, sendJson, readJsonBody } from '../../shared/transport/http-handlers';
 import { OperationError, errorOrValue, Result } from '../../shared/errors/errors';
 import { IncomingRequest, Listener } from '../../shared/ports/network';
 import { Ports } from '../../shared/ports/ports';
 import { DeploymentValue } from '../../shared/state/deployment';
 import { withTimeout } from '../../shared/concurrency/timeout';
 import { CONTROL_KEYS } from '../../shared/state/control-keys';
-import { OperatorApi } from './operator-api';
+import { makeOperatorListener } from './operator-api';
 import { ChangeResult } from '../configuration/change-coordinator';
 import { Controller } from '../controller-interface';
 import { makeDeploymentOperation } from '../configuration/deployment-change';
 import { Operation } from '../configuration/operations';
 
-/** How long a call is worked on before its caller is sent on to another controller, as a share of `ackMs`. */
-const ANSWER_SHARE = 0.18;
+/** How long a call is worked on before its caller is sent to another controller, as a ratio of the setting `ackMs`. */
+const REPLY_TIMEOUT_RATIO = 0.18;
+
+/** Operators try another controller after a second without a reply; one of unknown effect comes before that. */
+const MAX_REPLY_TIMEOUT_MS = 900;
 
-/** Operators go on to another controller after a second of silence; an answer that is not clear comes before that. */
-const ANSWER_WITHIN_MS = 900;
+/** The pause before a change is tried again, as ratios of the retry pause: the shortest, and the random spread. */
+const MIN_RETRY_RATIO = 0.3;
+const RETRY_SPREAD_RATIO = 0.4;
 
-/** Faults that the same order would meet again. */
-const FINAL_CODES = new Set(['stands', 'conflict', 'bad-deployment', 'forgotten']);
+/** The codes of errors that the same change would meet again. */
+const FINAL_CODES: ReadonlySet<string> = new Set([
+  'stands',
+  'conflict',
+  'bad-deployment',
+  'forgotten',
+]);
 
-/** Serves operators who speak by a dialect, and our own interface beside. */
+/** Serves operators who speak a dialect, and the operators' own interface on the paths that the dialect has not. */
 export function serveDeployment(
-  c: Controller,
+  controller: Controller,
   ports: Ports,
   dialect: PlatformAdapter,
 ): Promise<Result<Listener>> {
-  const { paths } = dialect.operators;
-  const own = makeRequestListener([new OperatorApi(c, ports)], ports.logger);
-
-  async function take(call: IncomingRequest): Promise<void> {
-    if (call.path === paths.replace || call.path === paths.update) return put(call);
-    if (call.path === paths.weights) return nameWeights(call);
-    if (call.path === paths.describe) return describe(call);
-    return own(call);
-  }
-
-  /** How long a call is worked on here. */
-  function answerWithin(): number {
-    return Math.min(c.settings.ackMs * ANSWER_SHARE, ANSWER_WITHIN_MS);
-  }
-
-  /** Has a result while its caller still listens, or a fault of unknown fate. */
-  function inTime<T>(step: string, result: Promise<Result<T>>): Promise<Result<T>> {
-    return withTimeout(ports.clock, answerWithin(), step, c.name, result);
-  }
+  const api = new DeploymentApi(controller, ports, dialect);
+  const handleOperatorCall = makeOperatorListener(controller, ports);
 
-  function change(op: Operation): Promise<Result<ChangeResult>> {
-    return inTime('change', tryChange(op));
+  async function handle(call: IncomingRequest): Promise<void> {
+    const { paths } = dialect.operators;
+    if (call.path === paths.replace || call.path === paths.update) return api.putDeployment(call);
+    if (call.path === paths.weights) return api.nameWeights(call);
+    if (call.path === paths.describe) return api.describe(call);
+    return handleOperatorCall(call);
   }
 
-  /** Tries a change; one whose fate is open is tried again, since one that was taken is known again. */
-  async function tryChange(op: Operation): Promise<Result<ChangeResult>> {
-    const until = ports.clock.now() + answerWithin();
-    for (;;) {
-      const o = await c.change(op);
-      const [f] = errorOrValue(o);
-      if (!f || isClear(f) || ports.clock.now() + c.timeLimits.retryPauseMs > until) return o;
-      await ports.clock.sleep(c.timeLimits.retryPauseMs * (0.3 + 0.4 * ports.random.next()));
-    }
-  }
+  return ports.network.serveHttp(controller.settings.http, handle);
+}
 
-  function refuse(call: IncomingRequest, f: OperationError): void {
-    if (f.code === 'conflict') return sendError(call, 412, 'refused', 'conflict', f.reason);
-    if (f.code === 'bad-deployment')
-      return sendError(call, 400, 'refused', 'bad-deployment', f.reason);
-    sendError(
-      call,
-      503,
-      f.certainty,
-      f.code ?? 'unknown',
-      `${f.step} at ${f.peer}: ${f.reason}`,
-      c.timeLimits.retryPauseMs,
-    );
-  }
+class DeploymentApi {
+  constructor(
+    private readonly controller: Controller,
+    private readonly ports: Ports,
+    private readonly dialect: PlatformAdapter,
+  ) {}
 
-  async function put(call: IncomingRequest): Promise<void> {
+  /** Replaces or updates the deployment, on the version that the headers name as its base. */
+  async putDeployment(call: IncomingRequest): Promise<void> {
     if (call.method !== 'POST') return sendError(call, 405, 'refused', 'bad-method', call.method);
-    const body = await readJsonBody(call, c.settings.bodyMostBytes);
+    const body = await readJsonBody(call, this.controller.settings.bodyMostBytes);
     if (body === undefined) return;
-    const base = dialect.operators.baseVersion(call.headers);
-    if (base === undefined)
-      return sendError(
-        call,
-        400,
-        'refused',
-        'no-base',
-        'the version that this builds on is missing',
-      );
-    const kind = call.path === paths.update ? 'update' : 'replace';
-    const [f] = errorOrValue(await change(makeDeploymentOperation(base, kind, body)));
-    if (f && f.code !== 'stands') return refuse(call, f);
+    const { operators } = this.dialect;
+    const base = operators.baseVersion(call.headers);
+    if (base === undefined) {
+      const message = 'the version that this builds on is missing';
+      return sendError(call, 400, 'refused', 'no-base', message);
+    }
+    const kind = call.path === operators.paths.update ? 'update' : 'replace';
+    const [error] = errorOrValue(await this.change(makeDeploymentOperation(base, kind, body)));
+    if (error && error.code !== 'stands') return this.sendChangeError(call, error);
     sendJson(call, 200, { taken: true });
   }
 
-  async function nameWeights(call: IncomingRequest): Promise<void> {
+  /** Names the weights of a model; naming the same ones again succeeds. */
+  async nameWeights(call: IncomingRequest): Promise<void> {
     if (call.method !== 'POST') return sendError(call, 405, 'refused', 'bad-method', call.method);
-    const body = await readJsonBody(call, c.settings.bodyMostBytes);
+    const body = await readJsonBody(call, this.controller.settings.bodyMostBytes);
     if (body === undefined) return;
-    const w = dialect.operators.weights(body);
-    if (w.isLeft()) return sendError(call, 400, 'refused', 'bad-weights', String(w.extract()));
-    const { model, weights, rank } = w.extract() as {
-      model: string;
-      weights: string;
-      rank: number;
-    };
-    const [f] = errorOrValue(await change({ kind: 'weights', model, weights, rank }));
-    if (f && f.code !== 'stands') return refuse(call, f);
+    const parsed = this.dialect.operators.weights(body);
+    if (parsed.isLeft())
+      return sendError(call, 400, 'refused', 'bad-weights', String(parsed.extract()));
+    const { model, weights, rank } = parsed.unsafeCoerce();
+    const [error] = errorOrValue(await this.change({ kind: 'weights', model, weights, rank }));
+    if (error && error.code !== 'stands') return this.sendChangeError(call, error);
     sendJson(call, 200, { model, weights });
   }
 
-  async function describe(call: IncomingRequest): Promise<void> {
-    const [f, n] = errorOrValue(
-      await inTime('describe', c.readLinearizable(CONTROL_KEYS.deployment)),
-    );
-    if (f) return refuse(call, f);
-    if (!n) return sendError(call, 404, 'refused', 'none', 'there is no deployment yet');
-    sendJson(call, 200, (n.value as DeploymentValue).doc);
+  /** Gives the deployment document in force, never older than what was acknowledged before. */
+  async describe(call: IncomingRequest): Promise<void> {
+    const reading = this.controller.readLinearizable(CONTROL_KEYS.deployment);
+    const [error, committed] = errorOrValue(await this.inTime('describe', reading));
+    if (error) return this.sendChangeError(call, error);
+    if (!committed) return sendError(call, 404, 'refused', 'none', 'there is no deployment yet');
+    sendJson(call, 200, (committed.value as DeploymentValue).doc);
+  }
+
+  private change(operation: Operation): Promise<Result<ChangeResult>> {
+    return this.inTime('change', this.changeWithRetries(operation));
+  }
+
+  /** Makes a change; one of unknown effect is made again, since one that was committed is recognized. */
+  private async changeWithRetries(operation: Operation): Promise<Result<ChangeResult>> {
+    const { clock, random } = this.ports;
+    const { retryPauseMs } = this.controller.timeLimits;
+    const retryUntil = clock.now() + this.replyTimeoutMs();
+    for (;;) {
+      const result = await this.controller.change(operation);
+      const [error] = errorOrValue(result);
+      if (!error || isFinal(error) || clock.now() + retryPauseMs > retryUntil) return result;
+      const pauseRatio = MIN_RETRY_RATIO + RETRY_SPREAD_RATIO * random.next();
+      await clock.sleep(retryPauseMs * pauseRatio);
+    }
+  }
+
+  /** The result, or an error of unknown effect once the caller no longer waits. */
+  private inTime<T>(step: string, result: Promise<Result<T>>): Promise<Result<T>> {
+    const { name } = this.controller;
+    return withTimeout(this.ports.clock, this.replyTimeoutMs(), step, name, result);
   }
 
-  return ports.network.serveHttp(c.settings.http, take);
+  /** How long a call is worked on here, in ms. */
+  private replyTimeoutMs(): number {
+    return Math.min(this.controller.settings.ackMs * REPLY_TIMEOUT_RATIO, MAX_REPLY_TIMEOUT_MS);
+  }
+
+  /** Sends an error: 412 for a conflict, 400 for a faulty document, 503 with the time to wait for everything else. */
+  private sendChangeError(call: IncomingRequest, error: OperationError): void {
+    const { code, certainty, reason } = error;
+    if (code === 'conflict') return sendError(call, 412, 'refused', code, reason);
+    if (code === 'bad-deployment') return sendError(call, 400, 'refused', code, reason);
+    const message = `${error.step} at ${error.peer}: ${reason}`;
+    const { retryPauseMs } = this.controller.timeLimits;
+    sendError(call, 503, certainty, code ?? 'unknown', message, retryPauseMs);
+  }
 }
 
-/** Whether trying again here can tell no more. */
-function isClear(f: OperationError): boolean {
-  return FINAL_CODES.has(f.code ?? '');
+/** Whether the same change would meet the same error again. */
+function isFinal(error: OperationError): boolean {
+  return FINAL_CODES.has(error.code ?? '');
 }
--- a/src/control/change-log.ts
+++ b/src/control/change-log.ts
@@ -1,3 +1,7 @@
+/**
+ * Log lines of what a controller learns: changes of the voter set, of singleton roles, and of the quorum.
+ */
+
 import { Clock } from '../shared/ports/clock';
 import { Logger } from '../shared/ports/logger';
 import { CONTROL_KEYS } from '../shared/state/control-keys';
@@ -5,51 +9,59 @@
 import { Voter, VoterSet } from '../shared/state/voter-set';
 import { SingletonHolder } from './configuration/singleton-holder';
 
-/** How much of a disk's identity is logged. */
-const DISK_CHARACTERS = 8;
+/** How many characters of a disk's id are logged. */
+const LOGGED_DISK_CHARACTERS = 8;
 
-/** Writes a line for each change of the voters or of their owner, and of the holder of a duty. */
+/** Logs a change of the voter set or of its owner, and of the holder of a singleton role; other keys are passed over. */
 export function logChange(
-  log: Logger,
-  n: VersionedValue,
+  logger: Logger,
+  learned: VersionedValue,
   before: VersionedValue | undefined,
 ): void {
-  if (n.key === CONTROL_KEYS.voters) logVoters(log, n, n.value as VoterSet);
-  if (n.key.startsWith(CONTROL_KEYS.duty)) logDuty(log, n, before);
+  if (learned.key === CONTROL_KEYS.voters) logVoterSet(logger, learned);
+  if (learned.key.startsWith(CONTROL_KEYS.duty)) logSingletonHolder(logger, learned, before);
 }
 
-function logVoters(
-  log: Logger,
-  { epoch, by, number }: VersionedValue,
-  { now, next }: VoterSet,
-): void {
-  const becomes = next ? ` become ${next.map(textOf).join(' ')}` : '';
-  const fields = { step: 'voters', peer: by, epoch, number };
-  log.notice(fields, `voters ${now.map(textOf).join(' ')}${becomes}`);
+function logVoterSet(logger: Logger, { epoch, by, number, value }: VersionedValue): void {
+  const { now, next } = value as VoterSet;
+  const becomes = next ? ` become ${next.map(describeVoter).join(' ')}` : '';
+  const fields = { event: 'voters.set-learned', peer: by, epoch, number };
+  logger.notice(fields, `voters ${now.map(describeVoter).join(' ')}${becomes}`);
 }
 
-function logDuty(log: Logger, n: VersionedValue, before: VersionedValue | undefined): void {
-  const { holder, fence } = n.value as SingletonHolder;
+function logSingletonHolder(
+  logger: Logger,
+  learned: VersionedValue,
+  before: VersionedValue | undefined,
+): void {
+  const { key, epoch, number } = learned;
+  const { holder, fence } = learned.value as SingletonHolder;
   if (holder === (before?.value as SingletonHolder | undefined)?.holder) return;
-  const fields = { step: 'duty', peer: holder, epoch: n.epoch, number: n.number, fence };
-  log.notice(fields, `${holder} holds ${n.key}`);
+  const fields = { event: 'singleton.holder-changed', peer: holder, epoch, number, fence };
+  logger.notice(fields, `${holder} holds ${key}`);
 }
 
-/** A voter by its address and the beginning of its disk's identity, so that an emptied disk shows. */
-function textOf(x: Voter): string {
-  return `${x.at}/${x.disk.slice(0, DISK_CHARACTERS)}`;
+/** A voter by its address and the beginning of its disk's id, so that an emptied disk shows. */
+function describeVoter(voter: Voter): string {
+  return `${voter.at}/${voter.disk.slice(0, LOGGED_DISK_CHARACTERS)}`;
 }
 
-/** Makes a function that is told whether a majority is up, and logs when that changes, and after how long. */
-export function makeQuorumLog(log: Logger, clock: Clock, self: string): (isUp: boolean) => void {
-  let was: boolean | undefined;
+/** Makes a function that is told whether a quorum is up, and logs when that changes, and after how many ms. */
+export function makeQuorumLog(
+  logger: Logger,
+  clock: Clock,
+  ownAddress: string,
+): (hasQuorum: boolean) => void {
+  let hadQuorum: boolean | undefined;
   let since = clock.now();
-  function note(isUp: boolean): void {
-    if (isUp === was) return;
-    const tookMs = Math.round(clock.now() - since);
-    log.notice({ step: 'majority', peer: self, tookMs }, isUp ? 'a majority is up' : 'no majority');
-    was = isUp;
-    since = clock.now();
+  function note(hasQuorum: boolean): void {
+    if (hasQuorum === hadQuorum) return;
+    const now = clock.now();
+    const event = hasQuorum ? 'quorum.gained' : 'quorum.lost';
+    const fields = { event, peer: ownAddress, tookMs: Math.round(now - since) };
+    logger.notice(fields, hasQuorum ? 'a quorum of the voters is up' : 'no quorum is up');
+    hadQuorum = hasQuorum;
+    since = now;
   }
   return note;
 }
--- a/src/control/connection-acceptor.ts
+++ b/src/control/connection-acceptor.ts
@@ -1,3 +1,7 @@
+/**
+ * Accepts connections of peers, and closes those that are idle for too long.
+ */
+
 import { closeIdleChannels, openChannel, PeerChannel } from '../shared/transport/connections';
 import { Result } from '../shared/errors/errors';
 import { Connection, Listener } from '../shared/ports/network';
@@ -6,29 +10,30 @@
 /** What accepting connections needs of its controller. */
 export interface ConnectionAcceptorDependencies {
   ports: Ports;
-  /** Where connections are taken. */
+  /** Where connections are accepted. */
   address: string;
   handlers: readonly object[];
-  /** A connection that is silent for this long is closed. */
+  /** A connection on which nothing arrives for this many ms is closed; live peers never are silent for so long. */
   idleTimeoutMs: number;
   isStopped: () => boolean;
 }
 
-/** Takes connections, and closes those that fall silent, as a peer that holds one never does. */
+/** Listens, and dispatches what arrives on each accepted connection to the handlers. */
 export async function acceptConnections(
-  p: ConnectionAcceptorDependencies,
+  dependencies: ConnectionAcceptorDependencies,
 ): Promise<Result<Listener>> {
-  const taken = new Set<PeerChannel>();
-  const listening = await p.ports.network.listen(p.address, take);
-  if (listening.isRight()) void closeIdleChannels(p.ports, taken, p.idleTimeoutMs, p.isStopped);
+  const { ports, address, handlers, idleTimeoutMs, isStopped } = dependencies;
+  const channels = new Set<PeerChannel>();
+  const listening = await ports.network.listen(address, accept);
+  if (listening.isRight()) void closeIdleChannels(ports, channels, idleTimeoutMs, isStopped);
   return listening;
 
-  function take(connection: Connection): void {
-    const exchange = openChannel(p.ports, connection, p.handlers);
-    taken.add(exchange);
-    void exchange.closed.then(forget);
+  function accept(connection: Connection): void {
+    const channel = openChannel(ports, connection, handlers);
+    channels.add(channel);
+    void channel.closed.then(forget);
     function forget(): void {
-      taken.delete(exchange);
+      channels.delete(channel);
     }
   }
 }
--- a/src/control/controller-node.ts
+++ b/src/control/controller-node.ts
@@ -42,7 +42,7 @@
 import { MembershipRequests } from './membership/membership-requests';
 import { announceToSeeds } from './membership/seed-announcer';
 import { VoterConnections } from './membership/voter-connections';
-import { makeVoterLiveness, VoterLiveness } from './membership/voter-liveness';
+import { VoterLiveness, VoterLivenessView } from './membership/voter-liveness';
 import { waitForNextRound } from './maintenance-pause';
 import { PeerHandlers } from './peer-handlers';
 import { ControlStore } from './storage/control-store';
@@ -243,7 +243,7 @@
   }
 
   private makeLiveness(): VoterLiveness {
-    return makeVoterLiveness({
+    return new VoterLivenessView({
       clock: this.ports.clock,
       self: this.self,
       voters: this.voters,
--- a/src/control/membership/identify-reply.ts
+++ b/src/control/membership/identify-reply.ts
@@ -2,7 +2,7 @@
  * The reply to the message `who`: which disk a controller has, and what it knows of the voter set.
  */
 
-import { Version } from '../../shared/state/versions';
+import { VersionedValue } from '../../shared/state/versions';
 import { VoterSet } from '../../shared/state/voter-set';
 
 /** How a controller identifies itself. The field names are sent. */
@@ -14,7 +14,7 @@
   mayFound: boolean;
   voters?: VoterSet;
   /** The committed voter set with its version. */
-  stands?: Version;
+  stands?: VersionedValue;
   /** The addresses of the voters. */
   core: string[];
 }
--- a/src/control/membership/membership-requests.ts
+++ b/src/control/membership/membership-requests.ts
@@ -1,5 +1,5 @@
 /**
- * What controllers say of themselves: that they want to vote, and that they leave.
+ * The requests by which controllers join and leave the voter set.
  */
 
 import { Right } from 'purify-ts';
@@ -9,79 +9,97 @@
 import { TimeLimits } from '../../shared/settings/time-limits';
 import { isVoter, Voter, VoterSet } from '../../shared/state/voter-set';
 
-class JoinRequest {
+class MembershipRequest {
   @bodyField('string') disk!: string;
   @bodyField('string') at!: string;
 }
 
-/** The answer to a controller that leaves: whether the one that answers stays until that one is back or replaced. */
+/** The reply to a controller that leaves: whether the one that replies stays until that one is back or replaced. */
 export interface LeaveReply {
   stays: boolean;
 }
 
-/** What controllers say of themselves: that they would vote, and that they leave. */
+/** A controller that asks to vote; the times are in ms of the clock port. */
+interface Candidate extends Voter {
+  firstAskedAt: number;
+  lastAskedAt: number;
+}
+
+/** Handles the requests to join and to leave, and remembers who sent them. */
 export class MembershipRequests {
-  private readonly asked = new Map<string, Voter & { since: number; last: number }>();
-  private readonly left = new Map<string, number>();
+  /** By address. */
+  private readonly candidatesByAddress = new Map<string, Candidate>();
+  /** When a disk last announced that it leaves, in ms of the clock port. */
+  private readonly leaveAnnouncedAt = new Map<string, number>();
 
   constructor(
     private readonly ports: Ports,
-    private readonly bounds: TimeLimits,
+    private readonly timeLimits: TimeLimits,
     private readonly voters: () => VoterSet | undefined,
-    private readonly told: () => void,
-    private readonly leaving: () => boolean,
+    private readonly onChange: () => void,
+    private readonly isSelfLeaving: () => boolean,
   ) {}
 
-  /** Hears from a quorum member that does not vote. */
-  @messageHandler('join', JoinRequest)
-  async join(m: JoinRequest): HandlerResult {
+  /** Handles `join`: a controller that should vote and does not asks to. */
+  @messageHandler('join', MembershipRequest)
+  async join({ disk, at }: MembershipRequest): HandlerResult {
     const now = this.ports.clock.now();
-    const before = this.asked.get(m.at);
-    const fresh =
-      before === undefined ||
-      before.disk !== m.disk ||
-      before.last + this.bounds.diskRepairMs < now;
-    this.asked.set(m.at, { disk: m.disk, at: m.at, since: fresh ? now : before.since, last: now });
-    if (fresh) this.told();
+    const known = this.candidatesByAddress.get(at);
+    const isSame = known !== undefined && known.disk === disk && !this.isExpired(known, now);
+    const firstAskedAt = isSame ? known.firstAskedAt : now;
+    this.candidatesByAddress.set(at, { disk, at, firstAskedAt, lastAskedAt: now });
+    if (!isSame) this.onChange();
     return Right(true);
   }
 
-  /** Hears from a controller that it ends; it says so again until it has ended. */
-  @messageHandler('core-leave', JoinRequest)
-  async leave(m: JoinRequest): HandlerResult {
-    const isNews = !this.left.has(m.disk);
-    this.left.set(m.disk, this.ports.clock.now());
-    this.asked.delete(m.at);
-    if (isNews) this.told();
-    return Right({ stays: !this.leaving() });
+  /** Handles `core-leave`: a controller leaves; it says so again until it has stopped. */
+  @messageHandler('core-leave', MembershipRequest)
+  async leave({ disk, at }: MembershipRequest): HandlerResult {
+    const isFirst = !this.leaveAnnouncedAt.has(disk);
+    this.leaveAnnouncedAt.set(disk, this.ports.clock.now());
+    this.candidatesByAddress.delete(at);
+    if (isFirst) this.onChange();
+    const reply: LeaveReply = { stays: !this.isSelfLeaving() };
+    return Right(reply);
   }
 
-  /** Takes no notice of one that asked, until it asks again. */
-  discard(x: Voter): void {
-    if (this.asked.get(x.at)?.disk === x.disk) this.asked.delete(x.at);
+  /** Forgets a candidate until it asks again. */
+  discard(voter: Voter): void {
+    if (this.candidatesByAddress.get(voter.at)?.disk === voter.disk)
+      this.candidatesByAddress.delete(voter.at);
   }
 
-  /** Those that asked lately and do not vote, the longest waiting first. */
+  /** Those that asked to vote within the time of a disk's repair and do not, the longest waiting first. */
   candidates(): Voter[] {
     const now = this.ports.clock.now();
-    const out: (Voter & { since: number })[] = [];
-    for (const x of this.asked.values())
-      if (x.last + this.bounds.diskRepairMs > now && !isVoter(this.voters(), x.disk)) out.push(x);
-    return out.sort(bySince).map(plain);
+    const waiting: Candidate[] = [];
+    for (const candidate of this.candidatesByAddress.values())
+      if (this.isRecent(candidate, now) && !isVoter(this.voters(), candidate.disk))
+        waiting.push(candidate);
+    return waiting.sort(byFirstAsked).map(asVoter);
+  }
+
+  /** Whether a disk announced that it leaves and has not come back since; `upSince` is when its connection came up. */
+  isLeaving(disk: string, upSince: number | undefined): boolean {
+    const announcedAt = this.leaveAnnouncedAt.get(disk);
+    if (announcedAt !== undefined && upSince !== undefined && upSince > announcedAt)
+      this.leaveAnnouncedAt.delete(disk);
+    return this.leaveAnnouncedAt.has(disk);
+  }
+
+  private isExpired(candidate: Candidate, now: number): boolean {
+    return candidate.lastAskedAt + this.timeLimits.diskRepairMs < now;
   }
 
-  /** Whether a disk said that it leaves, and has not come back since; `up` is when its connection came up. */
-  isLeaving(disk: string, up: number | undefined): boolean {
-    const at = this.left.get(disk);
-    if (at !== undefined && up !== undefined && up > at) this.left.delete(disk);
-    return this.left.has(disk);
+  private isRecent(candidate: Candidate, now: number): boolean {
+    return candidate.lastAskedAt + this.timeLimits.diskRepairMs > now;
   }
 }
 
-function bySince(a: { since: number; at: string }, b: { since: number; at: string }): number {
-  return a.since - b.since || (a.at < b.at ? -1 : 1);
+function byFirstAsked(first: Candidate, second: Candidate): number {
+  return first.firstAskedAt - second.firstAskedAt || (first.at < second.at ? -1 : 1);
 }
 
-function plain(x: Voter): Voter {
-  return { disk: x.disk, at: x.at };
+function asVoter({ disk, at }: Voter): Voter {
+  return { disk, at };
 }
--- a/src/control/membership/seed-announcer.ts
+++ b/src/control/membership/seed-announcer.ts
@@ -1,3 +1,8 @@
+/**
+ * The announcement of the voters' addresses to seed nodes: seeds are asked first by new nodes, and may be machines that
+ * know of nobody. A controller that lost the voters asks the seeds instead.
+ */
+
 import { requestOnce, Hello, ConnectionPool } from '../../shared/transport/connections';
 import { errorOrValue, Result } from '../../shared/errors/errors';
 import { appliedEntries } from '../../shared/replication/change-message';
@@ -6,8 +11,9 @@
 import { Settings } from '../../shared/settings/settings';
 import { allVoters, VoterSet } from '../../shared/state/voter-set';
 import { VersionedValue } from '../../shared/state/versions';
+import { jittered } from '../maintenance-pause';
 
-/** What telling the seeds needs of its controller. */
+/** What announcing to the seeds needs of its controller. */
 export interface SeedAnnouncerDependencies {
   ports: Ports;
   settings: Settings;
@@ -18,43 +24,59 @@
   voters: () => VoterSet | undefined;
   hasQuorum: () => boolean;
   committedValues: () => VersionedValue[];
-  learn: (m: { change: VersionedValue }) => Promise<Result<unknown>>;
-  /** Notes that a change was not heard as it was made. */
+  learn: (message: { change: VersionedValue }) => Promise<Result<unknown>>;
+  /** Notes that a value of a key was not learned as it was committed. */
   onCaughtUp: (key: string) => void;
   isStopped: () => boolean;
 }
 
-/** Tells the seeds that are not of the core where it is: they are asked first, and may be machines that know of nobody. A node that has lost the core asks them. */
-export async function announceToSeeds(p: SeedAnnouncerDependencies): Promise<void> {
-  while (!p.isStopped()) {
-    for (const at of p.settings.seeds.filter(isOther)) await tellSeed(at);
-    await p.ports.clock.sleep(p.timeLimits.leaseMs * (0.8 + 0.4 * p.ports.random.next()));
+/** Contacts the seeds that this controller has no connection to, about once per lease, until it is stopped. */
+export async function announceToSeeds(dependencies: SeedAnnouncerDependencies): Promise<void> {
+  const { ports, settings, timeLimits, connections, isStopped } = dependencies;
+  function isUnconnected(address: string): boolean {
+    return address !== settings.wire && !connections.channelTo(address);
   }
-
-  function isOther(at: string): boolean {
-    return at !== p.settings.wire && !p.connections.channelTo(at);
+  while (!isStopped()) {
+    for (const address of settings.seeds.filter(isUnconnected))
+      await contactSeed(dependencies, address);
+    await ports.clock.sleep(jittered(ports.random, timeLimits.leaseMs));
   }
+}
 
-  async function tellSeed(at: string): Promise<void> {
-    const v = p.voters();
-    if (!v) return;
-    if (!p.hasQuorum()) await take(await ask(at, 'missing', appliedEntries(p.committedValues())));
-    else if (!allVoters(v).some(isAt)) await ask(at, 'here', v);
-    function isAt(x: { at: string }): boolean {
-      return x.at === at;
-    }
+/** Tells a seed that is no voter where the voters are; without a quorum, asks it for changes that are missing here. */
+async function contactSeed(
+  dependencies: SeedAnnouncerDependencies,
+  address: string,
+): Promise<void> {
+  const { voters, hasQuorum, committedValues } = dependencies;
+  const known = voters();
+  if (!known) return;
+  function isSeed(voter: { at: string }): boolean {
+    return voter.at === address;
   }
+  if (!hasQuorum()) {
+    const versions = appliedEntries(committedValues());
+    await learnAll(dependencies, await request(dependencies, address, 'missing', versions));
+  } else if (!allVoters(known).some(isSeed)) await request(dependencies, address, 'here', known);
+}
 
-  function ask(at: string, type: string, body: unknown): Promise<Result<unknown>> {
-    return requestOnce(p.ports, p.hello, p.handlers, at, type, body, p.timeLimits.connectTimeoutMs);
-  }
+function request(
+  { ports, hello, handlers, timeLimits }: SeedAnnouncerDependencies,
+  address: string,
+  type: string,
+  body: unknown,
+): Promise<Result<unknown>> {
+  return requestOnce(ports, hello, handlers, address, type, body, timeLimits.connectTimeoutMs);
+}
 
-  async function take(o: Result<unknown>): Promise<void> {
-    const [f, list] = errorOrValue(o);
-    if (f) return;
-    for (const n of list as VersionedValue[]) {
-      await p.learn({ change: n });
-      p.onCaughtUp(n.key);
-    }
+async function learnAll(
+  { learn, onCaughtUp }: SeedAnnouncerDependencies,
+  reply: Result<unknown>,
+): Promise<void> {
+  const [error, changes] = errorOrValue(reply);
+  if (error) return;
+  for (const change of changes as VersionedValue[]) {
+    await learn({ change });
+    onCaughtUp(change.key);
   }
 }
--- a/src/control/membership/voter-liveness.ts
+++ b/src/control/membership/voter-liveness.ts
@@ -1,115 +1,113 @@
+/**
+ * The liveness view of the voters: which are up with their own disks, which leave, and whether a quorum is up.
+ */
+
 import { PeerChannel } from '../../shared/transport/connections';
+import { bindMethods } from '../bind-methods';
 import { Clock } from '../../shared/ports/clock';
 import { allVoters, addressOf, isQuorum, Voter, VoterSet } from '../../shared/state/voter-set';
 
-/** What the view of the voters is made of. */
+/** What the liveness view is made of. */
 export interface VoterLivenessDependencies {
   clock: Clock;
-  /** This controller's own place among the voters. */
+  /** This controller as a voter. */
   self: Voter;
   voters: () => VoterSet | undefined;
   /** The connection to a controller, while it is up. */
-  channelTo: (at: string) => PeerChannel | undefined;
-  /** Whether a disk said that it leaves, and has not come back since a time. */
+  channelTo: (address: string) => PeerChannel | undefined;
+  /** Whether a disk announced that it leaves, and has not come back since; `upSince` is in ms of the clock port. */
   announcedLeave: (disk: string, upSince: number | undefined) => boolean;
 }
 
-/** How the voters stand, as this controller sees them. */
+/** How the voters are, as this controller sees them. */
 export interface VoterLiveness {
-  isSelf: (x: Voter) => boolean;
-  /** Whether a voter is up with its own disk; an emptied one at its address is not that voter. */
-  isUp: (x: Voter) => boolean;
+  isSelf: (voter: Voter) => boolean;
+  /** Whether a voter is up with its own disk; an emptied machine at its address is not that voter. */
+  isUp: (voter: Voter) => boolean;
   /** Whether a voter's machine is there with another disk, so that its own is gone. */
-  hasOtherDisk: (x: Voter) => boolean;
-  isLeaving: (x: Voter) => boolean;
-  /** The addresses of the voters that are up and stay. */
+  hasOtherDisk: (voter: Voter) => boolean;
+  isLeaving: (voter: Voter) => boolean;
+  /** The addresses of the voters that are up and don't leave. */
   liveAddresses: () => string[];
   hasQuorum: () => boolean;
   /** Notes that the connection to a controller has come up. */
-  noteUp: (at: string) => void;
+  noteUp: (address: string) => void;
   /** Notes that this controller leaves. */
   beginLeave: () => void;
   isSelfLeaving: () => boolean;
-  /** Notes the voters that were learned. */
-  noteVoters: (v: VoterSet) => void;
-  /** For how many ms a joint set has been known here; 0 where none stands. */
+  /** Notes the voter set that was learned. */
+  noteVoters: (voters: VoterSet) => void;
+  /** For how many ms a joint set has been known here; 0 where none is in force. */
   jointForMs: () => number;
 }
 
-/** Makes the view of the voters. */
-export function makeVoterLiveness(p: VoterLivenessDependencies): VoterLiveness {
-  const upSince = new Map<string, number>();
-  let isEnding = false;
-  let jointSince: number | undefined;
+/** The liveness view of one controller; its methods are bound, since they are passed on as functions. */
+export class VoterLivenessView implements VoterLiveness {
+  /** By address, in ms of the clock port. */
+  private readonly upSince = new Map<string, number>();
+  private isEnding = false;
+  private jointSince: number | undefined;
 
-  function isSelf(x: Voter): boolean {
-    return x.disk === p.self.disk;
+  constructor(private readonly dependencies: VoterLivenessDependencies) {
+    bindMethods(this);
   }
 
-  function isUp(x: Voter): boolean {
-    if (isSelf(x)) return true;
-    const exchange = p.channelTo(x.at);
-    return exchange !== undefined && (exchange.hello?.disk ?? x.disk) === x.disk;
+  isSelf(voter: Voter): boolean {
+    return voter.disk === this.dependencies.self.disk;
   }
 
-  function isEmptied(x: Voter): boolean {
-    const disk = p.channelTo(x.at)?.hello?.disk;
-    return disk !== undefined && disk !== x.disk;
+  isUp(voter: Voter): boolean {
+    if (this.isSelf(voter)) return true;
+    const channel = this.dependencies.channelTo(voter.at);
+    return channel !== undefined && (channel.hello?.disk ?? voter.disk) === voter.disk;
   }
 
-  function isLeaving(x: Voter): boolean {
-    return isSelf(x) ? isEnding : p.announcedLeave(x.disk, upSince.get(x.at));
+  hasOtherDisk(voter: Voter): boolean {
+    const disk = this.dependencies.channelTo(voter.at)?.hello?.disk;
+    return disk !== undefined && disk !== voter.disk;
   }
 
-  function isHere(x: Voter): boolean {
-    return isUp(x) && !isLeaving(x);
+  isLeaving(voter: Voter): boolean {
+    if (this.isSelf(voter)) return this.isEnding;
+    return this.dependencies.announcedLeave(voter.disk, this.upSince.get(voter.at));
   }
 
-  function live(): string[] {
-    const v = p.voters();
-    return v ? allVoters(v).filter(isHere).map(addressOf) : [];
+  liveAddresses(): string[] {
+    const voters = this.dependencies.voters();
+    return voters ? allVoters(voters).filter(this.isLive).map(addressOf) : [];
   }
 
-  function hasMajority(): boolean {
-    const v = p.voters();
-    return v !== undefined && isQuorum(v, new Set(allVoters(v).filter(isUp).map(diskOf)));
+  hasQuorum(): boolean {
+    const voters = this.dependencies.voters();
+    if (!voters) return false;
+    return isQuorum(voters, new Set(allVoters(voters).filter(this.isUp).map(diskOf)));
   }
 
-  function noteUp(at: string): void {
-    upSince.set(at, p.clock.now());
+  noteUp(address: string): void {
+    this.upSince.set(address, this.dependencies.clock.now());
   }
 
-  function beginLeave(): void {
-    isEnding = true;
+  beginLeave(): void {
+    this.isEnding = true;
   }
 
-  function leaving(): boolean {
-    return isEnding;
+  isSelfLeaving(): boolean {
+    return this.isEnding;
   }
 
-  function noteVoters(v: VoterSet): void {
-    jointSince = v.next && (jointSince ?? p.clock.now());
+  noteVoters(voters: VoterSet): void {
+    this.jointSince = voters.next && (this.jointSince ?? this.dependencies.clock.now());
   }
 
-  function jointForMs(): number {
-    return jointSince === undefined ? 0 : p.clock.now() - jointSince;
+  jointForMs(): number {
+    return this.jointSince === undefined ? 0 : this.dependencies.clock.now() - this.jointSince;
   }
 
-  return {
-    isSelf,
-    isUp,
-    hasOtherDisk: isEmptied,
-    isLeaving,
-    liveAddresses: live,
-    hasQuorum: hasMajority,
-    noteUp,
-    beginLeave,
-    isSelfLeaving: leaving,
-    noteVoters,
-    jointForMs,
-  };
+  private isLive(voter: Voter): boolean {
+    return this.isUp(voter) && !this.isLeaving(voter);
+  }
 }
 
-function diskOf(x: Voter): string {
-  return x.disk;
+function diskOf(voter: Voter): string {
+  return voter.disk;
 }
--- a/src/control/membership/voter-status.ts
+++ b/src/control/membership/voter-status.ts
@@ -1,12 +1,17 @@
-import { errorOrValue } from '../../shared/errors/errors';
+/**
+ * The status of the voters for operators: how far each is, and whether the loss of any one is tolerated now. The field
+ * names and values are those of the HTTP interface.
+ */
+
+import { errorOrValue, Result } from '../../shared/errors/errors';
 import { allVoters, addressOf, isQuorum, Voter, VoterSet } from '../../shared/state/voter-set';
 import { Controller } from '../controller-interface';
 import { readReplicaProgress } from '../consensus/replica-sync';
 
-/** How a voter's machine stands. */
+/** The state of a voter's machine: connected with its disk, not connected, leaving, or connected with another disk. */
 export type VoterState = 'here' | 'away' | 'leaving' | 'emptied';
 
-/** Why the voters bear no loss now. */
+/** Why the loss of a voter is not tolerated now. */
 export type NoLossReason = 'not-founded' | 'joint-set' | 'voter-away' | 'voter-behind' | 'too-few';
 
 /** A voter as a controller sees it. */
@@ -14,7 +19,7 @@
   at: string;
   disk: string;
   state: VoterState;
-  /** Under which epoch it has learned the voters; undefined where it does not answer. */
+  /** Under which epoch it has learned the voter set; undefined where it does not answer. */
   epoch?: number;
   /** How many changes it has not learned that are learned here. */
   behind?: number;
@@ -23,62 +28,68 @@
 /** The voters as a controller sees them. */
 export interface VotersStatus {
   voters: VoterStatus[];
-  /** Whether any one voter may be lost now, with its disk, and a majority with all changes is left. */
+  /** Whether any one voter may be lost now, with its disk, and a quorum with all changes is left. */
   bearsLoss: boolean;
+  /** Why it may not; `at` is the voter's address. */
   reasons: { reason: NoLossReason; at?: string }[];
-  /** The joint set that is under way, and for how long this controller has known of it. */
+  /** The joint set in force, and for how many ms this controller has known of it. */
   joint?: { next: string[]; sinceMs: number };
 }
 
-/** Asks the voters how far they are, and tells whether they bear a loss. */
-export async function readVoterStatus(c: Controller): Promise<VotersStatus> {
-  const v = c.voters();
-  if (!v) return { voters: [], bearsLoss: false, reasons: [{ reason: 'not-founded' }] };
-  const voters = await Promise.all(allVoters(v).map(statusOf));
-  const bearsLoss = bearsAny(v, voters);
+/** Asks the voters how far they are, and tells whether a loss is tolerated. */
+export async function readVoterStatus(controller: Controller): Promise<VotersStatus> {
+  const known = controller.voters();
+  if (!known) return { voters: [], bearsLoss: false, reasons: [{ reason: 'not-founded' }] };
+  function readStatus(voter: Voter): Promise<VoterStatus> {
+    return readStatusOf(controller, voter);
+  }
+  const voters = await Promise.all(allVoters(known).map(readStatus));
+  const bearsLoss = toleratesAnyLoss(known, voters);
   return {
     voters,
     bearsLoss,
-    reasons: bearsLoss ? [] : reasonsOf(v, voters),
-    joint: v.next && { next: v.next.map(addressOf), sinceMs: c.jointForMs() },
+    reasons: bearsLoss ? [] : reasonsForNoLoss(known, voters),
+    joint: known.next && {
+      next: known.next.map(addressOf),
+      sinceMs: controller.jointForMs(),
+    },
   };
+}
 
-  async function statusOf(x: Voter): Promise<VoterStatus> {
-    const [, progress] = errorOrValue(
-      await readReplicaProgress({ store: c.store, requestVoter: askVoter }, x),
-    );
-    return { at: x.at, disk: x.disk, state: stateOf(x), ...progress };
-  }
-
-  function askVoter(x: Voter, type: string, body: unknown): ReturnType<Controller['requestVoter']> {
-    return c.requestVoter(x, type, body, c.timeLimits.requestTimeoutMs);
+async function readStatusOf(controller: Controller, voter: Voter): Promise<VoterStatus> {
+  const { store, timeLimits } = controller;
+  function requestVoter(to: Voter, type: string, body: unknown): Promise<Result<unknown>> {
+    return controller.requestVoter(to, type, body, timeLimits.requestTimeoutMs);
   }
+  const [, progress] = errorOrValue(await readReplicaProgress({ store, requestVoter }, voter));
+  return { at: voter.at, disk: voter.disk, state: stateOf(controller, voter), ...progress };
+}
 
-  function stateOf(x: Voter): VoterState {
-    if (c.hasOtherDisk(x)) return 'emptied';
-    if (c.isLeaving(x)) return 'leaving';
-    return c.isUp(x) ? 'here' : 'away';
-  }
+function stateOf(controller: Controller, voter: Voter): VoterState {
+  if (controller.hasOtherDisk(voter)) return 'emptied';
+  if (controller.isLeaving(voter)) return 'leaving';
+  return controller.isUp(voter) ? 'here' : 'away';
 }
 
-function isWhole(x: VoterStatus): boolean {
-  return x.state === 'here' && x.behind === 0;
+function isUpToDate(voter: VoterStatus): boolean {
+  return voter.state === 'here' && voter.behind === 0;
 }
 
-function bearsAny(v: VoterSet, voters: readonly VoterStatus[]): boolean {
-  const whole = voters.filter(isWhole);
-  return voters.every(mayGo);
-  function mayGo(lost: VoterStatus): boolean {
-    function stays(x: VoterStatus): boolean {
-      return x.disk !== lost.disk;
+/** Whether, whichever voter is lost, those that are up to date without it are a quorum. */
+function toleratesAnyLoss(set: VoterSet, voters: readonly VoterStatus[]): boolean {
+  const upToDate = voters.filter(isUpToDate);
+  function isLossTolerated(lost: VoterStatus): boolean {
+    function isLeft(voter: VoterStatus): boolean {
+      return voter.disk !== lost.disk;
     }
-    return isQuorum(v, new Set(whole.filter(stays).map(diskOf)));
+    return isQuorum(set, new Set(upToDate.filter(isLeft).map(diskOf)));
   }
+  return voters.every(isLossTolerated);
 }
 
-function reasonsOf(v: VoterSet, voters: readonly VoterStatus[]): VotersStatus['reasons'] {
+function reasonsForNoLoss(set: VoterSet, voters: readonly VoterStatus[]): VotersStatus['reasons'] {
   const reasons: VotersStatus['reasons'] = [];
-  if (v.next) reasons.push({ reason: 'joint-set' });
+  if (set.next) reasons.push({ reason: 'joint-set' });
   for (const { state, behind, at } of voters) {
     if (state !== 'here') reasons.push({ reason: 'voter-away', at });
     else if (behind !== 0) reasons.push({ reason: 'voter-behind', at });
@@ -86,17 +97,17 @@
   return reasons.length > 0 ? reasons : [{ reason: 'too-few' }];
 }
 
-function diskOf(x: VoterStatus): string {
-  return x.disk;
+function diskOf(voter: VoterStatus): string {
+  return voter.disk;
 }
 
-/** The voters as rows for collectors. */
-export function voterMetricRows(s: VotersStatus): string[] {
+/** The status of the voters as rows of the Prometheus text format. */
+export function voterMetricRows(status: VotersStatus): string[] {
   const rows = [
-    `plumhollow_controller_bears_loss ${s.bearsLoss ? 1 : 0}`,
-    `plumhollow_controller_joint_set_ms ${s.joint?.sinceMs ?? 0}`,
+    `plumhollow_controller_bears_loss ${status.bearsLoss ? 1 : 0}`,
+    `plumhollow_controller_joint_set_ms ${status.joint?.sinceMs ?? 0}`,
   ];
-  for (const { at, state, epoch, behind } of s.voters) {
+  for (const { at, state, epoch, behind } of status.voters) {
     rows.push(`plumhollow_controller_voter_here{voter="${at}"} ${state === 'here' ? 1 : 0}`);
     if (epoch !== undefined) rows.push(`plumhollow_controller_voter_epoch{voter="${at}"} ${epoch}`);
     if (behind !== undefined)
--- a/src/control/peer-handlers.ts
+++ b/src/control/peer-handlers.ts
@@ -1,131 +1,158 @@
+/**
+ * The handlers of messages between controllers, other than those of consensus, replication and membership requests.
+ * The message types and their fields are sent as they are named here.
+ */
+
 import { Right } from 'purify-ts';
 import { HandlerResult, messageHandler } from '../shared/transport/message-handlers';
 import { failure, Result } from '../shared/errors/errors';
-import { appliedEntries, isAtLeast } from '../shared/replication/change-message';
+import { AppliedEntry, appliedEntries, isAtLeast } from '../shared/replication/change-message';
 import { allVoters, addressOf, Voter, VoterSet } from '../shared/state/voter-set';
 import { VersionedValue, Version } from '../shared/state/versions';
 import { CONTROL_KEYS } from '../shared/state/control-keys';
 import { Operation } from './configuration/operations';
+import { LearnedSince } from './consensus/key-maintenance';
+import { IdentifyReply } from './membership/identify-reply';
 import { ControlStore } from './storage/control-store';
 
-/** What one controller says to another beside votes. */
+/** What the handlers need of their controller. */
+export interface PeerHandlersDependencies {
+  ownerId: string;
+  store: ControlStore;
+  /** Whether this start has leave to bootstrap a cluster. */
+  mayBootstrap: boolean;
+  voters: () => VoterSet | undefined;
+  changeAsOwner: (operation: Operation) => Promise<Result<unknown>>;
+  isInProgress: (identity: string) => boolean;
+  committedValues: () => VersionedValue[];
+  /** Notes the addresses of the voters that a peer told. */
+  onCoreHint: (addresses: string[]) => void;
+  isUp: (voter: Voter) => boolean;
+  wake: () => void;
+}
+
+/** Handles the messages of other controllers. */
 export class PeerHandlers {
-  constructor(private readonly c: PeerHandlersDependencies) {}
+  constructor(private readonly dependencies: PeerHandlersDependencies) {}
 
-  /** Takes a change that this node, as the key's owner, is to make. */
+  /** Makes a change, as the owner of its key. */
   @messageHandler('change')
-  async change(op: Operation): HandlerResult {
-    return this.c.changeAsOwner(op);
+  async change(operation: Operation): HandlerResult {
+    return this.dependencies.changeAsOwner(operation);
   }
 
-  /** Tells whether an operator's order is being worked on here, as by the key's owner. */
+  /** Tells whether an operator's change is in progress here, as the owner of its key. */
   @messageHandler('order-under-way')
-  async orderUnderWay(m: { identity: string }): HandlerResult {
-    return Right(this.c.isInProgress(m.identity));
+  async isChangeInProgress(request: { identity: string }): HandlerResult {
+    return Right(this.dependencies.isInProgress(request.identity));
   }
 
-  /** Gives what is committed here and not yet at the asker, who tells its places. */
+  /** Gives the committed values that are newer than the versions of the one that asks. */
   @messageHandler('missing')
-  async missing(has: [string, number, string, number][]): HandlerResult {
-    const places = new Map<string, Version>();
-    for (const [key, epoch, by, number] of has) places.set(key, { epoch, by, number });
-    function later(n: VersionedValue): boolean {
-      return !isAtLeast(places.get(n.key), n);
+  async missing(applied: AppliedEntry[]): HandlerResult {
+    const versions = new Map<string, Version>();
+    for (const [key, epoch, by, number] of applied) versions.set(key, { epoch, by, number });
+    function isMissing(value: VersionedValue): boolean {
+      return !isAtLeast(versions.get(value.key), value);
     }
-    return Right(this.c.committedValues().filter(later));
+    return Right(this.dependencies.committedValues().filter(isMissing));
   }
 
-  /** Tells how far each key is committed here. */
+  /** Gives the committed version of each key. */
   @messageHandler('committed-places')
-  async committedPlaces(): HandlerResult {
-    return Right(appliedEntries(this.c.committedValues()));
+  async committedVersions(): HandlerResult {
+    return Right(appliedEntries(this.dependencies.committedValues()));
   }
 
-  /** Tells which keys were learned here after a count of this life; none are told to one that counted in another life, or too long ago. */
+  /**
+   * Gives the versions of the keys that were learned here after a count of this incarnation (`life`); none to one that
+   * counted in another incarnation, or too long ago.
+   */
   @messageHandler('learned-after')
-  async learnedAfter(m: { life: string; count: number }): HandlerResult {
-    const { learnedKeys: learned, registers: cells } = this.c.store;
-    const keys = m.life === this.c.ownerId ? learned.after(m.count) : undefined;
-    const has: VersionedValue[] = [];
-    for (const k of keys ?? []) has.push(cells.get(k)!.learned!);
-    return Right({
-      life: this.c.ownerId,
-      count: learned.count(),
-      has: keys && appliedEntries(has),
-    });
+  async learnedAfter({ life, count }: { life: string; count: number }): HandlerResult {
+    const { ownerId, store } = this.dependencies;
+    const keys = life === ownerId ? store.learnedKeys.after(count) : undefined;
+    const reply: LearnedSince = {
+      life: ownerId,
+      count: store.learnedKeys.count(),
+      has: keys && appliedEntries(this.learnedValuesOf(keys)),
+    };
+    return Right(reply);
   }
 
-  /** Gives what is committed here of some keys. */
+  /** Gives the committed values of some keys. */
   @messageHandler('committed')
   async committed(keys: string[]): HandlerResult {
-    const out: VersionedValue[] = [];
-    for (const k of keys) {
-      const n = this.c.store.registers.get(k)?.learned;
-      if (n) out.push(n);
-    }
-    return Right(out);
+    return Right(this.learnedValuesOf(keys));
   }
 
-  /** Tells whether this disk is blank, which one it is, and whether it may found, and the voters with their place where they are committed. */
+  /** Identifies this controller by its disk, and tells what it knows of the voter set. */
   @messageHandler('who')
-  async who(): HandlerResult {
-    const v = this.c.voters();
-    const stands = this.c.store.registers.get(CONTROL_KEYS.voters)?.learned;
-    return Right({
-      disk: this.c.store.diskId,
-      blank: v === undefined && !this.c.store.isCorrupt,
-      mayFound: this.c.mayBootstrap,
-      voters: v,
-      stands,
-      core: v ? allVoters(v).map(addressOf) : [],
-    });
+  async identify(): HandlerResult {
+    const { store, mayBootstrap } = this.dependencies;
+    const voters = this.dependencies.voters();
+    const reply: IdentifyReply = {
+      disk: store.diskId,
+      blank: voters === undefined && !store.isCorrupt,
+      mayFound: mayBootstrap,
+      voters,
+      stands: store.registers.get(CONTROL_KEYS.voters)?.learned,
+      core: voters ? allVoters(voters).map(addressOf) : [],
+    };
+    return Right(reply);
   }
 
-  /** Hears where the core is, from a controller that has this one among its seeds. */
+  /** Notes where the voters are, as told by a controller that has this one among its seeds. */
   @messageHandler('here')
-  async here(v: VoterSet): HandlerResult {
-    this.c.onCoreHint(allVoters(v).map(addressOf));
+  async noteVoters(voters: VoterSet): HandlerResult {
+    this.dependencies.onCoreHint(allVoters(voters).map(addressOf));
     return Right(true);
   }
 
-  /** Tells whether one of these voters has a connection with this node. */
+  /** Tells whether one of these voters is connected to this node. */
   @messageHandler('sees')
-  async sees(list: Voter[]): HandlerResult {
-    return Right(list.some(this.c.isUp));
+  async isAnyUp(voters: Voter[]): HandlerResult {
+    return Right(voters.some(this.dependencies.isUp));
   }
 
-  /** Agrees to a founding, once. */
+  /** Records the bootstrap of a cluster of which this disk is a founder; once, and again only with the same founders. */
   @messageHandler('found')
-  async found(v: VoterSet): HandlerResult {
-    const now = this.c.voters();
-    if (now)
-      return JSON.stringify(this.c.store.bootstrapVoterSet()) === JSON.stringify(v)
+  async recordBootstrap(founders: VoterSet): HandlerResult {
+    const { store, wake } = this.dependencies;
+    const checked = this.checkBootstrap(founders);
+    if (checked.isLeft() || this.dependencies.voters()) return checked;
+    const recorded = await store.recordBootstrap(founders);
+    wake();
+    return recorded;
+  }
+
+  /** Whether this disk may be a founder, or is one of exactly these founders already. */
+  private checkBootstrap(founders: VoterSet): Result<boolean> {
+    const { store, voters, mayBootstrap } = this.dependencies;
+    const { diskId } = store;
+    if (voters())
+      return JSON.stringify(store.bootstrapVoterSet()) === JSON.stringify(founders)
         ? Right(true)
-        : failure('found', this.c.store.diskId, 'already of a fleet', 'refused', 'not-blank');
-    const { diskId: disk, isCorrupt: spoilt } = this.c.store;
-    if (spoilt) return failure('found', disk, 'this disk was of a fleet', 'refused', 'not-blank');
-    if (!this.c.mayBootstrap)
-      return failure('found', disk, 'this start may not found', 'refused', 'not-founder');
-    function mine(x: Voter): boolean {
-      return x.disk === disk;
+        : failure('found', diskId, 'already of a fleet', 'refused', 'not-blank');
+    if (store.isCorrupt)
+      return failure('found', diskId, 'this disk was of a fleet', 'refused', 'not-blank');
+    if (!mayBootstrap)
+      return failure('found', diskId, 'this start may not found', 'refused', 'not-founder');
+    function isOwn(voter: Voter): boolean {
+      return voter.disk === diskId;
     }
-    if (!v.now.some(mine))
-      return failure('found', disk, 'not of these founders', 'refused', 'not-founder');
-    const o = await this.c.store.recordBootstrap(v);
-    this.c.wake();
-    return o;
+    if (!founders.now.some(isOwn))
+      return failure('found', diskId, 'not of these founders', 'refused', 'not-founder');
+    return Right(true);
   }
-}
 
-interface PeerHandlersDependencies {
-  ownerId: string;
-  store: ControlStore;
-  mayBootstrap: boolean;
-  voters: () => VoterSet | undefined;
-  changeAsOwner: (op: Operation) => Promise<Result<unknown>>;
-  isInProgress: (identity: string) => boolean;
-  committedValues: () => VersionedValue[];
-  onCoreHint: (ats: string[]) => void;
-  isUp: (x: Voter) => boolean;
-  wake: () => void;
+  /** What was learned here of those keys that have a value. */
+  private learnedValuesOf(keys: readonly string[]): VersionedValue[] {
+    const values: VersionedValue[] = [];
+    for (const key of keys) {
+      const learned = this.dependencies.store.registers.get(key)?.learned;
+      if (learned) values.push(learned);
+    }
+    return values;
+  }
 }
