--- a/test/control/leave-repair.test.ts
+++ b/test/control/graceful-leave-during-repair.test.ts
@@ -8,7 +8,7 @@
   until,
 } from '../../tools/sim/simcore';
 import { SimFleet } from '../../tools/sim/simfleet';
-import { all, applied, CORE, founded } from './rosterrig';
+import { all, applied, CORE, founded } from './voter-set-rig';
 
 const FIVE = [...CORE, 'core-4', 'core-5'];
 
--- a/test/control/leave.test.ts
+++ b/test/control/graceful-leave.test.ts
@@ -11,7 +11,7 @@
   votersOf,
 } from '../../tools/sim/simcore';
 import { SimFleet } from '../../tools/sim/simfleet';
-import { all, applied, CORE, founded, started } from './rosterrig';
+import { all, applied, CORE, founded, started } from './voter-set-rig';
 
 /** A rolling restart waits for a leaver no longer than this. */
 const QUICK_MS = 700;
--- a/test/control/recommitted.test.ts
+++ b/test/control/recommitted.test.ts
@@ -13,7 +13,7 @@
 import { VersionedValue } from '../../src/shared/state/versions';
 import { back, lose, makeOperator, running, until } from '../../tools/sim/simcore';
 import { SimFleet } from '../../tools/sim/simfleet';
-import { all, applied, CORE, founded } from './rosterrig';
+import { all, applied, CORE, founded } from './voter-set-rig';
 
 const VALUE = { routes: Array.from({ length: 200 }, nameOf) };
 
--- a/test/control/repair-retries.test.ts
+++ b/test/control/repair-retries.test.ts
@@ -5,7 +5,7 @@
 
 import { CONTROL_KEYS } from '../../src/shared/state/control-keys';
 import { back, lose, makeOperator, procOf, running, until } from '../../tools/sim/simcore';
-import { all, applied, CORE, founded } from './rosterrig';
+import { all, applied, CORE, founded } from './voter-set-rig';
 
 const SLOW_TIMES = 400;
 const SLOW_MS = 3000;
--- a/test/control/repair.test.ts
+++ b/test/control/repair.test.ts
@@ -8,7 +8,7 @@
 import { VersionedValue } from '../../src/shared/state/versions';
 import { asked, back, lose, makeOperator, procOf, running, until } from '../../tools/sim/simcore';
 import { SimFleet } from '../../tools/sim/simfleet';
-import { all, applied, CORE, founded } from './rosterrig';
+import { all, applied, CORE, founded } from './voter-set-rig';
 
 const FIVE = [...CORE, 'core-4', 'core-5'];
 /** Keys that go on changing by themselves. */
--- a/test/control/replacement-time.test.ts
+++ b/test/control/voter-replacement-time.test.ts
@@ -5,7 +5,7 @@
 
 import { lose, makeOperator, until, votersOf } from '../../tools/sim/simcore';
 import { makeSimFleet, SimFleet } from '../../tools/sim/simfleet';
-import { all, applied } from './rosterrig';
+import { all, applied } from './voter-set-rig';
 
 const ROUTERS = 10;
 const SUCCESSOR_AFTER_MS = 1000;
--- a/test/control/roster.test.ts
+++ b/test/control/voter-set-changes.test.ts
@@ -10,7 +10,7 @@
   until,
   votersOf,
 } from '../../tools/sim/simcore';
-import { all, applied, CORE, founded, started, wireOf } from './rosterrig';
+import { all, applied, CORE, founded, started, wireOf } from './voter-set-rig';
 
 function v(n: number, disk = `d${n}`): Voter {
   return { disk, at: `10.0.0.${n}:7000` };
--- a/test/control/roster-late.test.ts
+++ b/test/control/voter-set-recovery.test.ts
@@ -7,7 +7,7 @@
   until,
   votersOf,
 } from '../../tools/sim/simcore';
-import { all, applied, CORE, founded, started, wireOf } from './rosterrig';
+import { all, applied, CORE, founded, started, wireOf } from './voter-set-rig';
 
 /** The acknowledgement came of two disks; the third was cut off then, and both others lose theirs, one after the other. */
 async function carried(): Promise<void> {
--- a/test/control/voter-status.test.ts
+++ b/test/control/voter-status.test.ts
@@ -1,7 +1,7 @@
 import { NoLossReason, VotersStatus } from '../../src/control/membership/voter-status';
 import { asked, back, lose, makeOperator, procOf, running, until } from '../../tools/sim/simcore';
 import { SimFleet } from '../../tools/sim/simfleet';
-import { all, applied, CORE, founded } from './rosterrig';
+import { all, applied, CORE, founded } from './voter-set-rig';
 
 async function standing(f: SimFleet): Promise<VotersStatus> {
   return (await asked(f, 'GET', '/v1/fleet')).body.standing as VotersStatus;
