--- a/src/control/membership/bootstrap-checks.ts
+++ b/src/control/membership/bootstrap-checks.ts
@@ -11,7 +11,7 @@
 const STEP = 'found';
 
 /** The prefix of the disk id under which a founder counts that was absent at the bootstrap. */
-export const ABSENT_DISK_PREFIX = 'absent ';
+const ABSENT_DISK_PREFIX = 'absent ';
 
 /** The reply of a founder, or why there is none. */
 export type FounderReply = readonly [OperationError, undefined] | readonly [undefined, unknown];
--- a/src/control/membership/bootstrap.ts
+++ b/src/control/membership/bootstrap.ts
@@ -19,8 +19,6 @@
 } from './bootstrap-checks';
 import { IdentifyReply } from './identify-reply';
 
-export { ABSENT_DISK_PREFIX } from './bootstrap-checks';
-
 /** What the bootstrap needs of its controller. */
 export interface BootstrapDependencies {
   settings: Settings;
