--- a/test/control/cluster-bootstrap.test.ts
+++ b/test/control/cluster-bootstrap.test.ts
@@ -7,141 +7,155 @@
 }
 
 /** Runs virtual time on until a condition holds; gives the time, or undefined past the bound. */
-async function until(f: SimFleet, most: number, test: () => boolean): Promise<number | undefined> {
-  while (f.w.now() < most) {
-    if (test()) return f.w.now();
-    await f.w.run(f.w.now() + 50);
+async function until(
+  fleet: SimFleet,
+  most: number,
+  test: () => boolean,
+): Promise<number | undefined> {
+  while (fleet.w.now() < most) {
+    if (test()) return fleet.w.now();
+    await fleet.w.run(fleet.w.now() + 50);
   }
   return undefined;
 }
 
-async function asked(f: SimFleet, method: string, path: string, body: unknown): Promise<Reply> {
-  let r: Reply | undefined;
-  function told(x: unknown): void {
-    r = x as Reply;
+async function requestCore(
+  fleet: SimFleet,
+  method: string,
+  path: string,
+  body: unknown,
+): Promise<Reply> {
+  let reply: Reply | undefined;
+  function told(value: unknown): void {
+    reply = value as Reply;
   }
-  void askCore(f, method, path, body).then(told);
+  void askCore(fleet, method, path, body).then(told);
   function back(): boolean {
-    return r !== undefined;
+    return reply !== undefined;
   }
-  await until(f, f.w.now() + 30000, back);
-  return r!;
+  await until(fleet, fleet.w.now() + 30000, back);
+  return reply!;
 }
 
 function without(core: string[], name: string): SimFleet {
-  const f = makeSimFleet(7, 'saffron-bay', 2, 2, false);
-  for (const n of core) f.lost.add(n);
-  f.startAll();
-  f.lost.delete(name);
-  return f;
+  const fleet = makeSimFleet(7, 'saffron-bay', 2, 2, false);
+  for (const coreName of core) fleet.lost.add(coreName);
+  fleet.startAll();
+  fleet.lost.delete(name);
+  return fleet;
 }
 
-function founded(f: SimFleet): () => boolean {
+function founded(fleet: SimFleet): () => boolean {
   function test(): boolean {
-    return f.controllers.size > 0 && [...f.controllers.values()].every(inMajority);
+    return fleet.controllers.size > 0 && [...fleet.controllers.values()].every(inMajority);
   }
   return test;
 }
 
-function inMajority(c: { hasQuorum: () => boolean }): boolean {
-  return c.hasQuorum();
+function inMajority(controller: { hasQuorum: () => boolean }): boolean {
+  return controller.hasQuorum();
 }
 
 async function lateFounder(): Promise<void> {
-  const f = without(['core-3'], 'core-3');
-  expect(await until(f, 9000, founded(f))).toBeUndefined();
-  f.starts.get('core-3')!();
-  const at = await until(f, 20000, founded(f));
-  expect(at! - 9000).toBeLessThan(1500);
+  const fleet = without(['core-3'], 'core-3');
+  expect(await until(fleet, 9000, founded(fleet))).toBeUndefined();
+  fleet.starts.get('core-3')!();
+  const foundedAt = await until(fleet, 20000, founded(fleet));
+  expect(foundedAt! - 9000).toBeLessThan(1500);
   expect(
     (
-      await asked(f, 'PUT', '/v1/intents', {
+      await requestCore(fleet, 'PUT', '/v1/intents', {
         basedOn: 0,
-        intents: simIntents(f.d, 'probe-3', 0, []),
+        intents: simIntents(fleet.d, 'probe-3', 0, []),
       })
     ).status,
   ).toBe(200);
 }
 
 async function absentFounder(): Promise<void> {
-  const f = without(['core-3'], 'core-3');
-  const at = f.d.core.map(wireOf);
-  await f.w.run(1500);
+  const fleet = without(['core-3'], 'core-3');
+  const addresses = fleet.d.core.map(wireOf);
+  await fleet.w.run(1500);
   const codes: unknown[] = [];
-  for (const names of [[at[1], at[2]], [at[1]], [at[2]], [at[2]]]) {
-    const r = await asked(f, 'POST', '/v1/found', { without: names });
-    codes.push((r.body.error as { code: string } | undefined)?.code ?? r.status);
+  for (const names of [
+    [addresses[1], addresses[2]],
+    [addresses[1]],
+    [addresses[2]],
+    [addresses[2]],
+  ]) {
+    const reply = await requestCore(fleet, 'POST', '/v1/found', { without: names });
+    codes.push((reply.body.error as { code: string } | undefined)?.code ?? reply.status);
   }
   expect(codes).toEqual(['no-quorum', 'conflict', 200, 200]);
-  await until(f, 6000, founded(f));
+  await until(fleet, 6000, founded(fleet));
   expect(
     (
-      await asked(f, 'PUT', '/v1/intents', {
+      await requestCore(fleet, 'PUT', '/v1/intents', {
         basedOn: 0,
-        intents: simIntents(f.d, 'probe-3', 0, []),
+        intents: simIntents(fleet.d, 'probe-3', 0, []),
       })
     ).status,
   ).toBe(200);
-  f.starts.get('core-3')!();
+  fleet.starts.get('core-3')!();
   function joined(): boolean {
-    const v = f.controllers.get('core-3')?.voters();
-    return v !== undefined && !v.next && allVoters(v).some(mine);
+    const voters = fleet.controllers.get('core-3')?.voters();
+    return voters !== undefined && !voters.next && allVoters(voters).some(mine);
   }
-  function mine(x: { disk: string }): boolean {
-    return x.disk === f.controllers.get('core-3')!.store.diskId;
+  function mine(voter: { disk: string }): boolean {
+    return voter.disk === fleet.controllers.get('core-3')!.store.diskId;
   }
-  expect(await until(f, 20000, joined)).toBeDefined();
-  f.w.kill(f.w.procAt(at[1].split(':')[0])!, true);
-  await f.w.run(f.w.now() + 3000);
+  expect(await until(fleet, 20000, joined)).toBeDefined();
+  fleet.w.kill(fleet.w.procAt(addresses[1].split(':')[0])!, true);
+  await fleet.w.run(fleet.w.now() + 3000);
   expect(
     (
-      await asked(f, 'PUT', '/v1/intents', {
+      await requestCore(fleet, 'PUT', '/v1/intents', {
         basedOn: 1,
-        intents: simIntents(f.d, 'probe-5', 0, []),
+        intents: simIntents(fleet.d, 'probe-5', 0, []),
       })
     ).status,
   ).toBe(200);
 }
 
-async function neverOverKept(): Promise<void> {
-  const f = without([], '');
-  await until(f, 9000, founded(f));
+async function neverOverStoredState(): Promise<void> {
+  const fleet = without([], '');
+  await until(fleet, 9000, founded(fleet));
   expect(
     (
-      await asked(f, 'PUT', '/v1/intents', {
+      await requestCore(fleet, 'PUT', '/v1/intents', {
         basedOn: 0,
-        intents: simIntents(f.d, 'probe-3', 0, []),
+        intents: simIntents(fleet.d, 'probe-3', 0, []),
       })
     ).status,
   ).toBe(200);
-  for (const n of f.core) f.w.kill(f.w.procs().find(named(n))!, true);
-  for (const n of f.core.slice(0, 2)) {
-    const p = f.w.procs().find(named(n))!;
-    p.files.clear();
-    f.w.revive(p);
-    f.controllers.clear();
+  for (const name of fleet.core) fleet.w.kill(fleet.w.procs().find(named(name))!, true);
+  for (const name of fleet.core.slice(0, 2)) {
+    const proc = fleet.w.procs().find(named(name))!;
+    proc.files.clear();
+    fleet.w.revive(proc);
+    fleet.controllers.clear();
   }
-  for (const n of f.core.slice(0, 2)) f.starts.get(n)!();
-  await f.w.run(f.w.now() + 4000);
-  f.w.revive(f.w.procs().find(named(f.core[2]))!);
-  f.starts.get(f.core[2])!();
-  await f.w.run(f.w.now() + 8000);
-  const r = await asked(f, 'POST', '/v1/found', { without: [f.d.core[2].wire] });
-  expect(r.status).not.toBe(200);
+  for (const name of fleet.core.slice(0, 2)) fleet.starts.get(name)!();
+  await fleet.w.run(fleet.w.now() + 4000);
+  fleet.w.revive(fleet.w.procs().find(named(fleet.core[2]))!);
+  fleet.starts.get(fleet.core[2])!();
+  await fleet.w.run(fleet.w.now() + 8000);
+  const reply = await requestCore(fleet, 'POST', '/v1/found', { without: [fleet.d.core[2].wire] });
+  expect(reply.status).not.toBe(200);
   expect(
-    f.controllers.get(f.core[2])!.committedValue<{ doc: unknown }>('intents')?.place.number,
+    fleet.controllers.get(fleet.core[2])!.committedValue<{ doc: unknown }>('intents')?.place.number,
   ).toBe(1);
 }
 
-function named(n: string): (p: { name: string }) => boolean {
-  function test(p: { name: string }): boolean {
-    return p.name === n;
+function named(name: string): (proc: { name: string }) => boolean {
+  function test(proc: { name: string }): boolean {
+    return proc.name === name;
   }
   return test;
 }
 
-function wireOf(c: { wire: string }): string {
-  return c.wire;
+function wireOf(node: { wire: string }): string {
+  return node.wire;
 }
 
 test('a founder that is late holds the founding up, and no longer than it is late', lateFounder);
@@ -149,4 +163,7 @@
   'operators found without a founder that is not there; it votes in its own place when it comes',
   absentFounder,
 );
-test('two emptied core machines never found anew while the third has what was kept', neverOverKept);
+test(
+  'two emptied core machines never found anew while the third has what was kept',
+  neverOverStoredState,
+);
--- a/test/control/graceful-leave-during-repair.test.ts
+++ b/test/control/graceful-leave-during-repair.test.ts
@@ -22,67 +22,67 @@
 /** For how long a voter is away. */
 const AWAY_MS = 1500;
 
-function take(f: SimFleet, name: string, how: 'killed' | 'frozen' | 'power'): () => void {
-  if (how === 'frozen') f.w.freeze(procOf(f, name));
-  else lose(f, name, false, how === 'power');
+function take(fleet: SimFleet, name: string, how: 'killed' | 'frozen' | 'power'): () => void {
+  if (how === 'frozen') fleet.w.freeze(procOf(fleet, name));
+  else lose(fleet, name, false, how === 'power');
   function giveBack(): void {
-    if (how === 'frozen') f.w.wake(procOf(f, name));
-    else back(f, name);
+    if (how === 'frozen') fleet.w.wake(procOf(fleet, name));
+    else back(fleet, name);
   }
   return giveBack;
 }
 
 /** A disk is lost and comes back empty, another voter is away meanwhile, and a third is told to end; all are back, and nothing acknowledged is lost. */
 async function play(
-  f: SimFleet,
-  o: ReturnType<typeof makeOperator>,
+  fleet: SimFleet,
+  operator: ReturnType<typeof makeOperator>,
   names: readonly string[],
   round: Round,
   how: 'killed' | 'frozen' | 'power',
   step: number,
 ): Promise<void> {
-  lose(f, round.emptied, true);
-  await f.w.run(f.w.now() + 1500);
-  back(f, round.emptied);
-  await f.w.run(f.w.now() + step * 10);
-  const giveBack = take(f, round.away, how);
-  f.w.after(AWAY_MS, giveBack);
-  const tookMs = await terminated(f, round.leaver);
-  const { graceMs } = f.controllers.get(round.leaver)!.settings;
+  lose(fleet, round.emptied, true);
+  await fleet.w.run(fleet.w.now() + 1500);
+  back(fleet, round.emptied);
+  await fleet.w.run(fleet.w.now() + step * 10);
+  const giveBack = take(fleet, round.away, how);
+  fleet.w.after(AWAY_MS, giveBack);
+  const tookMs = await terminated(fleet, round.leaver);
+  const { graceMs } = fleet.controllers.get(round.leaver)!.settings;
   expect({ ...round, how, step, killed: tookMs >= graceMs }).toEqual({
     ...round,
     how,
     step,
     killed: false,
   });
-  f.controllers.delete(round.leaver);
-  await applied(f, o);
-  expect(o.newest()).toBe(o.acked());
-  await f.w.run(f.w.now() + 300);
-  back(f, round.leaver);
-  const whole = await until(f, f.w.now() + 6000, all(f, names), 10);
-  expect({ ...round, how, step, whole: whole !== undefined }).toEqual({
+  fleet.controllers.delete(round.leaver);
+  await applied(fleet, operator);
+  expect(operator.newest()).toBe(operator.acked());
+  await fleet.w.run(fleet.w.now() + 300);
+  back(fleet, round.leaver);
+  const allBackAt = await until(fleet, fleet.w.now() + 6000, all(fleet, names), 10);
+  expect({ ...round, how, step, allBack: allBackAt !== undefined }).toEqual({
     ...round,
     how,
     step,
-    whole: true,
+    allBack: true,
   });
 }
 
 async function threeVoters(): Promise<void> {
   for (const how of ['killed', 'frozen', 'power'] as const) {
     for (let step = 0; step < 4; step++) {
-      const f = await founded(300 + step);
-      const o = makeOperator(f);
-      await applied(f, o);
+      const fleet = await founded(300 + step);
+      const operator = makeOperator(fleet);
+      await applied(fleet, operator);
       const rounds: Round[] = [
         { emptied: 'core-3', away: 'core-1', leaver: 'core-2' },
         { emptied: 'core-2', away: 'core-3', leaver: 'core-1' },
       ];
-      for (const round of rounds) await play(f, o, CORE, round, how, step);
-      lose(f, 'core-3', true);
-      await applied(f, o);
-      expect(o.newest()).toBe(o.acked());
+      for (const round of rounds) await play(fleet, operator, CORE, round, how, step);
+      lose(fleet, 'core-3', true);
+      await applied(fleet, operator);
+      expect(operator.newest()).toBe(operator.acked());
     }
   }
 }
@@ -90,17 +90,17 @@
 async function fiveVoters(): Promise<void> {
   for (const how of ['killed', 'frozen', 'power'] as const) {
     for (let step = 0; step < 2; step++) {
-      const f = await founded(320 + step, 5, 2);
-      const o = makeOperator(f);
-      await applied(f, o);
+      const fleet = await founded(320 + step, 5, 2);
+      const operator = makeOperator(fleet);
+      await applied(fleet, operator);
       const rounds: Round[] = [
         { emptied: 'core-5', away: 'core-1', leaver: 'core-2' },
         { emptied: 'core-2', away: 'core-3', leaver: 'core-1' },
       ];
-      for (const round of rounds) await play(f, o, FIVE, round, how, step);
-      for (const n of ['core-3', 'core-4']) lose(f, n, true);
-      await applied(f, o);
-      expect(o.newest()).toBe(o.acked());
+      for (const round of rounds) await play(fleet, operator, FIVE, round, how, step);
+      for (const name of ['core-3', 'core-4']) lose(fleet, name, true);
+      await applied(fleet, operator);
+      expect(operator.newest()).toBe(operator.acked());
     }
   }
 }
@@ -108,21 +108,21 @@
 /** The leaver is killed in the midst of its leave, and another voter loses its disk once the leaver is back. */
 async function leaverKilled(): Promise<void> {
   for (let step = 0; step < 8; step++) {
-    const f = await founded(340 + step);
-    const o = makeOperator(f);
-    await applied(f, o);
-    const giveBack = take(f, 'core-3', 'power');
-    f.w.after(AWAY_MS, giveBack);
-    terminate(f, 'core-2');
-    await f.w.run(f.w.now() + step * 200);
-    lose(f, 'core-2', false);
-    await f.w.run(f.w.now() + 500);
-    back(f, 'core-2');
-    await f.w.run(f.w.now() + AWAY_MS);
-    expect(await until(f, f.w.now() + 4000, all(f, CORE), 10)).toBeDefined();
-    lose(f, 'core-1', true);
-    await applied(f, o);
-    expect({ step, newest: o.newest() }).toEqual({ step, newest: o.acked() });
+    const fleet = await founded(340 + step);
+    const operator = makeOperator(fleet);
+    await applied(fleet, operator);
+    const giveBack = take(fleet, 'core-3', 'power');
+    fleet.w.after(AWAY_MS, giveBack);
+    terminate(fleet, 'core-2');
+    await fleet.w.run(fleet.w.now() + step * 200);
+    lose(fleet, 'core-2', false);
+    await fleet.w.run(fleet.w.now() + 500);
+    back(fleet, 'core-2');
+    await fleet.w.run(fleet.w.now() + AWAY_MS);
+    expect(await until(fleet, fleet.w.now() + 4000, all(fleet, CORE), 10)).toBeDefined();
+    lose(fleet, 'core-1', true);
+    await applied(fleet, operator);
+    expect({ step, newest: operator.newest() }).toEqual({ step, newest: operator.acked() });
   }
 }
 
--- a/test/control/lease-after-power-loss.test.ts
+++ b/test/control/lease-after-power-loss.test.ts
@@ -11,60 +11,66 @@
 
 const BOUNDS = timeLimitsOf({ ...defaultSettings(), strict: false });
 
-function followAt(f: CoreRig, p: Proc): Follower {
-  const ports = f.net.ports(p);
-  const at = `${p.ip}:7000`;
-  const hello = { version: PROTOCOL_VERSION, name: p.name, role: 'router', at, zone: p.name };
+function followAt(rig: CoreRig, router: Proc): Follower {
+  const ports = rig.net.ports(router);
+  const address = `${router.ip}:7000`;
+  const hello = {
+    version: PROTOCOL_VERSION,
+    name: router.name,
+    role: 'router',
+    at: address,
+    zone: router.name,
+  };
   const edges: object[] = [new HelloHandlers(hello)];
-  void ports.network.listen(at, taken);
-  function taken(c: Parameters<typeof openChannel>[1]): void {
-    openChannel(ports, c, edges);
+  void ports.network.listen(address, taken);
+  function taken(connection: Parameters<typeof openChannel>[1]): void {
+    openChannel(ports, connection, edges);
   }
   return followCore(
     ports,
     BOUNDS,
     hello,
     {
-      name: p.name,
+      name: router.name,
       role: 'router',
-      at,
-      http: at,
-      zone: p.name,
+      at: address,
+      http: address,
+      zone: router.name,
       life: ports.random.uuid().slice(0, 8),
     },
-    f.core.map(wireOf),
+    rig.core.map(wireOf),
     edges,
   );
 }
 
-function wireOf(p: Proc): string {
-  return `${p.ip}:7000`;
+function wireOf(router: Proc): string {
+  return `${router.ip}:7000`;
 }
 
 /** Ms from when a majority and the follower are up until the follower has its leases. */
 async function returns(seed: number): Promise<number> {
-  const f = makeCore(seed);
+  const rig = makeCore(seed);
   expect(
-    (await f.settled(f.insist(0, PATHS.replace, 0, documentOf(1, ['/a/']), 9000)))?.status,
+    (await rig.settled(rig.insist(0, PATHS.replace, 0, documentOf(1, ['/a/']), 9000)))?.status,
   ).toBe(200);
-  const p = f.w.proc('router-1', '10.2.0.1');
-  followAt(f, p);
-  await f.pass(2000);
-  for (const x of [...f.core, p]) f.w.kill(x, true);
-  await f.pass(900);
+  const router = rig.w.proc('router-1', '10.2.0.1');
+  followAt(rig, router);
+  await rig.pass(2000);
+  for (const proc of [...rig.core, router]) rig.w.kill(proc, true);
+  await rig.pass(900);
   const late = [0, 230, 340];
-  for (const x of f.core) f.w.revive(x);
-  f.w.revive(p);
-  f.start(f.core[seed % 3]);
-  const follower = followAt(f, p);
-  await f.pass(late[1]);
-  f.start(f.core[(seed + 1) % 3]);
-  const began = f.w.now();
-  while (!follower.hasLease() && f.w.now() < began + 5000) await f.pass(5);
-  f.start(f.core[(seed + 2) % 3]);
-  await f.pass(late[2] - late[1]);
+  for (const proc of rig.core) rig.w.revive(proc);
+  rig.w.revive(router);
+  rig.start(rig.core[seed % 3]);
+  const follower = followAt(rig, router);
+  await rig.pass(late[1]);
+  rig.start(rig.core[(seed + 1) % 3]);
+  const began = rig.w.now();
+  while (!follower.hasLease() && rig.w.now() < began + 5000) await rig.pass(5);
+  rig.start(rig.core[(seed + 2) % 3]);
+  await rig.pass(late[2] - late[1]);
   expect(follower.value<{ revision: number }>('deployment')?.value.revision).toBe(1);
-  return f.w.now() - began - (late[2] - late[1]);
+  return rig.w.now() - began - (late[2] - late[1]);
 }
 
 async function soon(): Promise<void> {
--- a/test/control/partitioned-controller.test.ts
+++ b/test/control/partitioned-controller.test.ts
@@ -16,9 +16,9 @@
   { ackMs: 5000, changeBoundMs: 2500, contactMs: 4000 },
 ];
 
-type Trouble = (f: CoreRig, cutOff: Proc, others: Proc[]) => void;
+type Fault = (rig: CoreRig, cutOff: Proc, others: Proc[]) => void;
 
-const CUTS: Record<string, Trouble> = {
+const CUTS: Record<string, Fault> = {
   'both ways': bothWays,
   'one way out': oneWayOut,
   'one way in': oneWayIn,
@@ -35,36 +35,36 @@
   ['two together', [5]],
 ];
 
-function oneWayOut(f: CoreRig, p: Proc, others: Proc[]): void {
-  for (const o of others) f.w.cut(p.ip, o.ip, true);
+function oneWayOut(rig: CoreRig, proc: Proc, others: Proc[]): void {
+  for (const other of others) rig.w.cut(proc.ip, other.ip, true);
 }
 
-function oneWayIn(f: CoreRig, p: Proc, others: Proc[]): void {
-  for (const o of others) f.w.cut(o.ip, p.ip, true);
+function oneWayIn(rig: CoreRig, proc: Proc, others: Proc[]): void {
+  for (const other of others) rig.w.cut(other.ip, proc.ip, true);
 }
 
-function bothWays(f: CoreRig, p: Proc, others: Proc[]): void {
-  oneWayOut(f, p, others);
-  oneWayIn(f, p, others);
+function bothWays(rig: CoreRig, proc: Proc, others: Proc[]): void {
+  oneWayOut(rig, proc, others);
+  oneWayIn(rig, proc, others);
 }
 
-function withResets(f: CoreRig, p: Proc, others: Proc[]): void {
-  bothWays(f, p, others);
-  for (const o of others) f.net.reset(p, o);
+function withResets(rig: CoreRig, proc: Proc, others: Proc[]): void {
+  bothWays(rig, proc, others);
+  for (const other of others) rig.net.reset(proc, other);
 }
 
 /** One more is cut off with it: the two see each other, and no majority of five. */
-function twoTogether(f: CoreRig, p: Proc, others: Proc[]): void {
+function twoTogether(rig: CoreRig, proc: Proc, others: Proc[]): void {
   const partner = others[others.length - 1];
   const rest = others.slice(0, -1);
-  bothWays(f, p, rest);
-  bothWays(f, partner, rest);
+  bothWays(rig, proc, rest);
+  bothWays(rig, partner, rest);
 }
 
-function slowLinks(f: CoreRig, p: Proc, others: Proc[]): void {
-  for (const o of others) {
-    f.w.slow(p.ip, o.ip, 400);
-    f.w.slow(o.ip, p.ip, 400);
+function slowLinks(rig: CoreRig, proc: Proc, others: Proc[]): void {
+  for (const other of others) {
+    rig.w.slow(proc.ip, other.ip, 400);
+    rig.w.slow(other.ip, proc.ip, 400);
   }
 }
 
@@ -111,23 +111,23 @@
 }
 
 /** Sends all probes at once to one controller. */
-async function probe(f: CoreRig, p: Proc, probes: Probe[]): Promise<Answer[]> {
+async function probe(rig: CoreRig, proc: Proc, probes: Probe[]): Promise<Answer[]> {
   const out: Answer[] = [];
-  const began = f.w.now();
-  async function one(x: Probe): Promise<void> {
-    const heard = await f.call(p, x.method, x.path, x.base, x.body);
-    out.push({ name: x.name, took: f.w.now() - began, heard });
+  const began = rig.w.now();
+  async function one(request: Probe): Promise<void> {
+    const heard = await rig.call(proc, request.method, request.path, request.base, request.body);
+    out.push({ name: request.name, took: rig.w.now() - began, heard });
   }
-  await f.settled(Promise.all(probes.map(one)));
+  await rig.settled(Promise.all(probes.map(one)));
   return out;
 }
 
-function isWrong(a: Answer): boolean {
-  return a.heard?.status !== 503 || a.took >= SECOND;
+function isWrong(answer: Answer): boolean {
+  return answer.heard?.status !== 503 || answer.took >= SECOND;
 }
 
-function inShort(a: Answer): string {
-  return `${a.name}: ${a.heard?.status ?? 'silence'} after ${Math.round(a.took)}`;
+function inShort(answer: Answer): string {
+  return `${answer.name}: ${answer.heard?.status ?? 'silence'} after ${Math.round(answer.took)}`;
 }
 
 /** What the controller owns that is cut off: one key at least, or not the deployment. */
@@ -135,7 +135,7 @@
 const ROLES: Role[] = [CONTROL_KEYS.deployment, CONTROL_KEYS.engines, 'no owner'];
 
 interface Scene {
-  f: CoreRig;
+  rig: CoreRig;
   cutOff: Proc;
   others: Proc[];
   polls: Map<string, number>;
@@ -148,7 +148,7 @@
   told: Partial<Settings>,
   role: Role,
 ): Promise<Scene> {
-  const f = makeCore(seed, {
+  const rig = makeCore(seed, {
     size,
     told: { ...told, platform: `${PLATFORM}:9000` },
     duties: true,
@@ -159,48 +159,48 @@
     call.writeHead(200, { 'content-type': 'application/json' });
     call.end(JSON.stringify({ instances: [], nextPageToken: null }));
   }
-  await f.net.ports(f.w.proc('platform', PLATFORM)).network.serveHttp(`${PLATFORM}:9000`, list);
-  const first = await f.settled(f.insist(0, PATHS.replace, 0, documentOf(10, ['/a/']), 12000));
+  await rig.net.ports(rig.w.proc('platform', PLATFORM)).network.serveHttp(`${PLATFORM}:9000`, list);
+  const first = await rig.settled(rig.insist(0, PATHS.replace, 0, documentOf(10, ['/a/']), 12000));
   expect(first?.status).toBe(200);
-  await f.pass(3000);
-  function hasRole(p: Proc): boolean {
-    const { owns } = f.controllers.get(p.name)!.keyOwner;
+  await rig.pass(3000);
+  function hasRole(proc: Proc): boolean {
+    const { owns } = rig.controllers.get(proc.name)!.keyOwner;
     return role === 'no owner' ? !owns(CONTROL_KEYS.deployment) : owns(role);
   }
-  const cutOff = f.core.filter(hasRole)[0];
-  function isOther(p: Proc): boolean {
-    return p !== cutOff;
+  const cutOff = rig.core.filter(hasRole)[0];
+  function isOther(proc: Proc): boolean {
+    return proc !== cutOff;
   }
-  return { f, cutOff, others: f.core.filter(isOther), polls };
+  return { rig: rig, cutOff, others: rig.core.filter(isOther), polls };
 }
 
 /** Takes a change at the other side; nobody there is kept from it by the one that is cut off. */
-async function changeElsewhere(s: Scene, base: number, revision: number): Promise<void> {
-  const at = s.f.core.indexOf(s.others[0]);
+async function changeElsewhere(scene: Scene, base: number, revision: number): Promise<void> {
+  const at = scene.rig.core.indexOf(scene.others[0]);
   for (let i = 0; i < 20; i++) {
-    const o = s.f.call(
-      s.f.core[(at + (i % 2 ? s.others.length - 1 : 0)) % s.f.core.length],
+    const sent = scene.rig.call(
+      scene.rig.core[(at + (i % 2 ? scene.others.length - 1 : 0)) % scene.rig.core.length],
       'POST',
       PATHS.replace,
       base,
       documentOf(revision, ['/a/', `/v${revision}/`]),
     );
-    const r = await s.f.settled(o);
-    if (r?.status === 200) return;
-    await s.f.pass(100);
+    const reply = await scene.rig.settled(sent);
+    if (reply?.status === 200) return;
+    await scene.rig.pass(100);
   }
   throw new Error('no change was taken at the other side');
 }
 
-function controllerOf(s: Scene): Controller {
-  return s.f.controllers.get(s.cutOff.name)!;
+function controllerOf(scene: Scene): Controller {
+  return scene.rig.controllers.get(scene.cutOff.name)!;
 }
 
-async function describes(s: Scene, p: Proc): Promise<number | string> {
-  const began = s.f.w.now();
-  const r = await s.f.settled(s.f.call(p, 'GET', PATHS.describe));
-  if (s.f.w.now() - began >= SECOND) return 'late';
-  return r?.status === 200 ? (r.body.revision as number) : `status ${r?.status}`;
+async function describes(scene: Scene, proc: Proc): Promise<number | string> {
+  const began = scene.rig.w.now();
+  const reply = await scene.rig.settled(scene.rig.call(proc, 'GET', PATHS.describe));
+  if (scene.rig.w.now() - began >= SECOND) return 'late';
+  return reply?.status === 200 ? (reply.body.revision as number) : `status ${reply?.status}`;
 }
 
 async function cutForTwenty(
@@ -210,43 +210,43 @@
   role: Role,
 ): Promise<string[]> {
   const faults: string[] = [];
-  const s = await begin(size * 10 + ROLES.indexOf(role), size, told, role);
-  const { f, cutOff } = s;
+  const scene = await begin(size * 10 + ROLES.indexOf(role), size, told, role);
+  const { rig: rig, cutOff } = scene;
   function note(what: string): void {
     faults.push(`${name} size ${size} cut off ${role} ack ${told.ackMs}: ${what}`);
   }
-  CUTS[name](f, cutOff, s.others);
-  for (const a of await probe(f, cutOff, probesOn(10, 11)))
-    if (isWrong(a)) note(`at once ${inShort(a)}`);
-  await changeElsewhere(s, 10, 20);
-  for (const a of await probe(f, cutOff, probesOn(10, 12)))
-    if (isWrong(a)) note(`soon ${inShort(a)}`);
-  await f.pass(NOTICED);
-  const polled = s.polls.get(cutOff.ip) ?? 0;
+  CUTS[name](rig, cutOff, scene.others);
+  for (const answer of await probe(rig, cutOff, probesOn(10, 11)))
+    if (isWrong(answer)) note(`at once ${inShort(answer)}`);
+  await changeElsewhere(scene, 10, 20);
+  for (const answer of await probe(rig, cutOff, probesOn(10, 12)))
+    if (isWrong(answer)) note(`soon ${inShort(answer)}`);
+  await rig.pass(NOTICED);
+  const polled = scene.polls.get(cutOff.ip) ?? 0;
   for (const wait of [1000, 5000, 5000]) {
-    await f.pass(wait);
-    const owned = controllerOf(s).keyOwner.ownedKeys();
+    await rig.pass(wait);
+    const owned = controllerOf(scene).keyOwner.ownedKeys();
     if (owned.length > 0) note(`still owns ${owned.join()}`);
-    for (const a of await probe(f, cutOff, probesOn(10, 13)))
-      if (isWrong(a)) note(`later ${inShort(a)}`);
+    for (const answer of await probe(rig, cutOff, probesOn(10, 13)))
+      if (isWrong(answer)) note(`later ${inShort(answer)}`);
   }
-  const more = (s.polls.get(cutOff.ip) ?? 0) - polled;
+  const more = (scene.polls.get(cutOff.ip) ?? 0) - polled;
   if (more > 0) note(`polled the platform's list ${more} times`);
-  const before = [...s.polls.values()].reduce(sum, 0);
-  await f.pass(2000);
-  if ([...s.polls.values()].reduce(sum, 0) === before) note('nobody watches the platform');
-  f.w.healLinks();
+  const before = [...scene.polls.values()].reduce(sum, 0);
+  await rig.pass(2000);
+  if ([...scene.polls.values()].reduce(sum, 0) === before) note('nobody watches the platform');
+  rig.w.healLinks();
   for (const wait of [0, 5, 20, 50, 100, 300]) {
-    await f.pass(wait);
-    const r = await describes(s, cutOff);
-    if (r !== 20 && r !== 'status 503') note(`healed for some ms, tells ${r}`);
+    await rig.pass(wait);
+    const reply = await describes(scene, cutOff);
+    if (reply !== 20 && reply !== 'status 503') note(`healed for some ms, tells ${reply}`);
   }
-  await f.pass(told.contactMs!);
-  for (const p of f.core) {
-    const r = await describes(s, p);
-    if (r !== 20) note(`in touch again, ${p.name} tells ${r}`);
+  await rig.pass(told.contactMs!);
+  for (const proc of rig.core) {
+    const reply = await describes(scene, proc);
+    if (reply !== 20) note(`in touch again, ${proc.name} tells ${reply}`);
   }
-  const after = await f.settled(f.insist(0, PATHS.replace, 20, documentOf(30, ['/z/']), 8000));
+  const after = await rig.settled(rig.insist(0, PATHS.replace, 20, documentOf(30, ['/z/']), 8000));
   if (after?.status !== 200) note('takes no change after the heal');
   return faults;
 }
@@ -265,25 +265,25 @@
 }
 
 /** Over slow links answers may come, but only ones that are right, and within the second. */
-async function slow(): Promise<void> {
+async function slowLinksDelayNoReply(): Promise<void> {
   const faults: string[] = [];
   for (const size of [3, 5]) {
     for (const told of BOUNDS) {
-      const s = await begin(size, size, told, CONTROL_KEYS.deployment);
-      slowLinks(s.f, s.cutOff, s.others);
-      for (const a of await probe(s.f, s.cutOff, [probesOn(10, 11)[0]]))
-        if (a.took >= SECOND) faults.push(`size ${size}: ${inShort(a)}`);
-      await changeElsewhere(s, 10, 20);
+      const scene = await begin(size, size, told, CONTROL_KEYS.deployment);
+      slowLinks(scene.rig, scene.cutOff, scene.others);
+      for (const answer of await probe(scene.rig, scene.cutOff, [probesOn(10, 11)[0]]))
+        if (answer.took >= SECOND) faults.push(`size ${size}: ${inShort(answer)}`);
+      await changeElsewhere(scene, 10, 20);
       for (let i = 0; i < 5; i++) {
-        await s.f.pass(700);
-        for (const a of await probe(s.f, s.cutOff, probesOn(10, 12))) {
+        await scene.rig.pass(700);
+        for (const answer of await probe(scene.rig, scene.cutOff, probesOn(10, 12))) {
           const right =
-            a.heard?.status === 503 ||
-            (a.name === 'describe' && a.heard?.body.revision === 20) ||
-            (a.name === 'weights' && a.heard?.status === 200) ||
-            (['whole', 'named', 'behind', 'not above', 'dropped'].includes(a.name) &&
-              a.heard?.status === 412);
-          if (!right || a.took >= SECOND) faults.push(`size ${size}: ${inShort(a)}`);
+            answer.heard?.status === 503 ||
+            (answer.name === 'describe' && answer.heard?.body.revision === 20) ||
+            (answer.name === 'weights' && answer.heard?.status === 200) ||
+            (['whole', 'named', 'behind', 'not above', 'dropped'].includes(answer.name) &&
+              answer.heard?.status === 412);
+          if (!right || answer.took >= SECOND) faults.push(`size ${size}: ${inShort(answer)}`);
         }
       }
     }
@@ -295,4 +295,4 @@
   'a controller that is cut off answers 503 within a second, owns nothing and watches no list',
   allCuts,
 );
-test('over slow links no answer is old, and none comes after a second', slow);
+test('over slow links no answer is old, and none comes after a second', slowLinksDelayNoReply);
--- a/test/control/voter-replacement-time.test.ts
+++ b/test/control/voter-replacement-time.test.ts
@@ -13,41 +13,41 @@
 const SEEDS = [1, 2, 3, 4, 5, 6];
 
 async function fleetOfFive(seed: number): Promise<SimFleet> {
-  const f = makeSimFleet(seed, 'saffron-bay', ROUTERS, 2, false, 5);
-  Object.assign(f.told, { tolerated: 2, foundBy: 'majority', catchUpMs: CATCH_UP_MS });
-  f.startAll();
+  const fleet = makeSimFleet(seed, 'saffron-bay', ROUTERS, 2, false, 5);
+  Object.assign(fleet.told, { tolerated: 2, foundBy: 'majority', catchUpMs: CATCH_UP_MS });
+  fleet.startAll();
   function isUp(): boolean {
-    return votersOf(f) === '1 2 3 4 5';
+    return votersOf(fleet) === '1 2 3 4 5';
   }
-  expect(await until(f, 8000, isUp)).toBeDefined();
-  f.told.bootstrap = false;
-  return f;
+  expect(await until(fleet, 8000, isUp)).toBeDefined();
+  fleet.told.bootstrap = false;
+  return fleet;
 }
 
 /** Ms from the successor's start until it votes in a set that is not joint. */
 async function repairTook(seed: number): Promise<{ f: SimFleet; ms: number }> {
-  const f = await fleetOfFive(seed);
-  const o = makeOperator(f);
-  await applied(f, o);
-  lose(f, 'core-2', true);
-  await f.w.run(f.w.now() + SUCCESSOR_AFTER_MS);
-  const began = f.w.now();
-  f.lost.delete(f.spare.name);
-  f.starts.get(f.spare.name)!();
+  const fleet = await fleetOfFive(seed);
+  const operator = makeOperator(fleet);
+  await applied(fleet, operator);
+  lose(fleet, 'core-2', true);
+  await fleet.w.run(fleet.w.now() + SUCCESSOR_AFTER_MS);
+  const began = fleet.w.now();
+  fleet.lost.delete(fleet.spare.name);
+  fleet.starts.get(fleet.spare.name)!();
   function isJoint(): boolean {
-    for (const c of f.controllers.values()) if (c.voters()?.next) return true;
+    for (const controller of fleet.controllers.values()) if (controller.voters()?.next) return true;
     return false;
   }
-  expect(await until(f, began + 10000, isJoint, 5)).toBeDefined();
-  for (const name of f.edge.slice(0, ROUTERS / 2)) lose(f, name, false);
-  const at = await until(
-    f,
+  expect(await until(fleet, began + 10000, isJoint, 5)).toBeDefined();
+  for (const name of fleet.edge.slice(0, ROUTERS / 2)) lose(fleet, name, false);
+  const reachedAt = await until(
+    fleet,
     began + 10000,
-    all(f, ['core-1', 'core-3', 'core-4', 'core-5', f.spare.name]),
+    all(fleet, ['core-1', 'core-3', 'core-4', 'core-5', fleet.spare.name]),
     5,
   );
-  expect(at).toBeDefined();
-  return { f, ms: at! - began };
+  expect(reachedAt).toBeDefined();
+  return { f: fleet, ms: reachedAt! - began };
 }
 
 async function inTime(): Promise<void> {
--- a/test/control/voter-set-rig.ts
+++ b/test/control/voter-set-rig.ts
@@ -11,63 +11,63 @@
   run: readonly string[],
   tolerated = 1,
 ): SimFleet {
-  const f = makeSimFleet(seed, 'saffron-bay', 2, 2, false, machines);
-  Object.assign(f.told, { tolerated, foundBy: 'majority' });
-  for (const n of f.core) if (!run.includes(n)) f.lost.add(n);
-  f.startAll();
-  return f;
+  const fleet = makeSimFleet(seed, 'saffron-bay', 2, 2, false, machines);
+  Object.assign(fleet.told, { tolerated, foundBy: 'majority' });
+  for (const name of fleet.core) if (!run.includes(name)) fleet.lost.add(name);
+  fleet.startAll();
+  return fleet;
 }
 
 /** A fleet whose core machines all vote. */
 export async function founded(seed: number, machines = 3, tolerated = 1): Promise<SimFleet> {
-  const f = started(
+  const fleet = started(
     seed,
     machines,
     machines === 5 ? [...CORE, 'core-4', 'core-5'] : CORE,
     tolerated,
   );
   function up(): boolean {
-    return votersOf(f) === (tolerated === 2 ? '1 2 3 4 5' : '1 2 3') && isFounded(f);
+    return votersOf(fleet) === (tolerated === 2 ? '1 2 3 4 5' : '1 2 3') && isFounded(fleet);
   }
-  expect(await until(f, 6000, up)).toBeDefined();
-  f.told.bootstrap = false;
-  return f;
+  expect(await until(fleet, 6000, up)).toBeDefined();
+  fleet.told.bootstrap = false;
+  return fleet;
 }
 
-function done(p: Promise<boolean>): { yes: boolean } {
-  const r = { yes: false };
-  function told(x: boolean): void {
-    r.yes = x;
+function observe(promise: Promise<boolean>): { yes: boolean } {
+  const outcome = { yes: false };
+  function note(value: boolean): void {
+    outcome.yes = value;
   }
-  void p.then(told);
-  return r;
+  void promise.then(note);
+  return outcome;
 }
 
 /** Applies a change; gives the ms until it was acknowledged. */
 export async function applied(
-  f: SimFleet,
-  o: ReturnType<typeof makeOperator>,
+  fleet: SimFleet,
+  operator: ReturnType<typeof makeOperator>,
   within = 20000,
 ): Promise<number> {
-  const began = f.w.now();
-  const r = done(o.put());
+  const began = fleet.w.now();
+  const outcome = observe(operator.put());
   function isDone(): boolean {
-    return r.yes;
+    return outcome.yes;
   }
-  const at = await until(f, began + within, isDone, 1);
-  expect(at).toBeDefined();
-  return at! - began;
+  const appliedAt = await until(fleet, began + within, isDone, 1);
+  expect(appliedAt).toBeDefined();
+  return appliedAt! - began;
 }
 
 /** Whether all of these vote with their own disks. */
-export function all(f: SimFleet, names: readonly string[]): () => boolean {
+export function all(fleet: SimFleet, names: readonly string[]): () => boolean {
   function test(): boolean {
-    return counts(f, names);
+    return counts(fleet, names);
   }
   return test;
 }
 
 /** Where a machine listens for our own processes. */
-export function wireOf(x: { wire: string }): string {
-  return x.wire;
+export function wireOf(node: { wire: string }): string {
+  return node.wire;
 }
--- a/test/control/voter-status.test.ts
+++ b/test/control/voter-status.test.ts
@@ -3,98 +3,103 @@
 import { SimFleet } from '../../tools/sim/simfleet';
 import { all, applied, CORE, founded } from './voter-set-rig';
 
-async function standing(f: SimFleet): Promise<VotersStatus> {
-  return (await asked(f, 'GET', '/v1/fleet')).body.standing as VotersStatus;
+async function readStatus(fleet: SimFleet): Promise<VotersStatus> {
+  return (await asked(fleet, 'GET', '/v1/fleet')).body.standing as VotersStatus;
 }
 
-function reasonsOf(s: VotersStatus): NoLossReason[] {
-  function reason(x: { reason: NoLossReason }): NoLossReason {
-    return x.reason;
+function reasonsOf(status: VotersStatus): NoLossReason[] {
+  function reason(entry: { reason: NoLossReason }): NoLossReason {
+    return entry.reason;
   }
-  return s.reasons.map(reason);
+  return status.reasons.map(reason);
 }
 
-function behindOf(s: VotersStatus): (number | undefined)[] {
-  function behind(x: { behind?: number }): number | undefined {
-    return x.behind;
+function behindOf(status: VotersStatus): (number | undefined)[] {
+  function behind(entry: { behind?: number }): number | undefined {
+    return entry.behind;
   }
-  return s.voters.map(behind);
+  return status.voters.map(behind);
 }
 
-async function bearsALoss(): Promise<void> {
-  const f = await founded(400);
-  const o = makeOperator(f);
-  await applied(f, o);
-  await f.w.run(f.w.now() + 1000);
-  const s = await standing(f);
-  expect({ bears: s.bearsLoss, reasons: reasonsOf(s), behind: behindOf(s) }).toEqual({
-    bears: true,
-    reasons: [],
-    behind: [0, 0, 0],
-  });
-  expect(s.joint).toBeUndefined();
-  for (const { epoch } of s.voters) expect(epoch).toBeGreaterThan(0);
+async function toleratesLoss(): Promise<void> {
+  const fleet = await founded(400);
+  const operator = makeOperator(fleet);
+  await applied(fleet, operator);
+  await fleet.w.run(fleet.w.now() + 1000);
+  const status = await readStatus(fleet);
+  expect({ bears: status.bearsLoss, reasons: reasonsOf(status), behind: behindOf(status) }).toEqual(
+    {
+      bears: true,
+      reasons: [],
+      behind: [0, 0, 0],
+    },
+  );
+  expect(status.joint).toBeUndefined();
+  for (const { epoch } of status.voters) expect(epoch).toBeGreaterThan(0);
 }
 
 async function awayVoter(): Promise<void> {
-  const f = await founded(401);
-  lose(f, 'core-3', false);
-  await f.w.run(f.w.now() + 1000);
-  const s = await standing(f);
-  expect({ bears: s.bearsLoss, reasons: reasonsOf(s) }).toEqual({
+  const fleet = await founded(401);
+  lose(fleet, 'core-3', false);
+  await fleet.w.run(fleet.w.now() + 1000);
+  const status = await readStatus(fleet);
+  expect({ bears: status.bearsLoss, reasons: reasonsOf(status) }).toEqual({
     bears: false,
     reasons: ['voter-away'],
   });
-  expect(s.voters[2].behind).toBeUndefined();
+  expect(status.voters[2].behind).toBeUndefined();
 }
 
 /** A voter whose disk stalls has nothing synced of what is learned since; a voter that lags counts how far. */
 async function jointSet(): Promise<void> {
-  const f = await founded(402);
-  const o = makeOperator(f);
-  await applied(f, o);
-  lose(f, 'core-3', true);
-  await f.w.run(f.w.now() + 2500);
-  procOf(f, 'core-3').disk.slow = 60;
-  back(f, 'core-3');
+  const fleet = await founded(402);
+  const operator = makeOperator(fleet);
+  await applied(fleet, operator);
+  lose(fleet, 'core-3', true);
+  await fleet.w.run(fleet.w.now() + 2500);
+  procOf(fleet, 'core-3').disk.slow = 60;
+  back(fleet, 'core-3');
   function begun(): boolean {
-    return running(f).some(isJoint);
+    return running(fleet).some(isJoint);
   }
-  function isJoint(c: { voters: () => { next?: unknown } | undefined }): boolean {
-    return c.voters()?.next !== undefined;
+  function isJoint(controller: { voters: () => { next?: unknown } | undefined }): boolean {
+    return controller.voters()?.next !== undefined;
   }
-  expect(await until(f, f.w.now() + 4000, begun, 1)).toBeDefined();
-  await f.w.run(f.w.now() + 20);
-  const s = await standing(f);
-  expect({ bears: s.bearsLoss, joint: s.joint?.next.length }).toEqual({ bears: false, joint: 3 });
-  expect(s.joint!.sinceMs).toBeGreaterThan(0);
-  expect(reasonsOf(s)).toContain('joint-set');
-  expect(await until(f, f.w.now() + 5000, all(f, CORE), 10)).toBeDefined();
-  procOf(f, 'core-3').disk.slow = 1;
-  await f.w.run(f.w.now() + 2000);
-  expect((await standing(f)).bearsLoss).toBe(true);
+  expect(await until(fleet, fleet.w.now() + 4000, begun, 1)).toBeDefined();
+  await fleet.w.run(fleet.w.now() + 20);
+  const status = await readStatus(fleet);
+  expect({ bears: status.bearsLoss, joint: status.joint?.next.length }).toEqual({
+    bears: false,
+    joint: 3,
+  });
+  expect(status.joint!.sinceMs).toBeGreaterThan(0);
+  expect(reasonsOf(status)).toContain('joint-set');
+  expect(await until(fleet, fleet.w.now() + 5000, all(fleet, CORE), 10)).toBeDefined();
+  procOf(fleet, 'core-3').disk.slow = 1;
+  await fleet.w.run(fleet.w.now() + 2000);
+  expect((await readStatus(fleet)).bearsLoss).toBe(true);
 }
 
 /** Changes that a frozen voter missed are counted at the controller that asks it once it wakes. */
 async function countsWhatIsMissed(): Promise<void> {
-  const f = await founded(403);
-  const o = makeOperator(f);
-  await applied(f, o);
+  const fleet = await founded(403);
+  const operator = makeOperator(fleet);
+  await applied(fleet, operator);
   const [first, , third] = CORE;
-  const { store: slots } = f.controllers.get(third)!;
+  const { store: slots } = fleet.controllers.get(third)!;
   const before = slots.registers.get('intents')!.learned!;
-  await applied(f, o);
-  await applied(f, o);
-  await f.w.run(f.w.now() + 500);
+  await applied(fleet, operator);
+  await applied(fleet, operator);
+  await fleet.w.run(fleet.w.now() + 500);
   slots.registers.get('intents')!.learned = before;
-  const s = await standing(f);
-  expect(s.voters[2].behind).toBe(2);
-  expect(s.bearsLoss).toBe(false);
-  expect(reasonsOf(s)).toEqual(['voter-behind']);
-  expect(f.controllers.get(first)!.hasQuorum()).toBe(true);
+  const status = await readStatus(fleet);
+  expect(status.voters[2].behind).toBe(2);
+  expect(status.bearsLoss).toBe(false);
+  expect(reasonsOf(status)).toEqual(['voter-behind']);
+  expect(fleet.controllers.get(first)!.hasQuorum()).toBe(true);
 }
 
-test('a set whose voters are here and whole bears a loss', bearsALoss);
+test('a set whose voters are here and whole bears a loss', toleratesLoss);
 test('a set with a voter away bears no loss, and says so', awayVoter);
 test('a joint set is told with its age, and bears no loss', jointSet);
 test('a voter that lags is told with how many changes', countsWhatIsMissed);
--- a/test/shared/shutdown.test.ts
+++ b/test/shared/shutdown.test.ts
@@ -36,22 +36,22 @@
 }
 
 async function again(): Promise<void> {
-  const p = program();
-  for (let i = 0; i < 3; i++) p.shutdown('SIGTERM');
+  const running = program();
+  for (let i = 0; i < 3; i++) running.shutdown('SIGTERM');
   await settled();
-  expect(p.did).toEqual(['drain']);
-  p.finish();
+  expect(running.did).toEqual(['drain']);
+  running.finish();
   await settled();
-  expect(p.did).toEqual(['drain', 'stop', 'exit 0']);
+  expect(running.did).toEqual(['drain', 'stop', 'exit 0']);
 }
 
 async function impatient(): Promise<void> {
   for (const first of ['SIGTERM', 'SIGINT'] as const) {
-    const p = program();
-    p.shutdown(first);
-    p.shutdown('SIGINT');
+    const running = program();
+    running.shutdown(first);
+    running.shutdown('SIGINT');
     await settled();
-    expect(p.did).toEqual(['drain', 'exit 1']);
+    expect(running.did).toEqual(['drain', 'exit 1']);
   }
 }
 
