--- a/src/control/change-log.ts
+++ b/src/control/change-log.ts
@@ -46,7 +46,7 @@
   return `${voter.at}/${voter.disk.slice(0, LOGGED_DISK_CHARACTERS)}`;
 }
 
-/** Makes a function that is told whether a quorum is up, and logs when that changes, and after how many ms. */
+/** Makes a function that notes whether a quorum is up, and logs each change with the ms since the last one. */
 export function makeQuorumLog(
   logger: Logger,
   clock: Clock,
--- a/src/control/controller-node.ts
+++ b/src/control/controller-node.ts
@@ -56,7 +56,7 @@
   settings: Settings;
   metrics: Metrics;
   store: ControlStore;
-  /** The idempotency votes that this disk held at the start. */
+  /** The idempotency votes that this disk stored before the start. */
   storedVotes: StoredVotes;
   /** Reads the deployment documents of a platform; without one the controller serves intents. */
   parser: DocumentParser | undefined;
@@ -92,8 +92,6 @@
   readonly recommit: ChangeCoordinator['recommit'];
 
   private readonly ports: Ports;
-  private readonly parser: DocumentParser | undefined;
-  private readonly storedVotes: StoredVotes;
   private readonly self: Voter;
   private readonly wakers: WakerGroup;
   private readonly acceptor: Acceptor;
@@ -108,22 +106,19 @@
   private listener: Listener | undefined;
   private stopped = false;
 
-  constructor(options: ControllerNodeOptions) {
+  constructor(private readonly options: ControllerNodeOptions) {
     bindMethods(this);
     const { ports, settings, store, metrics } = options;
     this.ports = ports;
     this.settings = settings;
     this.store = store;
     this.metrics = metrics;
-    this.parser = options.parser;
-    this.storedVotes = options.storedVotes;
     this.name = settings.name;
     this.timeLimits = timeLimitsOf(settings);
     this.hello = helloOf(settings, 'controller', store.diskId);
     this.self = { disk: store.diskId, at: settings.wire };
     this.ownerId = `${settings.name}.${ports.random.uuid().slice(0, 8)}`;
     this.wakers = makeWakerGroup(ports.clock);
-
     const transport = this.makeVoterTransport();
     this.acceptor = new Acceptor(store, transport, ports);
     this.leases = new LeaseRegistry(store, ports, this.timeLimits, this.voters);
@@ -154,7 +149,7 @@
 
   /** Serves: recovers the votes, listens, connects to the voters and starts the loops. */
   async start(): Promise<Result<void>> {
-    await this.votes.start(this.storedVotes, this.timeLimits.requestTimeoutMs);
+    await this.votes.start(this.options.storedVotes, this.timeLimits.requestTimeoutMs);
     const [error, listener] = errorOrValue(await this.listen());
     if (error) return Left(error);
     this.listener = listener;
@@ -283,7 +278,7 @@
       settings: this.settings,
       timeLimits: this.timeLimits,
       keyOwner: this.keyOwner,
-      parser: this.parser,
+      parser: this.options.parser,
       voters: this.voters,
       liveAddresses: this.liveAddresses,
       channelTo: this.channelTo,
@@ -334,11 +329,12 @@
   }
 
   private makeKeyMaintenance(): KeyMaintenance {
-    const configurationKey = this.parser ? CONTROL_KEYS.deployment : CONTROL_KEYS.intents;
+    const { parser } = this.options;
+    const configurationKey = parser ? CONTROL_KEYS.deployment : CONTROL_KEYS.intents;
     return makeKeyMaintenance({
       selfAddress: this.settings.wire,
       alwaysOwnedKeys: [CONTROL_KEYS.engines, configurationKey],
-      keyKeptWithoutQuorum: this.parser ? undefined : CONTROL_KEYS.engines,
+      keyKeptWithoutQuorum: parser ? undefined : CONTROL_KEYS.engines,
       store: this.store,
       keyOwner: this.keyOwner,
       timeLimits: this.timeLimits,
--- a/src/control/membership/graceful-leave.ts
+++ b/src/control/membership/graceful-leave.ts
@@ -13,7 +13,7 @@
 import { ControlStore } from '../storage/control-store';
 
 /**
- * Why a controller that was told to end may stop. `not-voting`: it was no voter. `replaced`: another has its place.
+ * Why a controller that leaves may stop. `not-voting`: it was no voter. `replaced`: another has its place.
  * `covered`: the others are a quorum and have all that it has. `all-leave`: all others leave as well. `grace-over`: its
  * time is over.
  */
--- a/src/control/membership/voter-health.ts
+++ b/src/control/membership/voter-health.ts
@@ -8,7 +8,7 @@
 import { Controller } from '../controller-interface';
 import { VoterHealth } from './voter-set-plan';
 
-/** What the health of the voters is told by. */
+/** What the health of the voters is derived from. */
 export interface VoterHealthDependencies extends Pick<
   Controller,
   'isUp' | 'isLeaving' | 'hasOtherDisk'
--- a/src/control/peer-handlers.ts
+++ b/src/control/peer-handlers.ts
@@ -25,7 +25,7 @@
   changeAsOwner: (operation: Operation) => Promise<Result<unknown>>;
   isInProgress: (identity: string) => boolean;
   committedValues: () => VersionedValue[];
-  /** Notes the addresses of the voters that a peer told. */
+  /** Notes the addresses of the voters that a peer sent. */
   onCoreHint: (addresses: string[]) => void;
   isUp: (voter: Voter) => boolean;
   wake: () => void;
@@ -102,7 +102,7 @@
     return Right(reply);
   }
 
-  /** Notes where the voters are, as told by a controller that has this one among its seeds. */
+  /** Notes where the voters are, as announced by a controller that has this one among its seeds. */
   @messageHandler('here')
   async noteVoters(voters: VoterSet): HandlerResult {
     this.dependencies.onCoreHint(allVoters(voters).map(addressOf));
--- a/test/control/cluster-bootstrap.test.ts
+++ b/test/control/cluster-bootstrap.test.ts
@@ -158,12 +158,12 @@
   return node.wire;
 }
 
-test('a founder that is late holds the founding up, and no longer than it is late', lateFounder);
+test('a founder that is late delays the bootstrap until it starts, and no longer', lateFounder);
 test(
-  'operators found without a founder that is not there; it votes in its own place when it comes',
+  'operators bootstrap without an absent founder; it votes in its own place once it starts',
   absentFounder,
 );
 test(
-  'two emptied core machines never found anew while the third has what was kept',
+  'two emptied controllers never bootstrap again while the third has stored state',
   neverOverStoredState,
 );
--- a/test/control/graceful-leave-during-repair.test.ts
+++ b/test/control/graceful-leave-during-repair.test.ts
@@ -128,4 +128,4 @@
 
 test('three voters, twice: one leaves while another is away and a third was emptied', threeVoters);
 test('five voters, twice: one leaves while another is away and a third was emptied', fiveVoters);
-test('a leaver is killed in the midst of its leave', leaverKilled);
+test('a voter is killed while it leaves', leaverKilled);
--- a/test/control/graceful-leave.test.ts
+++ b/test/control/graceful-leave.test.ts
@@ -221,22 +221,16 @@
   }
 }
 
+test('a voter that leaves while another is away is replaced first', whileAnotherVoterIsAway);
+test('a voter that leaves does not stop as one of only two replicas', onlyOtherCopy);
+test('a voter that leaves stays until the others are a quorum', staysUntilMajority);
 test(
-  'a voter that is told to end while another is away gives its place over first',
-  whileAnotherVoterIsAway,
-);
-test('a voter that is told to end does not go as one of only two copies', onlyOtherCopy);
-test('a voter that is told to end stays until the others are a majority', staysUntilMajority);
-test(
-  'a voter that the others need ends by itself before its grace is over',
+  'a voter that the others need stops by itself before its grace period is over',
   stopsBeforeGraceIsOver,
 );
-test('a rolling restart is not held up, and every change outlives it', rollingRestart);
-test(
-  'of two voters that are told to end, the second waits for the first to return',
-  oneAfterTheOther,
-);
-test('where all are told to end, none waits', allAtOnce);
+test('a rolling restart is not delayed, and every change survives it', rollingRestart);
+test('of two voters that leave, the second waits for the first to return', oneAfterTheOther);
+test('where all voters leave, none waits', allAtOnce);
 test('a controller that leaves answers its operators', answersOperators);
 
-test('a controller that leaves ends no call that it has taken', answersAcceptedCalls);
+test('a controller that leaves aborts no call that it has accepted', answersAcceptedCalls);
--- a/test/control/lease-after-power-loss.test.ts
+++ b/test/control/lease-after-power-loss.test.ts
@@ -79,4 +79,4 @@
   for (const ms of took) expect(ms).toBeLessThan(BOUNDS.retryPauseMs * 1.2);
 }
 
-test('after all lost power, a router has its leases soon after a majority is up', soon);
+test('after all lost power, a router has its leases soon after a quorum is up', soon);
--- a/test/control/partitioned-controller.test.ts
+++ b/test/control/partitioned-controller.test.ts
@@ -292,7 +292,7 @@
 }
 
 test(
-  'a controller that is cut off answers 503 within a second, owns nothing and watches no list',
+  'a partitioned controller replies 503 within a second, owns no key and polls no engine list',
   allCuts,
 );
-test('over slow links no answer is old, and none comes after a second', slowLinksDelayNoReply);
+test('over slow links no reply is stale, and none comes after a second', slowLinksDelayNoReply);
--- a/test/control/voter-replacement-time.test.ts
+++ b/test/control/voter-replacement-time.test.ts
@@ -56,4 +56,4 @@
   for (const ms of took) expect(ms).toBeLessThan(CATCH_UP_MS * 0.75);
 }
 
-test('a successor votes well within the time after which the next losses may come', inTime);
+test('a replacement votes well within the time after which the next losses may come', inTime);
--- a/test/control/voter-set-changes.test.ts
+++ b/test/control/voter-set-changes.test.ts
@@ -348,38 +348,35 @@
 }
 
 test(
-  'the next voter set: emptied machines at once, lost and leaving ones for machines that are here, odd numbers',
+  'the planned voter set replaces emptied machines at once, lost and leaving ones by candidates, and stays odd',
   plansVoterSets,
 );
-test('three seeds that are up found within 0.4 s', bootstrapsQuickly);
+test('three founders that are up bootstrap the cluster within 0.4 s', bootstrapsQuickly);
 test(
-  'where it is vouched for, a majority of the founders founds without the late one, which votes in its place when it comes',
+  'where the settings allow it, a majority of the founders bootstraps without the late one, which votes once it starts',
   lateFounder,
 );
 test(
-  'five core machines of three seeds all vote, and two may lose their disks, twice',
+  'five controllers with three seeds all vote, and two may lose their disks, twice',
   fiveOfThreeSeeds,
 );
 test(
-  'nothing acknowledged is lost with a disk at that moment, while the others lose power, and the emptied one counts within 1.5 s',
+  'nothing acknowledged is lost with a disk at that moment, while the others lose power, and the emptied one votes within 1.5 s',
   diskLostAtAcknowledgement,
 );
-test('every machine gives way to another one, each leaving, under changes', leavingTurnover);
+test('every machine is replaced, each leaving gracefully, under changes', leavingTurnover);
+test('every machine is replaced, each lost without notice, under changes', lostTurnover);
 test(
-  'every machine gives way to another one, each lost without a word, under changes',
-  lostTurnover,
-);
-test(
-  'a machine that was away while all others were exchanged finds the core by the seeds',
+  'a machine that was away while all others were replaced finds the voters by the seeds',
   awayThroughTurnover,
 );
 test(
-  'the owner is killed at each step of a joint set, and another ends it',
+  'the owner is killed at each step of a joint set, and another node completes it',
   ownerKilledDuringJointSet,
 );
-test('two machines are added while a voter is frozen, which stays', frozenWhileAdding);
-test('a newcomer that is gone again in the midst holds nothing up', newVoterGoneDuringJointSet);
+test('two machines are added while a voter is frozen, which stays a voter', frozenWhileAdding);
+test('a new voter that is gone during the joint set blocks nothing', newVoterGoneDuringJointSet);
 test(
-  'a voter that is away for a short while keeps its place, also where another machine waits',
+  'a voter that is away for a short time keeps its place, also where a candidate waits',
   awayForShortTime,
 );
--- a/test/control/voter-set-recovery.test.ts
+++ b/test/control/voter-set-recovery.test.ts
@@ -77,10 +77,10 @@
 }
 
 test(
-  'what two disks acknowledged outlives both, one after the other, also if the third had missed it',
+  'what two disks acknowledged survives the loss of both, one after the other, also if the third had missed it',
   acknowledgedByTwoDisks,
 );
 test(
-  'a router that was cut off while all controllers were exchanged finds them by its seeds',
+  'a router that was partitioned while all controllers were replaced finds them by its seeds',
   routerFindsControllersBySeeds,
 );
--- a/test/shared/shutdown.test.ts
+++ b/test/shared/shutdown.test.ts
@@ -64,6 +64,6 @@
     }
 }
 
-test('a SIGTERM that comes again cuts nothing off', again);
-test('a SIGINT that comes again ends a program at once', impatient);
-test('whatever the bounds, programs drain within the grace', withinGrace);
+test('a repeated SIGTERM aborts nothing', again);
+test('a repeated SIGINT ends a program at once', impatient);
+test('programs drain within the grace period, whatever the time limits', withinGrace);
