--- a/src/control/controller-node.ts
+++ b/src/control/controller-node.ts
@@ -39,6 +39,7 @@
 import { LeaseRegistry } from './leases/lease-registry';
 import { ClusterBootstrap } from './membership/bootstrap';
 import { leaveGracefully } from './membership/graceful-leave';
+import { IdentifyReply } from './membership/identify-reply';
 import { MembershipRequests } from './membership/membership-requests';
 import { announceToSeeds } from './membership/seed-announcer';
 import { VoterConnections } from './membership/voter-connections';
@@ -462,7 +463,7 @@
     return this.connections.channelTo(address);
   }
 
-  private identify(address: string): Promise<Result<unknown>> {
+  private identify(address: string): Promise<Result<IdentifyReply>> {
     return this.connections.identify(address);
   }
 
--- a/src/control/membership/bootstrap-checks.ts
+++ b/src/control/membership/bootstrap-checks.ts
@@ -14,7 +14,8 @@
 const ABSENT_DISK_PREFIX = 'absent ';
 
 /** The reply of a founder, or why there is none. */
-export type FounderReply = readonly [OperationError, undefined] | readonly [undefined, unknown];
+export type FounderReply =
+  readonly [OperationError, undefined] | readonly [undefined, IdentifyReply];
 
 /** The founders, and those of them that are declared absent. */
 export interface FounderSets {
@@ -55,9 +56,8 @@
 export function voterOfFounder(
   address: string,
   isAbsent: boolean,
-  [error, value]: FounderReply,
+  [error, reply]: FounderReply,
 ): Result<Voter> {
-  const reply = value as IdentifyReply | undefined;
   if (isAbsent && reply && (reply.mayFound || !reply.blank))
     return failure(STEP, address, 'is named as absent, and is here', 'refused', 'conflict');
   if (!isAbsent && error) return Left({ ...error, certainty: 'refused' });
--- a/src/control/membership/bootstrap.ts
+++ b/src/control/membership/bootstrap.ts
@@ -26,8 +26,8 @@
   clock: Clock;
   store: ControlStore;
   voters: () => VoterSet | undefined;
-  /** Asks the controller at an address for its disk and voter set; the value is an `IdentifyReply`. */
-  identify: (address: string) => Promise<Result<unknown>>;
+  /** Asks the controller at an address for its disk and voter set. */
+  identify: (address: string) => Promise<Result<IdentifyReply>>;
   requestVoter: (voter: Voter, type: string, body: unknown) => Promise<Result<unknown>>;
   /** Commits the founders as the voter set, where this controller owns that key. */
   commitBootstrap: (founders: VoterSet) => Promise<void>;
@@ -124,10 +124,9 @@
   private async probe(address: string): Promise<FounderProbe> {
     const { settings, identify } = this.dependencies;
     if (address === settings.wire) return { address, mayBeBlank: true, mayBootstrap: true };
-    const [error, value] = errorOrValue(await identify(address));
+    const [error, reply] = errorOrValue(await identify(address));
     if (error) return { address, mayBeBlank: true, mayBootstrap: false };
-    const { blank, mayFound } = value as IdentifyReply;
-    return { address, mayBeBlank: blank, mayBootstrap: mayFound };
+    return { address, mayBeBlank: reply.blank, mayBootstrap: reply.mayFound };
   }
 
   private noteQuorum(hasQuorum: boolean): void {
--- a/src/control/membership/voter-connections.ts
+++ b/src/control/membership/voter-connections.ts
@@ -17,6 +17,7 @@
   PeerChannel,
 } from '../../shared/transport/connections';
 import { requestOtherVoter } from '../consensus/voter-request';
+import { IdentifyReply } from './identify-reply';
 
 /** What the connections to the voters need of their controller. */
 export interface VoterConnectionsDependencies {
@@ -76,10 +77,11 @@
   }
 
   /** Asks the controller at an address for its disk and voter set (message `who`). */
-  async identify(address: string): Promise<Result<unknown>> {
+  async identify(address: string): Promise<Result<IdentifyReply>> {
     const channel = this.channelTo(address);
     if (!channel) return Left(notConnected('who', address));
-    return channel.request('who', {}, this.dependencies.timeLimits.requestTimeoutMs);
+    const { requestTimeoutMs } = this.dependencies.timeLimits;
+    return channel.request('who', {}, requestTimeoutMs) as Promise<Result<IdentifyReply>>;
   }
 
   private wantedAddresses(): string[] {
