--- a/src/control/singletons/background-tasks.ts
+++ b/src/control/singletons/background-tasks.ts
@@ -11,6 +11,8 @@
 import { retireOldWeights } from './old-weights-retirement';
 import { orderWeights } from './weights-orders';
 import { runWeightsRollout } from './weights-rollout';
+import { requestMembership } from '../membership/join-requester';
+import { maintainVoterSet } from '../membership/voter-set-controller';
 
 /** Starts all background tasks of a controller; without an adapter, engines are driven by our own interface. */
 export function startBackgroundTasks(
