--- a/src/shared/system/http-client.ts
+++ b/src/shared/system/http-client.ts
@@ -1,124 +1,171 @@
+/**
+ * The client side of HTTP of the network port, by Node's own.
+ */
+
 import http from 'node:http';
+import net from 'node:net';
+import { TextDecoder } from 'node:util';
 import { Left, Right } from 'purify-ts';
 import { ErrorCode, systemErrorCode } from '../errors/error-codes';
-import { makeError, Result } from '../errors/errors';
+import { Certainty, makeError, Result } from '../errors/errors';
 import { HttpRequest, HttpResponse } from '../ports/network';
+import { ignore, splitAddress } from './sockets';
+
+/** Codes of errors before any byte was sent: the request had certainly no effect. */
+const NOT_SENT_CODES = new Set<ErrorCode>([
+  'ECONNREFUSED',
+  'EHOSTUNREACH',
+  'ENETUNREACH',
+  'ECONNTIMEOUT',
+]);
+/** Connections to one peer. */
+const MAX_CONNECTIONS = 256;
+/** How long an idle connection is kept. */
+const IDLE_TIMEOUT_MS = 4000;
+
+/** How connections are made. */
+interface ClientOptions {
+  agent: http.Agent;
+  connectTimeoutMs: number;
+  localAddress: string | undefined;
+}
+
+type ResponseListener = (response: Result<HttpResponse>) => void;
+
+/** One request and its response. */
+class HttpExchange {
+  private readonly step: string;
+  /** Why this side ended the exchange, and what is certain then. */
+  private ending: { certainty: Certainty; code: ErrorCode } | undefined;
+  private isConnected = false;
+  private outgoing!: http.ClientRequest;
+  private timeout: NodeJS.Timeout | undefined;
+  private connectTimeout: NodeJS.Timeout | undefined;
+  private readonly onAbort = this.abort.bind(this, 'timeout');
+
+  constructor(
+    private readonly request: HttpRequest,
+    private readonly options: ClientOptions,
+    private readonly resolve: ResponseListener,
+  ) {
+    this.step = `${request.method} ${request.path}`;
+  }
+
+  /** Sends the request. */
+  start(): void {
+    const { signal, body, timeoutMs } = this.request;
+    this.outgoing = this.makeOutgoing();
+    this.timeout = setTimeout(this.onAbort, timeoutMs);
+    this.outgoing.on('error', this.onError.bind(this));
+    this.outgoing.on('socket', this.onSocket.bind(this));
+    this.outgoing.on('response', this.onResponse.bind(this));
+    if (signal?.aborted) this.onAbort();
+    signal?.addEventListener('abort', this.onAbort, { once: true });
+    this.outgoing.end(body);
+  }
+
+  private makeOutgoing(): http.ClientRequest {
+    const { address, method, path, body } = this.request;
+    const { agent, localAddress } = this.options;
+    const headers: Record<string, string | number> = { ...this.request.headers };
+    if (body !== undefined) headers['content-length'] = Buffer.byteLength(body);
+    return http.request({ ...splitAddress(address), method, path, headers, agent, localAddress });
+  }
+
+  private abort(code: ErrorCode): void {
+    this.ending = this.ending ?? { certainty: this.isConnected ? 'unknown' : 'refused', code };
+    this.outgoing.destroy(new Error(`given up: ${code}`));
+  }
+
+  /** Drops the timers and listeners of an exchange that has ended. */
+  private release(): void {
+    clearTimeout(this.timeout);
+    clearTimeout(this.connectTimeout);
+    this.request.signal?.removeEventListener('abort', this.onAbort);
+  }
 
-const SURE = new Set(['ECONNREFUSED', 'EHOSTUNREACH', 'ENETUNREACH', 'ECONNTIMEOUT']);
-const MOST_CONNECTIONS = 256;
-const KEPT_IDLE = 4000;
+  private onError(error: Error): void {
+    this.release();
+    const code = this.ending?.code ?? systemErrorCode(error);
+    const isNotSent = code !== undefined && NOT_SENT_CODES.has(code);
+    const certainty = this.ending?.certainty ?? (isNotSent ? 'refused' : 'unknown');
+    this.resolve(Left(makeError(this.step, this.request.address, error, certainty, code)));
+  }
+
+  private onSocket(socket: net.Socket): void {
+    if (!socket.connecting) return this.onConnect();
+    const decide = this.onConnectTimeout.bind(this);
+    this.connectTimeout = setTimeout(setImmediate, this.options.connectTimeoutMs, decide);
+    socket.once('connect', this.onConnect.bind(this));
+  }
+
+  private onConnect(): void {
+    this.isConnected = true;
+    clearTimeout(this.connectTimeout);
+  }
+
+  /** Runs one turn after the timer: a connection that came up while the event loop was held up counts as in time. */
+  private onConnectTimeout(): void {
+    if (!this.isConnected) this.abort('ECONNTIMEOUT');
+  }
+
+  private onResponse(response: http.IncomingMessage): void {
+    const chunks = response[Symbol.asyncIterator]() as AsyncIterator<Buffer>;
+    const decoder = new TextDecoder();
+    this.resolve(
+      Right({
+        status: response.statusCode ?? 0,
+        headers: response.headers as Record<string, string | undefined>,
+        nextChunk: this.nextChunk.bind(this, chunks, decoder),
+        cancel: this.cancel.bind(this, response),
+      }),
+    );
+  }
+
+  private async nextChunk(
+    chunks: AsyncIterator<Buffer>,
+    decoder: TextDecoder,
+  ): Promise<Result<string | undefined>> {
+    try {
+      const { done, value } = await chunks.next();
+      if (!done) return Right(decoder.decode(value, { stream: true }));
+      this.release();
+      return Right(undefined);
+    } catch (error) {
+      this.release();
+      const code = this.ending?.code ?? systemErrorCode(error);
+      return Left(makeError(this.step, this.request.address, error, 'unknown', code));
+    }
+  }
+
+  private cancel(response: http.IncomingMessage): void {
+    this.release();
+    response.on('error', ignore);
+    response.destroy();
+  }
+}
 
-/** Makes the client side of HTTP: connections are kept, and one that isn't up within the ms is given up. */
+/**
+ * Makes a client that keeps connections. A connection may take `connectTimeoutMs`. Errors: `ECONNTIMEOUT` (refused),
+ * `timeout` where the request's time is over or it was aborted (refused before it was connected, else of unknown
+ * effect), or the system's code.
+ */
 export function makeHttpClient(
-  connectWithin: number,
+  connectTimeoutMs: number,
   localAddress: string | undefined,
-): (q: HttpRequest) => Promise<Result<HttpResponse>> {
+): (request: HttpRequest) => Promise<Result<HttpResponse>> {
   const agent = new http.Agent({
     keepAlive: true,
-    maxSockets: MOST_CONNECTIONS,
-    timeout: KEPT_IDLE,
+    maxSockets: MAX_CONNECTIONS,
+    timeout: IDLE_TIMEOUT_MS,
   });
+  const options: ClientOptions = { agent, connectTimeoutMs, localAddress };
 
-  function ask(q: HttpRequest): Promise<Result<HttpResponse>> {
-    const step = `${q.method} ${q.path}`;
-    const colon = q.address.lastIndexOf(':');
-    let fate: { sort: 'refused' | 'unknown'; code: ErrorCode } | undefined;
-    let connected = false;
-
-    function wait(done: (o: Result<HttpResponse>) => void): void {
-      const headers: Record<string, string | number> = { ...q.headers };
-      if (q.body !== undefined) headers['content-length'] = Buffer.byteLength(q.body);
-      const req = http.request({
-        host: q.address.slice(0, colon),
-        port: Number(q.address.slice(colon + 1)),
-        method: q.method,
-        path: q.path,
-        headers,
-        agent,
-        localAddress,
-      });
-      const late = setTimeout(cut, q.timeoutMs, 'timeout');
-      let dialled: ReturnType<typeof setTimeout> | undefined;
-
-      function cut(code: ErrorCode): void {
-        fate = fate ?? { sort: connected ? 'unknown' : 'refused', code };
-        req.destroy(new Error(`given up: ${code}`));
-      }
-
-      function gone(): void {
-        cut('timeout');
-      }
-
-      function over(): void {
-        clearTimeout(late);
-        clearTimeout(dialled);
-        q.signal?.removeEventListener('abort', gone);
-      }
-
-      function failed(e: Error): void {
-        over();
-        const code = fate?.code ?? systemErrorCode(e);
-        const sort = fate?.sort ?? (code !== undefined && SURE.has(code) ? 'refused' : 'unknown');
-        done(Left(makeError(step, q.address, e, sort, code)));
-      }
-
-      function up(): void {
-        connected = true;
-        clearTimeout(dialled);
-      }
-
-      function given(socket: import('node:net').Socket): void {
-        if (!socket.connecting) return up();
-        dialled = setTimeout(lateDial, connectWithin);
-        socket.once('connect', up);
-      }
-
-      /** A connection that came up while the event loop was held up counts as in time. */
-      function lateDial(): void {
-        setImmediate(giveUpDial);
-      }
-
-      function giveUpDial(): void {
-        if (!connected) cut('ECONNTIMEOUT');
-      }
-
-      function answered(res: http.IncomingMessage): void {
-        const pieces = res[Symbol.asyncIterator]() as AsyncIterator<Buffer>;
-        const text = new TextDecoder();
-        async function next(): Promise<Result<string | undefined>> {
-          try {
-            const p = await pieces.next();
-            if (!p.done) return Right(text.decode(p.value, { stream: true }));
-            over();
-            return Right(undefined);
-          } catch (e) {
-            over();
-            return Left(makeError(step, q.address, e, 'unknown', fate?.code ?? systemErrorCode(e)));
-          }
-        }
-        function cancel(): void {
-          over();
-          res.on('error', over);
-          res.destroy();
-        }
-        done(
-          Right({
-            status: res.statusCode ?? 0,
-            headers: res.headers as Record<string, string | undefined>,
-            nextChunk: next,
-            cancel,
-          }),
-        );
-      }
-
-      req.on('error', failed);
-      req.on('socket', given);
-      req.on('response', answered);
-      if (q.signal?.aborted) cut('timeout');
-      q.signal?.addEventListener('abort', gone, { once: true });
-      req.end(q.body);
+  function send(request: HttpRequest): Promise<Result<HttpResponse>> {
+    function run(resolve: ResponseListener): void {
+      new HttpExchange(request, options, resolve).start();
     }
-    return new Promise(wait);
+    return new Promise(run);
   }
-  return ask;
+  return send;
 }
--- a/src/shared/system/http-io.ts
+++ b/src/shared/system/http-io.ts
@@ -1,62 +1,67 @@
 /**
- * What the HTTP servers on Node's own sockets share: addresses, request bodies and answers in pieces.
+ * What the HTTP servers on Node's own sockets share: request bodies, and responses in chunks.
  */
 
 import http from 'node:http';
-import { Left, Right } from 'purify-ts';
-import { makeError, Result } from '../errors/errors';
+import { Right } from 'purify-ts';
+import { ErrorCode } from '../errors/error-codes';
+import { failure, Result } from '../errors/errors';
 
-/** Parts an address into host and port. */
-export function splitAddress(at: string): { host: string; port: number } {
-  const i = at.lastIndexOf(':');
-  return { host: at.slice(0, i), port: Number(at.slice(i + 1)) };
-}
-
-/** Does nothing: for events that another handler sees to. */
-export function ignore(): void {}
-
-/** Reads a whole request body; one of more than `most` bytes is refused, its rest passed over. */
-export function readBody(req: http.IncomingMessage, most: number): Promise<Result<Uint8Array>> {
+/** Reads a complete request body. Errors (refused): `too-large` for more than `maxBytes`, the rest of which is discarded, and `bad-body` where the caller goes away. */
+export function readBody(req: http.IncomingMessage, maxBytes: number): Promise<Result<Uint8Array>> {
   const peer = req.socket.remoteAddress ?? '';
-  const parts: Buffer[] = [];
+  const chunks: Buffer[] = [];
   let size = 0;
-  function wait(done: (o: Result<Uint8Array>) => void): void {
-    function data(p: Buffer): void {
-      size += p.length;
-      if (size <= most) parts.push(p);
-      else done(Left(makeError('read body', peer, `over ${most} bytes`, 'refused', 'too-large')));
+  function refuse(reason: string, code: ErrorCode): Result<Uint8Array> {
+    return failure('read body', peer, reason, 'refused', code);
+  }
+  function run(resolve: (body: Result<Uint8Array>) => void): void {
+    function onData(chunk: Buffer): void {
+      size += chunk.length;
+      if (size <= maxBytes) chunks.push(chunk);
+      else resolve(refuse(`over ${maxBytes} bytes`, 'too-large'));
     }
-    function whole(): void {
-      if (req.complete && size <= most)
-        done(Right(parts.length === 1 ? parts[0] : Buffer.concat(parts)));
+    function onEnd(): void {
+      if (req.complete && size <= maxBytes)
+        resolve(Right(chunks.length === 1 ? chunks[0] : Buffer.concat(chunks)));
     }
-    function broken(): void {
-      done(Left(makeError('read body', peer, 'broke off', 'refused', 'bad-body')));
+    function onClose(): void {
+      resolve(refuse('broke off', 'bad-body'));
     }
-    if (req.destroyed) return broken();
-    req.on('data', data);
-    req.on('end', whole);
-    req.on('close', broken);
+    if (req.destroyed) return onClose();
+    req.on('data', onData);
+    req.on('end', onEnd);
+    req.on('close', onClose);
   }
-  return new Promise(wait);
+  return new Promise(run);
 }
 
-/** Writes a piece of an answer and waits until there is room for the next; false once the peer is gone. */
+/** Writes a chunk of a response, and resolves when there is room for the next; with false once the peer is gone. */
 export function writeChunk(
   res: http.ServerResponse,
-  gone: AbortSignal,
-  piece: string | Uint8Array,
+  aborted: AbortSignal,
+  chunk: string | Uint8Array,
 ): Promise<boolean> {
-  function wait(done: (ok: boolean) => void): void {
-    if (gone.aborted || res.destroyed) return done(false);
-    if (res.write(piece)) return done(true);
-    function drained(): void {
-      res.off('close', drained);
-      res.off('drain', drained);
-      done(!gone.aborted);
+  function run(resolve: (isWritten: boolean) => void): void {
+    if (aborted.aborted || res.destroyed) return resolve(false);
+    if (res.write(chunk)) return resolve(true);
+    function onDrainOrClose(): void {
+      res.off('close', onDrainOrClose);
+      res.off('drain', onDrainOrClose);
+      resolve(!aborted.aborted);
     }
-    res.once('drain', drained);
-    res.once('close', drained);
+    res.once('drain', onDrainOrClose);
+    res.once('close', onDrainOrClose);
+  }
+  return new Promise(run);
+}
+
+/** A signal that is aborted when a response's connection closes before the response has been written out. */
+export function abortOnClose(res: http.ServerResponse): AbortController {
+  const controller = new AbortController();
+  function onClose(): void {
+    if (!res.writableFinished) controller.abort();
   }
-  return new Promise(wait);
+  res.on('close', onClose);
+  return controller;
 }
--- /dev/null
+++ b/src/shared/system/http-server.ts
@@ -0,0 +1,80 @@
+/**
+ * The server side of HTTP of the network port, by Node's own.
+ */
+
+import http from 'node:http';
+import { Result } from '../errors/errors';
+import { IncomingRequest, Listener } from '../ports/network';
+import { abortOnClose, readBody, writeChunk } from './http-io';
+import { listenOn } from './sockets';
+
+/** How long an idle connection of a caller is kept. */
+const KEEP_ALIVE_MS = 30000;
+/** Connections that wait to be accepted. */
+const BACKLOG = 1024;
+
+function decodeText(bytes: Uint8Array): string {
+  return Buffer.from(bytes.buffer, bytes.byteOffset, bytes.byteLength).toString('utf8');
+}
+
+function makeIncomingRequest(req: http.IncomingMessage, res: http.ServerResponse): IncomingRequest {
+  const url = new URL(req.url ?? '/', 'http://node');
+  const controller = abortOnClose(res);
+  const aborted = controller.signal;
+  function onError(): void {
+    controller.abort();
+  }
+  res.on('error', onError);
+  req.on('error', onError);
+
+  async function body(maxBytes: number): Promise<Result<string>> {
+    return (await readBody(req, maxBytes)).map(decodeText);
+  }
+  function writeHead(status: number, headers: Record<string, string>): void {
+    if (!res.headersSent) res.writeHead(status, headers);
+  }
+  function write(text: string): Promise<boolean> {
+    return writeChunk(res, aborted, text);
+  }
+  function end(text?: string): void {
+    res.end(text);
+  }
+  function destroy(): void {
+    res.destroy();
+  }
+  return {
+    method: req.method ?? 'GET',
+    path: url.pathname,
+    query: url.searchParams,
+    headers: req.headers as Record<string, string | undefined>,
+    peer: req.socket.remoteAddress ?? '',
+    aborted,
+    body,
+    writeHead,
+    write,
+    end,
+    destroy,
+  };
+}
+
+/** Listens for HTTP requests at an address. */
+export function serveHttp(
+  address: string,
+  onRequest: (call: IncomingRequest) => Promise<void>,
+): Promise<Result<Listener>> {
+  function receive(req: http.IncomingMessage, res: http.ServerResponse): void {
+    void onRequest(makeIncomingRequest(req, res));
+  }
+  const server = http.createServer({ keepAliveTimeout: KEEP_ALIVE_MS }, receive);
+  function close(): Promise<void> {
+    function run(resolve: () => void): void {
+      server.close(resolve);
+      server.closeIdleConnections();
+    }
+    return new Promise(run);
+  }
+  function makeListener(bound: string): Listener {
+    return { address: bound, close };
+  }
+  return listenOn(server, address, BACKLOG, makeListener);
+}
--- a/src/shared/system/raw-http-client.ts
+++ b/src/shared/system/raw-http-client.ts
@@ -1,247 +1,235 @@
+/**
+ * The client side of raw HTTP: connections that the caller keeps, with one request at a time on each.
+ */
+
 import http from 'node:http';
 import net from 'node:net';
 import { Left, Right } from 'purify-ts';
 import { ErrorCode, systemErrorCode } from '../errors/error-codes';
-import { makeError, Result } from '../errors/errors';
+import { failure, makeError, Result } from '../errors/errors';
 import { HttpConnection, RawHttpRequest, RawHttpResponse } from '../ports/raw-http';
-import { ignore, splitAddress } from './http-io';
-
-/** How long a connection may be without traffic before the kernel probes its peer. */
-const PROBE_AFTER_MS = 1000;
-
-/** Whether an answer tells where it ends. */
-function isFramed(method: string, res: http.IncomingMessage): boolean {
-  const s = res.statusCode ?? 0;
-  return (
-    res.headers['content-length'] !== undefined ||
-    /\bchunked\b/i.test(res.headers['transfer-encoding'] ?? '') ||
-    method === 'HEAD' ||
-    s === 204 ||
-    s === 304
-  );
+import { PulledResponse } from './raw-http-response';
+import { connectSocket, ignore, splitAddress } from './sockets';
+
+/** How long a connection may be without traffic before the kernel probes its peer (TCP keep-alive). */
+const TCP_KEEP_ALIVE_MS = 1000;
+
+type ResponseListener = (response: Result<RawHttpResponse>) => void;
+
+/** What an exchange tells its connection of. */
+interface ExchangeEvents {
+  /** An error; `isComplete` where it came after the complete response. */
+  onError: (isComplete: boolean) => void;
 }
 
-function makeReply(
-  at: string,
-  q: RawHttpRequest,
-  req: http.ClientRequest,
-  res: http.IncomingMessage,
-  over: () => void,
-  cut: () => ErrorCode | undefined,
-): RawHttpResponse {
-  const step = `${q.method} ${q.target}`;
-  const queue: Buffer[] = [];
-  const framed = isFramed(q.method, res);
-  let ended: Result<undefined> | undefined;
-  let waiter: ((o: Result<Uint8Array | undefined>) => void) | undefined;
-
-  function data(p: Buffer): void {
-    if (waiter === undefined) {
-      queue.push(p);
-      res.pause();
-      return;
-    }
-    const told = waiter;
-    waiter = undefined;
-    told(Right(p));
-  }
-  function finish(o: Result<undefined>): void {
-    if (ended !== undefined) return;
-    ended = o;
-    over();
-    if (queue.length === 0) waiter?.(o);
-  }
-  function end(): void {
-    finish(res.complete && framed ? Right(undefined) : broken('ended without its end'));
-  }
-  function broken(why: unknown): Result<undefined> {
-    return Left(makeError(step, at, why, 'unknown', cut() ?? 'broken'));
-  }
-  function failed(e: Error): void {
-    finish(broken(e));
-  }
-  function closed(): void {
-    if (!res.readableEnded || !res.complete) finish(broken('closed'));
-  }
-  res.on('data', data);
-  res.on('end', end);
-  res.on('error', failed);
-  res.on('close', closed);
-
-  function next(): Promise<Result<Uint8Array | undefined>> {
-    function wait(done: (o: Result<Uint8Array | undefined>) => void): void {
-      const p = queue.shift();
-      if (p !== undefined) {
-        if (queue.length === 0) res.resume();
-        return done(Right(p));
-      }
-      if (ended !== undefined) return done(ended);
-      waiter = done;
-    }
-    return new Promise(wait);
-  }
-  function cancel(): void {
-    over();
-    req.destroy();
-  }
-  return {
-    status: res.statusCode ?? 0,
-    headers: res.rawHeaders,
-    headersByName: res.headers as Record<string, string | undefined>,
-    nextChunk: next,
-    cancel,
-  };
+/** One request on a connection and its response. */
+class RawExchange {
+  /** Why this side ended the exchange, where it did. */
+  private endingCode: ErrorCode | undefined;
+  private isComplete = false;
+  private outgoing!: http.ClientRequest;
+  private timer: NodeJS.Timeout | undefined;
+  private readonly onAbort = this.abort.bind(this, 'caller-gone', 'the caller went away');
+
+  constructor(
+    private readonly peer: string,
+    private readonly request: RawHttpRequest,
+    private readonly aborted: AbortSignal,
+    private readonly events: ExchangeEvents,
+    private readonly resolve: ResponseListener,
+  ) {}
+
+  /** Sends the request by an agent that holds the connection. */
+  start(agent: http.Agent, timeoutMs: number): void {
+    const { method, target, headers, body } = this.request;
+    this.outgoing = http.request({
+      agent,
+      ...splitAddress(this.peer),
+      method,
+      path: target,
+      headers: headers as never,
+      setHost: false,
+    });
+    const onTimeout = this.abort.bind(this, 'timeout', 'no answer in time');
+    this.timer = setTimeout(onTimeout, timeoutMs);
+    this.aborted.addEventListener('abort', this.onAbort, { once: true });
+    this.outgoing.on('error', this.onError.bind(this));
+    this.outgoing.on('response', this.onResponse.bind(this));
+    this.outgoing.end(body);
+  }
+
+  private abort(code: ErrorCode, reason: string): void {
+    this.endingCode = code;
+    this.outgoing.destroy(new Error(reason));
+  }
+
+  /** Drops the timer and listener of an exchange that has ended. */
+  private release(): void {
+    clearTimeout(this.timer);
+    this.aborted.removeEventListener('abort', this.onAbort);
+  }
+
+  private onError(error: Error): void {
+    this.release();
+    this.events.onError(this.isComplete);
+    const code = this.endingCode ?? systemErrorCode(error);
+    this.resolve(Left(makeError(stepOf(this.request), this.peer, error, 'unknown', code)));
+  }
+
+  private onResponse(response: http.IncomingMessage): void {
+    response.on('end', this.onResponseEnd.bind(this, response));
+    const pulled = new PulledResponse(response, {
+      step: stepOf(this.request),
+      peer: this.peer,
+      method: this.request.method,
+      outgoing: this.outgoing,
+      onEnd: this.release.bind(this),
+      endingCode: this.endingCodeOf.bind(this),
+    });
+    this.resolve(Right(pulled));
+  }
+
+  private onResponseEnd(response: http.IncomingMessage): void {
+    this.isComplete = response.complete;
+  }
+
+  private endingCodeOf(): ErrorCode | undefined {
+    return this.endingCode;
+  }
 }
 
-/** Puts requests on a connection, one at a time; an agent of its own keeps it between them. */
-function makeConnection(at: string, socket: net.Socket): HttpConnection {
-  const agent = new http.Agent({ keepAlive: true, maxSockets: 1, maxFreeSockets: 1 });
-  let busy = false;
-  let uses = 0;
-  let surplus = false;
-  let told: () => void = ignore;
-  agent.createConnection = createConnection;
-  (agent as { keepSocketAlive?: unknown }).keepSocketAlive = keepSocketAlive;
-  socket.setNoDelay(true);
-  socket.setKeepAlive(true, PROBE_AFTER_MS);
-  socket.on('data', data);
-  socket.on('error', ignore);
-
-  function createConnection(): net.Socket {
-    return socket;
-  }
-  function keepSocketAlive(): boolean {
-    process.nextTick(released);
-    return true;
-  }
-  function released(): void {
-    busy = false;
-    if (fit()) told();
-  }
-  function data(): void {
-    if (busy) return;
-    surplus = true;
-    socket.destroy();
-  }
-  function fit(): boolean {
-    return !busy && !surplus && !socket.destroyed && socket.writable && !socket.readableEnded;
-  }
-  function used(): number {
-    return uses;
-  }
-  function onIdle(tell: () => void): void {
-    told = tell;
-  }
-  function close(): void {
-    socket.destroy();
-  }
-  function waitClosed(done: (v: { surplus: boolean }) => void): void {
-    function closed(): void {
-      done({ surplus });
-    }
-    socket.once('close', closed);
+function stepOf({ method, target }: RawHttpRequest): string {
+  return `${method} ${target}`;
+}
+
+/** A connection; an agent of its own keeps it between requests. */
+class KeptConnection {
+  readonly closed: Promise<{ surplus: boolean }>;
+  private readonly agent = new http.Agent({ keepAlive: true, maxSockets: 1, maxFreeSockets: 1 });
+  private isBusy = false;
+  private requestCount = 0;
+  /** Whether bytes came that belong to no response. */
+  private hasSurplus = false;
+  private idleListener: () => void = ignore;
+
+  constructor(
+    readonly address: string,
+    private readonly socket: net.Socket,
+  ) {
+    this.takeOverSocket();
+    socket.setNoDelay(true);
+    socket.setKeepAlive(true, TCP_KEEP_ALIVE_MS);
+    socket.on('data', this.onData.bind(this));
+    socket.on('error', ignore);
+    this.closed = new Promise(this.resolveOnClose.bind(this));
   }
 
-  function ask(
-    q: RawHttpRequest,
-    within: number,
-    gone: AbortSignal,
+  /** The connection for its user; its functions need no `this`. */
+  toHttpConnection(): HttpConnection {
+    return {
+      address: this.address,
+      isReusable: this.isReusable.bind(this),
+      useCount: this.useCount.bind(this),
+      request: this.request.bind(this),
+      onIdle: this.onIdle.bind(this),
+      closed: this.closed,
+      close: this.close.bind(this),
+    };
+  }
+
+  isReusable(): boolean {
+    const { destroyed, writable, readableEnded } = this.socket;
+    return !this.isBusy && !this.hasSurplus && !destroyed && writable && !readableEnded;
+  }
+
+  useCount(): number {
+    return this.requestCount;
+  }
+
+  onIdle(listener: () => void): void {
+    this.idleListener = listener;
+  }
+
+  close(): void {
+    this.socket.destroy();
+  }
+
+  request(
+    request: RawHttpRequest,
+    timeoutMs: number,
+    aborted: AbortSignal,
   ): Promise<Result<RawHttpResponse>> {
-    const step = `${q.method} ${q.target}`;
-    function wait(done: (o: Result<RawHttpResponse>) => void): void {
-      if (!fit())
-        return done(Left(makeError(step, at, 'the connection is not fit', 'refused', 'not-fit')));
-      if (gone.aborted)
-        return done(Left(makeError(step, at, 'the caller went away', 'refused', 'caller-gone')));
-      busy = true;
-      uses++;
-      let whole = false;
-      let cut: ErrorCode | undefined;
-      const req = http.request({
-        agent,
-        ...splitAddress(at),
-        method: q.method,
-        path: q.target,
-        headers: q.headers as never,
-        setHost: false,
-      });
-      const t = setTimeout(late, within);
-      function cutBy(): ErrorCode | undefined {
-        return cut;
-      }
-      function late(): void {
-        cut = 'timeout';
-        req.destroy(new Error('no answer in time'));
-      }
-      function left(): void {
-        cut = 'caller-gone';
-        req.destroy(new Error('the caller went away'));
-      }
-      function over(): void {
-        clearTimeout(t);
-        gone.removeEventListener('abort', left);
-      }
-      function failed(e: Error): void {
-        if (whole) surplus = true;
-        over();
-        socket.destroy();
-        done(Left(makeError(step, at, e, 'unknown', cut ?? systemErrorCode(e))));
-      }
-      function answered(res: http.IncomingMessage): void {
-        function ended(): void {
-          whole = res.complete;
-        }
-        res.on('end', ended);
-        done(Right(makeReply(at, q, req, res, over, cutBy)));
-      }
-      gone.addEventListener('abort', left, { once: true });
-      req.on('error', failed);
-      req.on('response', answered);
-      req.end(q.body);
+    return new Promise(this.send.bind(this, request, timeoutMs, aborted));
+  }
+
+  private send(
+    request: RawHttpRequest,
+    timeoutMs: number,
+    aborted: AbortSignal,
+    resolve: ResponseListener,
+  ): void {
+    const { address } = this;
+    const step = stepOf(request);
+    if (!this.isReusable())
+      return resolve(failure(step, address, 'the connection is not fit', 'refused', 'not-fit'));
+    if (aborted.aborted)
+      return resolve(failure(step, address, 'the caller went away', 'refused', 'caller-gone'));
+    this.isBusy = true;
+    this.requestCount++;
+    const events = { onError: this.onExchangeError.bind(this) };
+    new RawExchange(address, request, aborted, events, resolve).start(this.agent, timeoutMs);
+  }
+
+  /** Has the agent use this socket for all requests, and never close it itself. */
+  private takeOverSocket(): void {
+    const { agent, socket } = this;
+    const release = this.release.bind(this);
+    function createConnection(): net.Socket {
+      return socket;
     }
-    return new Promise(wait);
-  }
-
-  return {
-    address: at,
-    isReusable: fit,
-    useCount: used,
-    request: ask,
-    onIdle,
-    closed: new Promise(waitClosed),
-    close,
-  };
+    function keepSocketAlive(): boolean {
+      process.nextTick(release);
+      return true;
+    }
+    agent.createConnection = createConnection;
+    (agent as { keepSocketAlive?: unknown }).keepSocketAlive = keepSocketAlive;
+  }
+
+  private release(): void {
+    this.isBusy = false;
+    if (this.isReusable()) this.idleListener();
+  }
+
+  private onData(): void {
+    if (this.isBusy) return;
+    this.hasSurplus = true;
+    this.socket.destroy();
+  }
+
+  private onExchangeError(isComplete: boolean): void {
+    if (isComplete) this.hasSurplus = true;
+    this.socket.destroy();
+  }
+
+  private resolveOnClose(resolve: (closed: { surplus: boolean }) => void): void {
+    this.socket.once('close', this.onClose.bind(this, resolve));
+  }
+
+  private onClose(resolve: (closed: { surplus: boolean }) => void): void {
+    resolve({ surplus: this.hasSurplus });
+  }
 }
 
-/** Connects to a server; a connection that isn't up within the ms is given up. */
+/** Connects to a server. Errors (refused): `timeout`, or the system's code. */
 export function connect(
-  at: string,
-  within: number,
+  address: string,
+  timeoutMs: number,
   localAddress: string | undefined,
 ): Promise<Result<HttpConnection>> {
-  function wait(done: (o: Result<HttpConnection>) => void): void {
-    const socket = net.connect({ ...splitAddress(at), localAddress });
-    const t = setTimeout(late, within);
-    /** A connection that came up while the event loop was held up counts as in time. */
-    function late(): void {
-      setImmediate(giveUp);
-    }
-    function giveUp(): void {
-      if (!socket.connecting) return;
-      socket.destroy();
-      done(Left(makeError('connect', at, 'no connection in time', 'refused', 'timeout')));
-    }
-    function failed(e: Error): void {
-      clearTimeout(t);
-      done(Left(makeError('connect', at, e, 'refused', systemErrorCode(e))));
-    }
-    function up(): void {
-      clearTimeout(t);
-      socket.off('error', failed);
-      done(Right(makeConnection(at, socket)));
-    }
-    socket.once('error', failed);
-    socket.once('connect', up);
+  function makeConnection(socket: net.Socket): HttpConnection {
+    return new KeptConnection(address, socket).toHttpConnection();
   }
-  return new Promise(wait);
+  const step = 'connect';
+  const timeoutReason = 'no connection in time';
+  return connectSocket({ address, localAddress, timeoutMs, step, timeoutReason }, makeConnection);
 }
--- a/src/shared/system/raw-http-connections.ts
+++ b/src/shared/system/raw-http-connections.ts
@@ -1,164 +1,181 @@
+/**
+ * The connections of a raw HTTP server's callers: which requests are in progress on them, and when they are closed.
+ */
+
 import http from 'node:http';
 import net from 'node:net';
 
-/** What is kept about the connection of one caller. */
+/** What is known of the connection of one caller. */
 interface CallerConnection {
-  /** Requests that were read in part or whole and whose answers have not ended; each is told by its function that its answer has. */
-  underWay: Set<() => void>;
-  /** The request that came last, and its answer. */
-  newest?: { request: http.IncomingMessage; answer: http.ServerResponse };
-  /** Whether no request after the newest one is taken. */
-  closing: boolean;
-  /** How long it may rest, as its caller was last told. */
-  promisedMs: number;
-  restingSince: number;
-  /** Bytes that had been read from it when it came to rest. */
-  bytesAtRest: number;
-}
-
-/** Watches over the connections of a server's callers: only those at rest are ever closed for idleness or for bytes that are no request. */
-export interface CallerConnectionTracker {
-  /** Notes a request; comes once its answer has been written out or its connection is closed. Nothing where its connection takes no more. */
-  began: (req: http.IncomingMessage, res: http.ServerResponse) => Promise<void> | undefined;
-  /** Requests on all connections whose answers have not ended. */
-  underWay: () => number;
-  /** Comes once no request is under way, or after `withinMs`. */
-  settled: (withinMs: number) => Promise<void>;
-  /** Whether a later request has come on the same connection. */
-  isFollowed: (req: http.IncomingMessage) => boolean;
-  /** Notes the idle time that a caller was told. */
-  promised: (socket: net.Socket, ms: number) => void;
-  /** Notes that an answer was worded as the last of its connection. */
-  closesAfter: (socket: net.Socket) => void;
+  /** The requests that were read in part or whole and whose responses have not ended, each by the function that ends it. */
+  inProgress: Set<() => void>;
+  /** The request that came last, and its response. */
+  newest?: { request: http.IncomingMessage; response: http.ServerResponse };
+  /** Whether no request after the newest one is accepted. */
+  isClosing: boolean;
+  /** How long it may be idle, as its caller was last told. */
+  promisedIdleMs: number;
+  /** When it became idle, in ms of the machine's monotonic clock. */
+  idleSince: number;
+  /** The bytes that had been read from it by then. */
+  bytesReadAtIdle: number;
 }
 
-/** Answers to what could not be read as a request, by the error's code. */
-const UNREADABLE: Record<string, string> = {
+/** HTTP status lines for what could not be read as a request, by the error's code. */
+const STATUS_BY_CODE: Record<string, string> = {
   HPE_HEADER_OVERFLOW: '431 Request Header Fields Too Large',
   HPE_CHUNK_EXTENSIONS_OVERFLOW: '413 Payload Too Large',
   ERR_HTTP_REQUEST_TIMEOUT: '408 Request Timeout',
 };
 const BAD_REQUEST = '400 Bad Request';
 
-/** Takes over a server's idle and error handling; `idleMs` is the idle limit of now. */
-export function trackCallerConnections(
-  server: http.Server,
-  idleMs: () => number,
-): CallerConnectionTracker {
-  const connections = new Map<net.Socket, CallerConnection>();
-  const settling = new Set<() => void>();
-  let allUnderWay = 0;
-  server.on('connection', opened);
-  server.on('timeout', idle);
-  server.on('clientError', unreadable);
-
-  function opened(socket: net.Socket): void {
-    connections.set(socket, {
-      underWay: new Set(),
-      closing: false,
-      promisedMs: 0,
-      restingSince: performance.now(),
-      bytesAtRest: 0,
-    });
-    socket.once('close', gone);
-    function gone(): void {
-      for (const end of connections.get(socket)?.underWay ?? []) end();
-      connections.delete(socket);
-    }
+function newConnection(): CallerConnection {
+  return {
+    inProgress: new Set(),
+    isClosing: false,
+    promisedIdleMs: 0,
+    idleSince: performance.now(),
+    bytesReadAtIdle: 0,
+  };
+}
+
+/** Whether no request has begun since the connection became idle. */
+function isIdle(socket: net.Socket, connection: CallerConnection): boolean {
+  return connection.inProgress.size === 0 && socket.bytesRead === connection.bytesReadAtIdle;
+}
+
+function markIdle(socket: net.Socket, connection: CallerConnection): void {
+  connection.idleSince = performance.now();
+  connection.bytesReadAtIdle = socket.bytesRead;
+}
+
+/** Keeps track of the connections of a server's callers: only idle ones are ever closed for idleness or for bytes that are no request. */
+export class CallerConnectionTracker {
+  private readonly connections = new Map<net.Socket, CallerConnection>();
+  /** Called when no request is in progress any more. */
+  private readonly idleListeners = new Set<() => void>();
+  private inProgressCount = 0;
+
+  /** Takes over a server's handling of idle connections and of errors; `idleMs` is the current idle limit. */
+  constructor(
+    server: http.Server,
+    private readonly idleMs: () => number,
+  ) {
+    server.on('connection', this.onConnection.bind(this));
+    server.on('timeout', this.onTimeout.bind(this));
+    server.on('clientError', this.onClientError.bind(this));
   }
 
-  function began(req: http.IncomingMessage, res: http.ServerResponse): Promise<void> | undefined {
+  /** Notes a request; resolves once its response has been written out or its connection is closed. Undefined where its connection accepts no more. */
+  track(req: http.IncomingMessage, res: http.ServerResponse): Promise<void> | undefined {
     const { socket } = req;
-    const c = connections.get(socket);
-    if (c === undefined || c.closing) return undefined;
-    const connection = c;
-    connection.newest = { request: req, answer: res };
-    function wait(done: () => void): void {
-      connection.underWay.add(ended);
-      allUnderWay++;
-      res.once('close', ended);
-      function ended(): void {
-        if (!connection.underWay.delete(ended)) return;
-        allUnderWay--;
-        restFromNow(socket, connection);
-        if (connection.closing && connection.underWay.size === 0) socket.destroySoon();
-        if (allUnderWay === 0) for (const tell of settling) tell();
-        done();
-      }
-    }
-    return new Promise(wait);
+    const connection = this.connections.get(socket);
+    if (connection === undefined || connection.isClosing) return undefined;
+    connection.newest = { request: req, response: res };
+    return new Promise(this.resolveOnEnd.bind(this, socket, connection, res));
   }
 
-  function underWay(): number {
-    return allUnderWay;
+  /** How many requests are in progress on all connections. */
+  requestsInProgress(): number {
+    return this.inProgressCount;
   }
 
-  function settled(withinMs: number): Promise<void> {
-    function wait(done: () => void): void {
-      if (allUnderWay === 0) return done();
-      const timer = setTimeout(over, withinMs);
-      settling.add(over);
-      function over(): void {
+  /** Resolves once no request is in progress, or after `timeoutMs`. */
+  waitUntilIdle(timeoutMs: number): Promise<void> {
+    const listeners = this.idleListeners;
+    const hasNone = this.inProgressCount === 0;
+    function run(resolve: () => void): void {
+      if (hasNone) return resolve();
+      const timer = setTimeout(onIdleOrTimeout, timeoutMs);
+      listeners.add(onIdleOrTimeout);
+      function onIdleOrTimeout(): void {
         clearTimeout(timer);
-        settling.delete(over);
-        done();
+        listeners.delete(onIdleOrTimeout);
+        resolve();
       }
     }
-    return new Promise(wait);
+    return new Promise(run);
   }
 
-  function isFollowed(req: http.IncomingMessage): boolean {
-    return connections.get(req.socket)?.newest?.request !== req;
+  /** Whether a later request has come on the same connection. */
+  isFollowed(req: http.IncomingMessage): boolean {
+    return this.connections.get(req.socket)?.newest?.request !== req;
   }
 
-  function promised(socket: net.Socket, ms: number): void {
-    const c = connections.get(socket);
-    if (c !== undefined) c.promisedMs = ms;
+  /** Notes the idle time that a caller was told. */
+  notePromisedIdle(socket: net.Socket, idleMs: number): void {
+    const connection = this.connections.get(socket);
+    if (connection !== undefined) connection.promisedIdleMs = idleMs;
   }
 
-  function closesAfter(socket: net.Socket): void {
-    const c = connections.get(socket);
-    if (c !== undefined) c.closing = true;
+  /** Notes that a caller was told that its connection closes after the response. */
+  noteClosing(socket: net.Socket): void {
+    const connection = this.connections.get(socket);
+    if (connection !== undefined) connection.isClosing = true;
   }
 
-  /** Whether no request has begun since the connection came to rest. */
-  function rests(socket: net.Socket, c: CallerConnection): boolean {
-    return c.underWay.size === 0 && socket.bytesRead === c.bytesAtRest;
+  private onConnection(socket: net.Socket): void {
+    this.connections.set(socket, newConnection());
+    socket.once('close', this.onClose.bind(this, socket));
   }
 
-  function restFromNow(socket: net.Socket, c: CallerConnection): void {
-    c.restingSince = performance.now();
-    c.bytesAtRest = socket.bytesRead;
+  private onClose(socket: net.Socket): void {
+    for (const end of this.connections.get(socket)?.inProgress ?? []) end();
+    this.connections.delete(socket);
   }
 
-  /** Closes a connection that has rested for its time, once what had already arrived has been read. */
-  function idle(socket: net.Socket): void {
-    const c = connections.get(socket);
-    if (c === undefined || c.underWay.size > 0) return;
-    if (!rests(socket, c)) restFromNow(socket, c);
-    const left = Math.max(c.promisedMs, idleMs()) - (performance.now() - c.restingSince);
-    if (left > 0) return void socket.setTimeout(Math.ceil(left));
-    setImmediate(closeAtRest);
-    function closeAtRest(): void {
-      if (rests(socket, c!)) socket.destroy();
+  private resolveOnEnd(
+    socket: net.Socket,
+    connection: CallerConnection,
+    res: http.ServerResponse,
+    resolve: () => void,
+  ): void {
+    const onRequestEnd = this.onRequestEnd.bind(this, socket, connection);
+    connection.inProgress.add(end);
+    this.inProgressCount++;
+    res.once('close', end);
+    function end(): void {
+      if (!connection.inProgress.delete(end)) return;
+      onRequestEnd();
+      resolve();
     }
   }
 
-  /** Answers bytes that are no request, unless a request that was read whole is still to be answered. */
-  function unreadable(error: Error & { code?: string }, stream: NodeJS.WritableStream): void {
+  private onRequestEnd(socket: net.Socket, connection: CallerConnection): void {
+    this.inProgressCount--;
+    markIdle(socket, connection);
+    if (connection.isClosing && connection.inProgress.size === 0) socket.destroySoon();
+    if (this.inProgressCount === 0) for (const listener of this.idleListeners) listener();
+  }
+
+  /** Closes a connection that has been idle for its time, once what had already arrived has been read. */
+  private onTimeout(socket: net.Socket): void {
+    const connection = this.connections.get(socket);
+    if (connection === undefined || connection.inProgress.size > 0) return;
+    if (!isIdle(socket, connection)) markIdle(socket, connection);
+    const limitMs = Math.max(connection.promisedIdleMs, this.idleMs());
+    const remainingMs = limitMs - (performance.now() - connection.idleSince);
+    if (remainingMs > 0) return void socket.setTimeout(Math.ceil(remainingMs));
+    setImmediate(closeIfIdle, socket, connection);
+  }
+
+  /** Answers bytes that are no request, unless a request that was read completely is still to be answered. */
+  private onClientError(error: Error & { code?: string }, stream: NodeJS.WritableStream): void {
     const socket = stream as net.Socket;
-    const c = connections.get(socket);
-    const unanswered = c?.underWay.size ?? 0;
-    if (c?.newest?.request.complete && unanswered > 0 && socket.writable) {
-      c.closing = true;
+    const connection = this.connections.get(socket);
+    const unanswered = connection?.inProgress.size ?? 0;
+    if (connection?.newest?.request.complete && unanswered > 0 && socket.writable) {
+      connection.isClosing = true;
       return;
     }
-    const headSent = unanswered > 0 && c?.newest?.answer.headersSent;
-    if (!socket.writable || unanswered > 1 || headSent) return void socket.destroy(error);
-    const status = UNREADABLE[error.code ?? ''] ?? BAD_REQUEST;
+    const isHeadSent = unanswered > 0 && connection?.newest?.response.headersSent;
+    if (!socket.writable || unanswered > 1 || isHeadSent) return void socket.destroy(error);
+    const status = STATUS_BY_CODE[error.code ?? ''] ?? BAD_REQUEST;
     socket.end(`HTTP/1.1 ${status}\r\nConnection: close\r\n\r\n`);
     socket.destroySoon();
   }
+}
 
-  return { began, underWay, settled, isFollowed, promised, closesAfter };
+function closeIfIdle(socket: net.Socket, connection: CallerConnection): void {
+  if (isIdle(socket, connection)) socket.destroy();
 }
--- a/src/shared/system/raw-http-server.ts
+++ b/src/shared/system/raw-http-server.ts
@@ -1,180 +1,218 @@
+/**
+ * The server side of raw HTTP: requests are given as they came, and the server closes without losing a request.
+ */
+
 import http from 'node:http';
 import net from 'node:net';
 import { setImmediate as nextTurn, setTimeout as sleep } from 'node:timers/promises';
-import { Left, Right } from 'purify-ts';
-import { makeError, Result } from '../errors/errors';
-import { RawIncomingRequest, RawListener, ServeLimits } from '../ports/raw-http';
-import { CallerConnectionTracker, trackCallerConnections } from './raw-http-connections';
-import { ignore, readBody, splitAddress, writeChunk } from './http-io';
+import { Result } from '../errors/errors';
+import { RawHeaderList, RawIncomingRequest, RawListener, ServeLimits } from '../ports/raw-http';
+import { abortOnClose, readBody, writeChunk } from './http-io';
+import { CallerConnectionTracker } from './raw-http-connections';
+import { ignore, listenOn } from './sockets';
 
-const MOST_HEADER_BYTES = 65536;
+/** The longest head of a request. */
+const MAX_HEADER_BYTES = 65536;
+/** Connections that wait to be accepted. */
 const BACKLOG = 4096;
-/** The share of the idle limit that callers are told. */
-const TOLD_IDLE = 0.8;
+/** The idle time that callers are told, as a ratio of the idle limit: they give a connection up before the server does. */
+const PROMISED_IDLE_RATIO = 0.8;
 const MS_PER_S = 1000;
 /** Turns of the event loop after which all that had arrived has been read: a connection is accepted in one, its request is read in the next, and the first may lack its reads. */
 const READING_TURNS = 4;
 
-function makeCall(
-  req: http.IncomingMessage,
-  res: http.ServerResponse,
-  limits: () => ServeLimits,
-  callers: CallerConnectionTracker,
-  written: Promise<void>,
-): RawIncomingRequest {
-  const gone = new AbortController();
-  const peer = req.socket.remoteAddress ?? '';
-  function closed(): void {
-    if (!res.writableFinished) gone.abort();
-  }
-  res.on('close', closed);
-  res.on('error', ignore);
-  req.on('error', ignore);
+/** What a request needs of its server. */
+interface RequestContext {
+  limits: () => ServeLimits;
+  callers: CallerConnectionTracker;
+  /** Resolves once the response has been written out. */
+  written: Promise<void>;
+}
 
-  function body(most: number): Promise<Result<Uint8Array>> {
-    return readBody(req, most);
-  }
+/** The head of a response: whether the connection stays, and for how long it may be idle. */
+class ResponseHead {
+  constructor(
+    private readonly req: http.IncomingMessage,
+    private readonly res: http.ServerResponse,
+    private readonly context: RequestContext,
+  ) {}
 
-  function head(status: number, headers: string[]): void {
+  write(status: number, headers: RawHeaderList): void {
+    const { res } = this;
     if (res.headersSent) return;
-    const l = limits();
-    if ((l.closing || !res.shouldKeepAlive) && !callers.isFollowed(req)) {
-      callers.closesAfter(req.socket);
+    if (this.isLast()) {
+      this.context.callers.noteClosing(this.req.socket);
       res.shouldKeepAlive = false;
       res.writeHead(status, headers);
     } else {
-      res.writeHead(status, [...headers, ...keepAlive(l.idleTimeoutMs)]);
+      res.writeHead(status, [...headers, ...this.keepAliveHeaders()]);
     }
   }
 
-  /** Tells the caller how long the connection may rest, in whole seconds. */
-  function keepAlive(idleMs: number): string[] {
-    const toldS = Math.max(1, Math.floor((idleMs * TOLD_IDLE) / MS_PER_S));
-    callers.promised(req.socket, Math.max(idleMs, (toldS * MS_PER_S) / TOLD_IDLE));
-    return ['Connection', 'keep-alive', 'Keep-Alive', `timeout=${toldS}`];
+  /** Whether the connection closes after this response. */
+  private isLast(): boolean {
+    const { limits, callers } = this.context;
+    return (limits().closing || !this.res.shouldKeepAlive) && !callers.isFollowed(this.req);
   }
 
-  function piece(bytes: Uint8Array): Promise<boolean> {
-    return writeChunk(res, gone.signal, bytes);
+  /** Tells the caller how long the connection may be idle, in whole seconds. */
+  private keepAliveHeaders(): RawHeaderList {
+    const { limits, callers } = this.context;
+    const { idleTimeoutMs } = limits();
+    const promisedS = Math.max(1, Math.floor((idleTimeoutMs * PROMISED_IDLE_RATIO) / MS_PER_S));
+    const keptMs = Math.max(idleTimeoutMs, (promisedS * MS_PER_S) / PROMISED_IDLE_RATIO);
+    callers.notePromisedIdle(this.req.socket, keptMs);
+    return ['Connection', 'keep-alive', 'Keep-Alive', `timeout=${promisedS}`];
   }
+}
 
+function makeIncomingRequest(
+  req: http.IncomingMessage,
+  res: http.ServerResponse,
+  context: RequestContext,
+): RawIncomingRequest {
+  const aborted = abortOnClose(res).signal;
+  const head = new ResponseHead(req, res, context);
+  res.on('error', ignore);
+  req.on('error', ignore);
+
+  function body(maxBytes: number): Promise<Result<Uint8Array>> {
+    return readBody(req, maxBytes);
+  }
+  function write(bytes: Uint8Array): Promise<boolean> {
+    return writeChunk(res, aborted, bytes);
+  }
   function end(bytes?: Uint8Array): void {
     res.end(bytes);
   }
-
-  function breakOff(): void {
+  function destroy(): void {
     if (req.httpVersion === '1.1') req.socket.destroy();
     else req.socket.resetAndDestroy();
   }
-
   return {
     method: req.method ?? 'GET',
     target: req.url ?? '/',
     headers: req.rawHeaders,
     headersByName: req.headers as Record<string, string | undefined>,
-    peer,
-    aborted: gone.signal,
+    peer: req.socket.remoteAddress ?? '',
+    aborted,
     body,
-    writeHead: head,
-    write: piece,
+    writeHead: head.write.bind(head),
+    write,
     end,
-    destroy: breakOff,
-    written,
+    destroy,
+    written: context.written,
   };
 }
 
-/** Listens for callers, whose requests are given as they came. */
-export function serve(
-  at: string,
-  first: ServeLimits,
-  take: (call: RawIncomingRequest) => Promise<void>,
-): Promise<Result<RawListener>> {
-  let limits = first;
-  let arrived = 0;
-  function now(): ServeLimits {
-    return limits;
+class RawHttpServer {
+  readonly server: http.Server;
+  private readonly callers: CallerConnectionTracker;
+  private arrived = 0;
+
+  constructor(
+    private limits: ServeLimits,
+    private readonly onRequest: (call: RawIncomingRequest) => Promise<void>,
+  ) {
+    this.server = http.createServer(
+      {
+        maxHeaderSize: MAX_HEADER_BYTES,
+        keepAlive: true,
+        noDelay: true,
+        requestTimeout: 0,
+        connectionsCheckingInterval: limits.headerTimeoutMs,
+      },
+      this.receive.bind(this),
+    );
+    this.server.on('connection', this.onConnection.bind(this));
+    this.callers = new CallerConnectionTracker(this.server, this.idleTimeoutMs.bind(this));
+    this.setLimits(limits);
   }
-  function idleMs(): number {
-    return limits.idleTimeoutMs;
+
+  setLimits(limits: ServeLimits): void {
+    this.limits = limits;
+    this.server.headersTimeout = limits.headerTimeoutMs;
+    this.server.keepAliveTimeout = limits.idleTimeoutMs;
   }
-  function request(req: http.IncomingMessage, res: http.ServerResponse): void {
-    const written = callers.began(req, res);
-    if (written === undefined) return;
-    arrived++;
-    void take(makeCall(req, res, now, callers, written));
-  }
-  function connection(): void {
-    arrived++;
-  }
-  function arrivals(): number {
-    return arrived;
-  }
-  const server = http.createServer(
-    {
-      maxHeaderSize: MOST_HEADER_BYTES,
-      keepAlive: true,
-      noDelay: true,
-      requestTimeout: 0,
-      connectionsCheckingInterval: first.headerTimeoutMs,
-    },
-    request,
-  );
-  server.on('connection', connection);
-  const callers = trackCallerConnections(server, idleMs);
-  limit(first);
-  function limit(l: ServeLimits): void {
-    limits = l;
-    server.headersTimeout = l.headerTimeoutMs;
-    server.keepAliveTimeout = l.idleTimeoutMs;
-  }
-  async function readArrived(): Promise<void> {
-    for (let turn = 0; turn < READING_TURNS; turn++) await nextTurn();
+
+  arrivalCount(): number {
+    return this.arrived;
   }
-  /** Ends listening; connections stay. */
-  function stopListening(): void {
-    net.Server.prototype.close.call(server);
+
+  async readArrived(): Promise<void> {
+    for (let turn = 0; turn < READING_TURNS; turn++) await nextTurn();
   }
-  async function settle(lingerMs: number, withinMs: number): Promise<number> {
+
+  async closeGracefully(lingerMs: number, withinMs: number): Promise<number> {
+    const { callers } = this;
     const end = performance.now() + withinMs;
-    limit({ ...limits, closing: true });
-    await readArrived();
-    stopListening();
+    this.setLimits({ ...this.limits, closing: true });
+    await this.readArrived();
+    this.stopListening();
     await sleep(lingerMs);
-    await readArrived();
-    while (callers.underWay() > 0 && performance.now() < end) {
-      await callers.settled(end - performance.now());
-      await readArrived();
+    await this.readArrived();
+    while (callers.requestsInProgress() > 0 && performance.now() < end) {
+      await callers.waitUntilIdle(end - performance.now());
+      await this.readArrived();
     }
-    return callers.underWay();
+    return callers.requestsInProgress();
   }
-  function close(): Promise<void> {
-    function wait(done: () => void): void {
-      server.close(done);
+
+  close(): Promise<void> {
+    const { server } = this;
+    function run(resolve: () => void): void {
+      server.close(resolve);
       server.closeAllConnections();
     }
-    return new Promise(wait);
+    return new Promise(run);
   }
-  function wait(done: (o: Result<RawListener>) => void): void {
-    function failed(e: Error): void {
-      done(Left(makeError('listen', at, e)));
-    }
-    function up(): void {
-      server.off('error', failed);
-      server.on('error', ignore);
-      const a = server.address() as net.AddressInfo;
-      done(
-        Right({
-          address: `${a.address}:${a.port}`,
-          close,
-          setLimits: limit,
-          arrivalCount: arrivals,
-          readArrived,
-          closeGracefully: settle,
-        }),
-      );
-    }
-    server.once('error', failed);
-    server.listen({ ...splitAddress(at), backlog: BACKLOG }, up);
+
+  /** The listener at an address; its functions need no `this`. */
+  listenerAt(address: string): RawListener {
+    this.server.on('error', ignore);
+    return {
+      address,
+      close: this.close.bind(this),
+      setLimits: this.setLimits.bind(this),
+      arrivalCount: this.arrivalCount.bind(this),
+      readArrived: this.readArrived.bind(this),
+      closeGracefully: this.closeGracefully.bind(this),
+    };
+  }
+
+  private receive(req: http.IncomingMessage, res: http.ServerResponse): void {
+    const { callers } = this;
+    const written = callers.track(req, res);
+    if (written === undefined) return;
+    this.arrived++;
+    const limits = this.currentLimits.bind(this);
+    void this.onRequest(makeIncomingRequest(req, res, { limits, callers, written }));
   }
-  return new Promise(wait);
+
+  private onConnection(): void {
+    this.arrived++;
+  }
+
+  private currentLimits(): ServeLimits {
+    return this.limits;
+  }
+
+  private idleTimeoutMs(): number {
+    return this.limits.idleTimeoutMs;
+  }
+
+  /** Ends listening; connections stay, where `http.Server.close` would close those that it takes for idle. */
+  private stopListening(): void {
+    net.Server.prototype.close.call(this.server);
+  }
+}
+
+/** Listens for callers at an address; their requests are given as they came. */
+export function serve(
+  address: string,
+  limits: ServeLimits,
+  onRequest: (call: RawIncomingRequest) => Promise<void>,
+): Promise<Result<RawListener>> {
+  const server = new RawHttpServer(limits, onRequest);
+  return listenOn(server.server, address, BACKLOG, server.listenerAt.bind(server));
 }
--- a/src/shared/system/raw-http.ts
+++ b/src/shared/system/raw-http.ts
@@ -1,3 +1,7 @@
+/**
+ * The raw HTTP port, by Node's own.
+ */
+
 import { Result } from '../errors/errors';
 import {
   HttpConnection,
@@ -6,21 +10,24 @@
   RawListener,
   ServeLimits,
 } from '../ports/raw-http';
-import { splitAddress } from './http-io';
 import { connect } from './raw-http-client';
 import { serve } from './raw-http-server';
+import { boundAddress } from './sockets';
 
-/** The machine's raw HTTP, by Node's own. */
+/**
+ * The machine's raw HTTP; `bind` is the IP number to listen at and to connect from, where it is another than the one
+ * that the process tells. The functions of the result need no `this`.
+ */
 export function makeRawHttpNetwork(bind = ''): RawHttpNetwork {
-  function connectFrom(at: string, within: number): Promise<Result<HttpConnection>> {
-    return connect(at, within, bind === '' ? undefined : bind);
+  function connectFrom(address: string, timeoutMs: number): Promise<Result<HttpConnection>> {
+    return connect(address, timeoutMs, bind === '' ? undefined : bind);
   }
-  function serveHere(
-    at: string,
+  function serveAt(
+    address: string,
     limits: ServeLimits,
-    take: (call: RawIncomingRequest) => Promise<void>,
+    onRequest: (call: RawIncomingRequest) => Promise<void>,
   ): Promise<Result<RawListener>> {
-    return serve(bind === '' ? at : `${bind}:${splitAddress(at).port}`, limits, take);
+    return serve(boundAddress(address, bind), limits, onRequest);
   }
-  return { serve: serveHere, connect: connectFrom };
+  return { serve: serveAt, connect: connectFrom };
 }
