--- a/src/control/controller-node.ts
+++ b/src/control/controller-node.ts
@@ -25,7 +25,8 @@
 import { ChangeEffects, makeChangeEffects } from './configuration/change-effects';
 import { DocumentParser } from './configuration/deployment-change';
 import { acceptConnections } from './connection-acceptor';
-import { Acceptor, VoterTransport } from './consensus/acceptor';
+import { Acceptor } from './consensus/acceptor';
+import { VoterTransport } from './consensus/voter-transport';
 import { KeyMaintenance, makeKeyMaintenance } from './consensus/key-maintenance';
 import { KeyOwner, makeKeyOwner } from './consensus/key-owner';
 import {
--- a/src/control/peer-handlers.ts
+++ b/src/control/peer-handlers.ts
@@ -11,7 +11,7 @@
 import { VersionedValue, Version } from '../shared/state/versions';
 import { CONTROL_KEYS } from '../shared/state/control-keys';
 import { Operation } from './configuration/operations';
-import { LearnedSince } from './consensus/key-maintenance';
+import { LearnedSince } from './consensus/controller-catch-up';
 import { IdentifyReply } from './membership/identify-reply';
 import { ControlStore } from './storage/control-store';
 
--- a/src/control/singletons/background-tasks.ts
+++ b/src/control/singletons/background-tasks.ts
@@ -6,7 +6,6 @@
 import { PlatformAdapter } from '../../shared/platform-adapter/platform-adapter';
 import { Ports } from '../../shared/ports/ports';
 import { Controller } from '../controller-interface';
-import { maintainVoterSet, requestMembership } from '../membership/voter-set-controller';
 import { watchEngineList } from './engine-list-watch';
 import { retireOldWeights } from './old-weights-retirement';
 import { orderWeights } from './weights-orders';
--- a/test/control/lease-after-power-loss.test.ts
+++ b/test/control/lease-after-power-loss.test.ts
@@ -29,7 +29,7 @@
   return followCore(ports, {
     timeLimits: BOUNDS,
     hello,
-    {
+    member: {
       name: router.name,
       role: 'router',
       at: address,
@@ -37,9 +37,9 @@
       zone: router.name,
       life: ports.random.uuid().slice(0, 8),
     },
-    rig.core.map(wireOf),
-    edges,
-  );
+    seeds: rig.core.map(wireOf),
+    handlers: edges,
+  });
 }
 
 function wireOf(router: Proc): string {
