--- a/src/control/leases/change-sender.ts
+++ b/src/control/leases/change-sender.ts
@@ -71,7 +71,7 @@
     if (messages.length === 0) return true;
     const [error, reply] = errorOrValue(await channel.request('changes', messages, timeoutMs));
     if (error) {
-      logger.warn({ step: 'send changes', peer: name }, error.reason);
+      logger.warn({ event: 'leases.changes-not-sent', peer: name }, error.reason);
       return false;
     }
     this.noteReply(messages, reply as ChangesReply);
--- a/src/control/leases/lease-registry.ts
+++ b/src/control/leases/lease-registry.ts
@@ -207,7 +207,7 @@
       const lagMs = Math.round(this.changes.lagMs(key, applied.get(key)));
       if (lagMs > this.timeLimits.lagLogThresholdMs)
         this.ports.logger.warn(
-          { step: 'follower behind', peer: name, key, lagMs },
+          { event: 'leases.follower-behind', peer: name, key, lagMs },
           `it lacks ${key}`,
         );
     }
--- a/src/control/membership/voter-set-controller.ts
+++ b/src/control/membership/voter-set-controller.ts
@@ -143,7 +143,7 @@
   private logChange(now: readonly Voter[], target: readonly Voter[]): void {
     // The simulation's event hash covers the step of warnings, so that this line keeps it.
     this.ports.logger.warn(
-      { step: 'follow machines', peer: this.controller.name },
+      { event: 'voters.set-changing', peer: this.controller.name },
       `voters ${now.map(addressOf).join(' ')} become ${target.map(addressOf).join(' ')}`,
     );
   }
