--- a/eslint.config.mjs
+++ b/eslint.config.mjs
@@ -1,5 +1,6 @@
 import tseslint from 'typescript-eslint';
 import jsdoc from 'eslint-plugin-jsdoc';
+import { createNodeResolver, importX } from 'eslint-plugin-import-x';
 
 const HOUSE =
   '/^(leg|claim|startup|alarm|fitness|pick|occupancy|sendOn)s?([A-Z]|$)|(Leg|Claim|Startup|Alarm|Fitness|Pick|Occupancy|SendOn)s?([A-Z]|$)/';
@@ -88,10 +89,21 @@
       'test/approved.cjs',
     ],
   },
-  ...tseslint.configs.recommended,
+  ...tseslint.configs.recommendedTypeChecked,
+  ...tseslint.configs.stylisticTypeChecked,
   {
-    plugins: { jsdoc },
+    languageOptions: {
+      parserOptions: { projectService: true, tsconfigRootDir: import.meta.dirname },
+    },
+    plugins: { jsdoc, 'import-x': importX },
+    settings: {
+      'import-x/extensions': ['.ts'],
+      'import-x/parsers': { '@typescript-eslint/parser': ['.ts'] },
+      'import-x/resolver-next': [createNodeResolver({ extensions: ['.ts', '.js'] })],
+    },
     rules: {
+      'import-x/no-cycle': 'error',
+      '@typescript-eslint/method-signature-style': ['error', 'property'],
       'func-style': ['error', 'declaration'],
       'no-restricted-syntax': ['error', ...style],
       eqeqeq: 'error',
--- a/src/control/api/cluster-api.ts
+++ b/src/control/api/cluster-api.ts
@@ -66,11 +66,12 @@
 
   /** Tells whether this controller sees a quorum and its disk takes writes: 200, or else 503. */
   @httpHandler('GET', '/healthz')
-  async health(call: IncomingRequest): Promise<void> {
+  health(call: IncomingRequest): Promise<void> {
     const majority = this.controller.hasQuorum();
     const diskFit = this.controller.store.isWritable();
     const ok = majority && diskFit;
     sendJson(call, ok ? 200 : 503, { ok, majority, diskFit });
+    return Promise.resolve();
   }
 
   /** Gives the metrics in the Prometheus text format. */
--- a/src/control/api/configuration-api.ts
+++ b/src/control/api/configuration-api.ts
@@ -38,10 +38,11 @@
 
   /** Gives the intents in force with their revision. */
   @httpHandler('GET', '/v1/intents')
-  async getIntents(call: IncomingRequest): Promise<void> {
+  getIntents(call: IncomingRequest): Promise<void> {
     const committed = this.controller.committedValue<IntentsValue>(CONTROL_KEYS.intents);
     const intents = committed?.value.doc ?? NO_INTENTS;
     sendJson(call, 200, { revision: committed?.place.number ?? 0, intents });
+    return Promise.resolve();
   }
 
   /** Applies a complete intents file on the revision that it is based on. */
@@ -81,11 +82,12 @@
 
   /** Gives the ids of the tenants' keys; hashes are not given. */
   @httpHandler('GET', '/v1/keys')
-  async getKeys(call: IncomingRequest): Promise<void> {
+  getKeys(call: IncomingRequest): Promise<void> {
     const idsByTenant: Record<string, string[]> = {};
     for (const { tenant, keys } of this.valuesWithPrefix<TenantKeys>(CONTROL_KEYS.tenantKeys))
       idsByTenant[tenant] = keys.map(idOf);
     sendJson(call, 200, { keys: idsByTenant });
+    return Promise.resolve();
   }
 
   /** Makes a key for a tenant; its secret is shown once. */
@@ -110,9 +112,10 @@
 
   /** Gives the named weights of each model. */
   @httpHandler('GET', '/v1/weights')
-  async getWeights(call: IncomingRequest): Promise<void> {
+  getWeights(call: IncomingRequest): Promise<void> {
     const weights = [...this.valuesWithPrefix<NamedWeights>(CONTROL_KEYS.weights)];
     sendJson(call, 200, { weights });
+    return Promise.resolve();
   }
 
   /** Names new weights of a model. */
--- a/src/control/consensus/acceptor.ts
+++ b/src/control/consensus/acceptor.ts
@@ -174,12 +174,14 @@
    * memory is never behind the disk.
    */
   @messageHandler('held-place')
-  async acceptedVersion(request: AcceptedVersionRequest): HandlerResult {
+  acceptedVersion(request: AcceptedVersionRequest): HandlerResult {
     const accepted = newestAccepted(this.store.registers.get(request.key));
-    return Right<AcceptedVersionReply>({
-      disk: this.store.diskId,
-      accepted: accepted && versionOf(accepted),
-      voters: newerVoterSet(this.store, request.voters),
-    });
+    return Promise.resolve(
+      Right<AcceptedVersionReply>({
+        disk: this.store.diskId,
+        accepted: accepted && versionOf(accepted),
+        voters: newerVoterSet(this.store, request.voters),
+      }),
+    );
   }
 }
--- a/src/control/consensus/replica-sync.ts
+++ b/src/control/consensus/replica-sync.ts
@@ -70,7 +70,7 @@
 
   /** Counts by how many changes this disk is behind the given versions. */
   @messageHandler('progress', VersionsRequest)
-  async progress(request: VersionsRequest): HandlerResult {
+  progress(request: VersionsRequest): HandlerResult {
     let behind = 0;
     for (const version of request.places) {
       const learned = this.learned(version.key);
@@ -78,7 +78,7 @@
       behind += Math.max(1, version.number - (learned?.number ?? 0));
     }
     const epoch = this.learned(CONTROL_KEYS.voters)?.epoch ?? 0;
-    return Right<ReplicaProgress>({ epoch, behind });
+    return Promise.resolve(Right<ReplicaProgress>({ epoch, behind }));
   }
 
   private learned(key: string): VersionedValue | undefined {
--- a/src/control/controller-node.ts
+++ b/src/control/controller-node.ts
@@ -123,9 +123,9 @@
     this.wakers = makeWakerGroup(ports.clock);
     const transport = this.makeVoterTransport();
     this.acceptor = new Acceptor(store, transport, ports);
-    this.leases = new LeaseRegistry(store, ports, this.timeLimits, this.voters);
+    this.leases = new LeaseRegistry(store, ports, this.timeLimits, this.voters.bind(this));
     this.keyOwner = makeKeyOwner(store, transport);
-    this.votes = new IdempotencyVotes(store, ports, this.voters, settings.onceKeepMs);
+    this.votes = new IdempotencyVotes(store, ports, this.voters.bind(this), settings.onceKeepMs);
 
     this.liveness = this.makeLiveness();
     this.isUp = this.liveness.isUp;
@@ -210,9 +210,9 @@
       store: this.store,
       self: this.self,
       liveness: this.liveness,
-      voters: this.voters,
-      candidates: this.candidates,
-      requestVoter: this.requestVoterBriefly,
+      voters: this.voters.bind(this),
+      candidates: this.candidates.bind(this),
+      requestVoter: this.requestVoterBriefly.bind(this),
       wake: this.wakers.wake,
     });
   }
@@ -232,10 +232,10 @@
     return {
       ownerId: this.ownerId,
       timeoutMs: this.timeLimits.requestTimeoutMs,
-      voters: this.voters,
-      request: this.requestVoter,
-      onLearned: this.onLearned,
-      learnLocally: this.learnLocally,
+      voters: this.voters.bind(this),
+      request: this.requestVoter.bind(this),
+      onLearned: this.onLearned.bind(this),
+      learnLocally: this.learnLocally.bind(this),
     };
   }
 
@@ -243,9 +243,9 @@
     return new VoterLivenessView({
       clock: this.ports.clock,
       self: this.self,
-      voters: this.voters,
-      channelTo: this.channelTo,
-      announcedLeave: this.hasAnnouncedLeave,
+      voters: this.voters.bind(this),
+      channelTo: this.channelTo.bind(this),
+      announcedLeave: this.hasAnnouncedLeave.bind(this),
     });
   }
 
@@ -253,8 +253,8 @@
     return new MembershipRequests(
       this.ports,
       this.timeLimits,
-      this.voters,
-      this.onMembershipRequest,
+      this.voters.bind(this),
+      this.onMembershipRequest.bind(this),
       this.isSelfLeaving,
     );
   }
@@ -266,9 +266,9 @@
       timeLimits: this.timeLimits,
       hello: this.hello,
       handlers: this.handlers,
-      voters: this.voters,
-      candidates: this.candidates,
-      onUp: this.onPeerUp,
+      voters: this.voters.bind(this),
+      candidates: this.candidates.bind(this),
+      onUp: this.onPeerUp.bind(this),
       onDown: this.wakers.wake,
     });
   }
@@ -281,11 +281,11 @@
       timeLimits: this.timeLimits,
       keyOwner: this.keyOwner,
       parser: this.options.parser,
-      voters: this.voters,
+      voters: this.voters.bind(this),
       liveAddresses: this.liveAddresses,
-      channelTo: this.channelTo,
-      dispatchLocally: this.dispatchLocally,
-      readIfStable: this.readIfStable,
+      channelTo: this.channelTo.bind(this),
+      dispatchLocally: this.dispatchLocally.bind(this),
+      readIfStable: this.readIfStable.bind(this),
     });
   }
 
@@ -299,8 +299,8 @@
       clock: this.ports.clock,
       settings: this.settings,
       timeLimits: this.timeLimits,
-      voters: this.voters,
-      requestVoter: this.requestVoter,
+      voters: this.voters.bind(this),
+      requestVoter: this.requestVoter.bind(this),
       commit: this.coordinator.commit,
       observeEffectMs,
     });
@@ -310,10 +310,10 @@
     return {
       store: this.store,
       keyOwner: this.keyOwner,
-      voters: this.voters,
-      requestVoter: this.requestVoterBriefly,
+      voters: this.voters.bind(this),
+      requestVoter: this.requestVoterBriefly.bind(this),
       requestOwner: this.coordinator.requestOwner,
-      learnLocally: this.learnLocally,
+      learnLocally: this.learnLocally.bind(this),
     };
   }
 
@@ -323,10 +323,10 @@
       timeLimits: this.timeLimits,
       clock: this.ports.clock,
       store: this.store,
-      voters: this.voters,
-      identify: this.identify,
-      requestVoter: this.requestVoterBriefly,
-      commitBootstrap: this.commitBootstrap,
+      voters: this.voters.bind(this),
+      identify: this.identify.bind(this),
+      requestVoter: this.requestVoterBriefly.bind(this),
+      commitBootstrap: this.commitBootstrap.bind(this),
     });
   }
 
@@ -343,9 +343,9 @@
       connections: this.connections.pool,
       liveAddresses: this.liveAddresses,
       hasQuorum: this.hasQuorum,
-      committedValues: this.committedValues,
-      learn: this.learnInTime,
-      onCaughtUp: this.onCaughtUp,
+      committedValues: this.committedValues.bind(this),
+      learn: this.learnInTime.bind(this),
+      onCaughtUp: this.onCaughtUp.bind(this),
     });
   }
 
@@ -354,11 +354,11 @@
       ownerId: this.ownerId,
       store: this.store,
       mayBootstrap: this.settings.bootstrap,
-      voters: this.voters,
+      voters: this.voters.bind(this),
       changeAsOwner: this.coordinator.changeAsOwner,
       isInProgress: this.coordinator.isInProgress,
-      committedValues: this.committedValues,
-      onCoreHint: this.noteCoreHint,
+      committedValues: this.committedValues.bind(this),
+      onCoreHint: this.noteCoreHint.bind(this),
       isUp: this.isUp,
       wake: this.wakers.wake,
     });
@@ -385,7 +385,7 @@
       address: this.settings.wire,
       handlers: this.handlers,
       idleTimeoutMs: this.timeLimits.idleChannelTimeoutMs,
-      isStopped: this.isStopped,
+      isStopped: this.isStopped.bind(this),
     });
   }
 
@@ -397,12 +397,12 @@
       hello: this.hello,
       handlers: this.handlers,
       connections: this.connections.pool,
-      voters: this.voters,
+      voters: this.voters.bind(this),
       hasQuorum: this.hasQuorum,
-      committedValues: this.committedValues,
-      learn: this.learnInTime,
-      onCaughtUp: this.onCaughtUp,
-      isStopped: this.isStopped,
+      committedValues: this.committedValues.bind(this),
+      learn: this.learnInTime.bind(this),
+      onCaughtUp: this.onCaughtUp.bind(this),
+      isStopped: this.isStopped.bind(this),
     });
   }
 
--- a/src/control/leases/lease-registry.ts
+++ b/src/control/leases/lease-registry.ts
@@ -95,48 +95,55 @@
 
   /** Grants or renews a lease, only to a node that has applied all that is known here. */
   @messageHandler('claim', LeaseRequest)
-  async lease(request: LeaseRequest, channel: PeerChannel): HandlerResult {
+  lease(request: LeaseRequest, channel: PeerChannel): HandlerResult {
     const { name } = request.member;
     const voters = this.voters();
-    if (!voters) return failure('claim', name, 'not founded', 'refused', 'not-founded');
+    if (!voters)
+      return Promise.resolve(failure('claim', name, 'not founded', 'refused', 'not-founded'));
     const known = this.table.get(request.member);
     const isRenewal = request.has === undefined;
     if (isRenewal && known?.channel !== channel)
-      return failure('claim', name, 'no claim on this stream to go by', 'refused', 'tell-all');
+      return Promise.resolve(
+        failure('claim', name, 'no claim on this stream to go by', 'refused', 'tell-all'),
+      );
     const before = isRenewal ? known : undefined;
     const applied = noteApplied(request, before);
     const coveredCount = this.changes.count();
     const missing = this.changes.missing(applied, before?.coveredCount);
     this.logLag(name, missing, applied);
-    if (missing.length > 0) return Right(this.refuse(request, missing, voters));
+    if (missing.length > 0) return Promise.resolve(Right(this.refuse(request, missing, voters)));
     const sender = before?.sender ?? this.makeSender(channel, request, applied);
     const { member } = request;
     const holder = this.table.grant({ member, applied, channel, coveredCount, sender });
     this.effects.wake();
-    return Right(this.grant(request, holder, before, voters));
+    return Promise.resolve(Right(this.grant(request, holder, before, voters)));
   }
 
   /** Ends a lease at once, when a node leaves by itself. */
   @messageHandler('leave', LeaseRequest)
-  async leave(request: LeaseRequest): HandlerResult {
+  leave(request: LeaseRequest): HandlerResult {
     this.table.release(request.member);
     this.effects.wake();
-    return Right(undefined);
+    return Promise.resolve(Right(undefined));
   }
 
   /** Gives the newest versions of some keys, as differences to the versions that the follower holds. */
   @messageHandler('fetch-changes', FetchRequest)
-  async fetch(request: FetchRequest): HandlerResult {
-    return Right(this.changes.messagesAfter(request.held, request.pieces === true));
+  fetch(request: FetchRequest): HandlerResult {
+    return Promise.resolve(
+      Right(this.changes.messagesAfter(request.held, request.pieces === true)),
+    );
   }
 
   /** Gives one chunk of a change that this or another controller offered. */
   @messageHandler('change-piece', ChunkRequest)
-  async piece(request: ChunkRequest): HandlerResult {
+  piece(request: ChunkRequest): HandlerResult {
     const bytes = this.changes.chunk(request);
-    if (bytes) return Right(bytes);
+    if (bytes) return Promise.resolve(Right(bytes));
     const reason = `${request.key} is not to be had`;
-    return failure('change piece', this.store.diskId, reason, 'refused', 'not-known');
+    return Promise.resolve(
+      failure('change piece', this.store.diskId, reason, 'refused', 'not-known'),
+    );
   }
 
   /** Comes back when every router with a live lease has the change, or its lease has expired; an error of code `pending` where that takes too long. */
--- a/src/control/membership/membership-requests.ts
+++ b/src/control/membership/membership-requests.ts
@@ -42,25 +42,25 @@
 
   /** Handles `join`: a controller that should vote and does not asks to. */
   @messageHandler('join', MembershipRequest)
-  async join({ disk, at }: MembershipRequest): HandlerResult {
+  join({ disk, at }: MembershipRequest): HandlerResult {
     const now = this.ports.clock.now();
     const known = this.candidatesByAddress.get(at);
-    const isSame = known !== undefined && known.disk === disk && !this.isExpired(known, now);
+    const isSame = known?.disk === disk && !this.isExpired(known, now);
     const firstAskedAt = isSame ? known.firstAskedAt : now;
     this.candidatesByAddress.set(at, { disk, at, firstAskedAt, lastAskedAt: now });
     if (!isSame) this.onChange();
-    return Right(true);
+    return Promise.resolve(Right(true));
   }
 
   /** Handles `core-leave`: a controller leaves; it says so again until it has stopped. */
   @messageHandler('core-leave', MembershipRequest)
-  async leave({ disk, at }: MembershipRequest): HandlerResult {
+  leave({ disk, at }: MembershipRequest): HandlerResult {
     const isFirst = !this.leaveAnnouncedAt.has(disk);
     this.leaveAnnouncedAt.set(disk, this.ports.clock.now());
     this.candidatesByAddress.delete(at);
     if (isFirst) this.onChange();
     const reply: LeaveReply = { stays: !this.isSelfLeaving() };
-    return Right(reply);
+    return Promise.resolve(Right(reply));
   }
 
   /** Forgets a candidate until it asks again. */
--- a/src/control/membership/voter-liveness.ts
+++ b/src/control/membership/voter-liveness.ts
@@ -74,13 +74,13 @@
 
   liveAddresses(): string[] {
     const voters = this.dependencies.voters();
-    return voters ? allVoters(voters).filter(this.isLive).map(addressOf) : [];
+    return voters ? allVoters(voters).filter(this.isLive.bind(this)).map(addressOf) : [];
   }
 
   hasQuorum(): boolean {
     const voters = this.dependencies.voters();
     if (!voters) return false;
-    return isQuorum(voters, new Set(allVoters(voters).filter(this.isUp).map(diskOf)));
+    return isQuorum(voters, new Set(allVoters(voters).filter(this.isUp.bind(this)).map(diskOf)));
   }
 
   noteUp(address: string): void {
--- a/src/control/membership/voter-set-controller.ts
+++ b/src/control/membership/voter-set-controller.ts
@@ -63,7 +63,10 @@
         waker.wake();
         continue;
       }
-      ports.logger.warn({ step: error.step, peer: error.peer }, error.reason);
+      ports.logger.warn(
+        { event: 'voters.change-failed', step: error.step, peer: error.peer },
+        error.reason,
+      );
       if (error.code === NEW_VOTER_UNWRITABLE) await this.rejectNewVoters(newVotersOf(now, target));
     }
   }
--- a/src/control/peer-handlers.ts
+++ b/src/control/peer-handlers.ts
@@ -43,25 +43,25 @@
 
   /** Tells whether an operator's change is in progress here, as the owner of its key. */
   @messageHandler('order-under-way')
-  async isChangeInProgress(request: { identity: string }): HandlerResult {
-    return Right(this.dependencies.isInProgress(request.identity));
+  isChangeInProgress(request: { identity: string }): HandlerResult {
+    return Promise.resolve(Right(this.dependencies.isInProgress(request.identity)));
   }
 
   /** Gives the committed values that are newer than the versions of the one that asks. */
   @messageHandler('missing')
-  async missing(applied: AppliedEntry[]): HandlerResult {
+  missing(applied: AppliedEntry[]): HandlerResult {
     const versions = new Map<string, Version>();
     for (const [key, epoch, by, number] of applied) versions.set(key, { epoch, by, number });
     function isMissing(value: VersionedValue): boolean {
       return !isAtLeast(versions.get(value.key), value);
     }
-    return Right(this.dependencies.committedValues().filter(isMissing));
+    return Promise.resolve(Right(this.dependencies.committedValues().filter(isMissing)));
   }
 
   /** Gives the committed version of each key. */
   @messageHandler('committed-places')
-  async committedVersions(): HandlerResult {
-    return Right(appliedEntries(this.dependencies.committedValues()));
+  committedVersions(): HandlerResult {
+    return Promise.resolve(Right(appliedEntries(this.dependencies.committedValues())));
   }
 
   /**
@@ -69,7 +69,7 @@
    * counted in another incarnation, or too long ago.
    */
   @messageHandler('learned-after')
-  async learnedAfter({ life, count }: { life: string; count: number }): HandlerResult {
+  learnedAfter({ life, count }: { life: string; count: number }): HandlerResult {
     const { ownerId, store } = this.dependencies;
     const keys = life === ownerId ? store.learnedKeys.after(count) : undefined;
     const reply: LearnedSince = {
@@ -77,18 +77,18 @@
       count: store.learnedKeys.count(),
       has: keys && appliedEntries(this.learnedValuesOf(keys)),
     };
-    return Right(reply);
+    return Promise.resolve(Right(reply));
   }
 
   /** Gives the committed values of some keys. */
   @messageHandler('committed')
-  async committed(keys: string[]): HandlerResult {
-    return Right(this.learnedValuesOf(keys));
+  committed(keys: string[]): HandlerResult {
+    return Promise.resolve(Right(this.learnedValuesOf(keys)));
   }
 
   /** Identifies this controller by its disk, and tells what it knows of the voter set. */
   @messageHandler('who')
-  async identify(): HandlerResult {
+  identify(): HandlerResult {
     const { store, mayBootstrap } = this.dependencies;
     const voters = this.dependencies.voters();
     const reply: IdentifyReply = {
@@ -99,20 +99,20 @@
       stands: store.registers.get(CONTROL_KEYS.voters)?.learned,
       core: voters ? allVoters(voters).map(addressOf) : [],
     };
-    return Right(reply);
+    return Promise.resolve(Right(reply));
   }
 
   /** Notes where the voters are, as announced by a controller that has this one among its seeds. */
   @messageHandler('here')
-  async noteVoters(voters: VoterSet): HandlerResult {
+  noteVoters(voters: VoterSet): HandlerResult {
     this.dependencies.onCoreHint(allVoters(voters).map(addressOf));
-    return Right(true);
+    return Promise.resolve(Right(true));
   }
 
   /** Tells whether one of these voters is connected to this node. */
   @messageHandler('sees')
-  async isAnyUp(voters: Voter[]): HandlerResult {
-    return Right(voters.some(this.dependencies.isUp));
+  isAnyUp(voters: Voter[]): HandlerResult {
+    return Promise.resolve(Right(voters.some(this.dependencies.isUp)));
   }
 
   /** Records the bootstrap of a cluster of which this disk is a founder; once, and again only with the same founders. */
--- a/src/control/singletons/engine-list-watch.ts
+++ b/src/control/singletons/engine-list-watch.ts
@@ -52,7 +52,10 @@
 }
 
 function logError(ports: Ports, error: OperationError): void {
-  ports.logger.warn({ step: error.step, peer: error.peer }, error.reason);
+  ports.logger.warn(
+    { event: 'engines.list-failed', step: error.step, peer: error.peer },
+    error.reason,
+  );
 }
 
 /** The engines that leave by a list and not by the one before it. */
--- a/src/control/singletons/singleton-lease.ts
+++ b/src/control/singletons/singleton-lease.ts
@@ -96,7 +96,10 @@
       }),
     );
     if (error) {
-      ports.logger.info({ step: error.step, peer: error.peer }, error.reason);
+      ports.logger.info(
+        { event: 'singleton.renewal-failed', step: error.step, peer: error.peer },
+        error.reason,
+      );
       return undefined;
     }
     if (result.duty?.holder !== controller.ownerId) return undefined;
--- a/src/control/singletons/weights-orders.ts
+++ b/src/control/singletons/weights-orders.ts
@@ -64,7 +64,11 @@
     if (!role) return;
     const order = { epoch: role.epoch, by: role.by, weights };
     const [error] = errorOrValue(await sendEngineOrder(network, engine.at, order, statusTimeoutMs));
-    if (error) logger.warn({ step: error.step, peer: error.peer }, error.reason);
+    if (error)
+      logger.warn(
+        { event: 'weights.order-failed', step: error.step, peer: error.peer },
+        error.reason,
+      );
   }
 
   /**
--- a/src/control/storage/idempotency-votes.ts
+++ b/src/control/storage/idempotency-votes.ts
@@ -111,13 +111,15 @@
    * control keys.
    */
   @messageHandler('held', ListVotesRequest)
-  async listVotes(request: ListVotesRequest): HandlerResult {
+  listVotes(request: ListVotesRequest): HandlerResult {
     const disk = this.store.diskId;
     const votes = this.table.withPrefix(request.begins);
     const keys = [...this.store.registers.keys()];
-    return request.some && votes.length > MAX_VOTES_PER_REPLY
-      ? Right({ disk, votes: [], keys, more: true })
-      : Right({ disk, votes, keys });
+    return Promise.resolve(
+      request.some && votes.length > MAX_VOTES_PER_REPLY
+        ? Right({ disk, votes: [], keys, more: true })
+        : Right({ disk, votes, keys }),
+    );
   }
 
   /** Takes over votes that the old voter set had given; those that this disk has given itself stay. */
--- a/src/data/caller-api.ts
+++ b/src/data/caller-api.ts
@@ -42,11 +42,12 @@
 
   /** Whether this router takes requests. */
   @httpHandler('GET', '/healthz')
-  async health(call: IncomingRequest): Promise<void> {
+  health(call: IncomingRequest): Promise<void> {
     const lease = this.router.follower.hasLease();
     const draining = this.router.isDraining();
     const ok = lease && !draining;
     sendJson(call, ok ? 200 : 503, { ok, lease, draining });
+    return Promise.resolve();
   }
 
   /** Figures in the text form that collectors read. */
--- a/src/data/gateway/engine-chooser.ts
+++ b/src/data/gateway/engine-chooser.ts
@@ -136,7 +136,7 @@
     if (!engine) return Left(rejectionFor({ reason: 'no-engine', retryAfterMs: 0 }, route));
     return Right({
       engine,
-      weights: serving.weights.get(engine.id) || undefined,
+      weights: nonEmpty(serving.weights.get(engine.id)),
       salt: candidate.salt,
       urgency: decision.urgency,
       fetchFromAddress: prefixFetch?.source.address,
@@ -217,3 +217,8 @@
     };
   }
 }
+
+/** A text that says something; an empty one names no weights. */
+function nonEmpty(text: string | undefined): string | undefined {
+  return text === '' ? undefined : text;
+}
--- a/src/data/gateway/gateway.ts
+++ b/src/data/gateway/gateway.ts
@@ -196,12 +196,13 @@
     this.inFlight.remove(request);
   }
 
-  private async answerReadiness(call: RawIncomingRequest): Promise<void> {
+  private answerReadiness(call: RawIncomingRequest): Promise<void> {
     const { readinessPath } = this.options.adapter.callers;
     const isAsked = call.method === 'GET' && call.target.split('?', 1)[0] === readinessPath;
     const status = isAsked ? this.readinessStatus() : 404;
     call.writeHead(status, ['Content-Length', '0']);
     call.end();
+    return Promise.resolve();
   }
 
   private readinessStatus(): number {
--- a/src/data/gateway/weights-messages.ts
+++ b/src/data/gateway/weights-messages.ts
@@ -26,15 +26,15 @@
 
   /** Engines are about to take up weights. */
   @messageHandler('loading', LoadingNotice)
-  async loading(notice: LoadingNotice): HandlerResult {
+  loading(notice: LoadingNotice): HandlerResult {
     this.tracker.recordLoading(notice.engines, notice.within);
-    return Right(true);
+    return Promise.resolve(Right(true));
   }
 
   /** An engine has them. */
   @messageHandler('loaded', LoadedNotice)
-  async loaded(notice: LoadedNotice): HandlerResult {
+  loaded(notice: LoadedNotice): HandlerResult {
     this.tracker.recordReported(notice.engine, notice.weights);
-    return Right(true);
+    return Promise.resolve(Right(true));
   }
 }
--- a/src/data/generate-forwarding.ts
+++ b/src/data/generate-forwarding.ts
@@ -43,7 +43,7 @@
 
 /** Whether an engine gave an answer of its own, if only a rejection. */
 function isEngineRejection({ certainty, code }: OperationError): boolean {
-  return certainty === 'refused' && code !== undefined && code.startsWith('status-');
+  return certainty === 'refused' && code?.startsWith('status-') === true;
 }
 
 /** Asks the engine to generate; the attempt may be cut off until its first piece comes. */
--- a/src/index/index-api.ts
+++ b/src/index/index-api.ts
@@ -64,30 +64,34 @@
 
   /** All that is known, as events. */
   @httpHandler('GET', '/dump')
-  async dump(call: IncomingRequest): Promise<void> {
+  dump(call: IncomingRequest): Promise<void> {
     sendJson(call, 200, this.indexer.dump());
+    return Promise.resolve();
   }
 
   /** The listeners, how far each has heard its source, and its last error. */
   @httpHandler('GET', '/listeners')
-  async listeners(call: IncomingRequest): Promise<void> {
+  listeners(call: IncomingRequest): Promise<void> {
     const { indexer } = this;
     const listeners = indexer.listenerViews();
     sendJson(call, 200, { gateOpen: indexer.isReady(), listeners });
+    return Promise.resolve();
   }
 
   /** Whether queries are answered. */
   @httpHandler('GET', '/healthz')
-  async health(call: IncomingRequest): Promise<void> {
+  health(call: IncomingRequest): Promise<void> {
     const ok = this.indexer.isReady();
     sendJson(call, ok ? 200 : 503, { ok });
+    return Promise.resolve();
   }
 
   /** Metrics in Prometheus' text form. */
   @httpHandler('GET', '/metrics')
-  async metrics(call: IncomingRequest): Promise<void> {
+  metrics(call: IncomingRequest): Promise<void> {
     call.writeHead(200, { 'content-type': METRICS_CONTENT_TYPE });
     call.end(this.metricRows().join('\n') + '\n');
+    return Promise.resolve();
   }
 
   private metricRows(): string[] {
--- a/src/index/index-handlers.ts
+++ b/src/index/index-handlers.ts
@@ -78,33 +78,33 @@
 
   /** Tells how much of a prompt each source has cached. */
   @messageHandler('query', OverlapQuery)
-  async query(query: OverlapQuery): HandlerResult {
-    return Right(this.index.query(query));
+  query(query: OverlapQuery): HandlerResult {
+    return Promise.resolve(Right(this.index.query(query)));
   }
 
   /** Gives all that is known, as events. */
   @messageHandler('dump')
-  async dump(): HandlerResult {
-    return Right(this.index.dump());
+  dump(): HandlerResult {
+    return Promise.resolve(Right(this.index.dump()));
   }
 
   /** Gives all that is known, as rows. */
   @messageHandler('dump-rows')
-  async dumpRows(): HandlerResult {
-    return Right(this.index.dumpRows());
+  dumpRows(): HandlerResult {
+    return Promise.resolve(Right(this.index.dumpRows()));
   }
 
   /** Gives the batches that a peer missed, as far as they are retained. */
   @messageHandler('missed', MissedBatchesRequest)
-  async missed(request: MissedBatchesRequest): HandlerResult {
+  missed(request: MissedBatchesRequest): HandlerResult {
     const { source, epoch, from, to } = request;
-    return Right(this.index.ring(source).between(epoch, from, to));
+    return Promise.resolve(Right(this.index.ring(source).between(epoch, from, to)));
   }
 
   /** Takes how many blocks an engine reused. */
   @messageHandler('reused', ReuseReport)
-  async reused(report: ReuseReport): HandlerResult {
+  reused(report: ReuseReport): HandlerResult {
     this.index.reused(report);
-    return Right(undefined);
+    return Promise.resolve(Right(undefined));
   }
 }
--- a/src/index/overlap-handlers.ts
+++ b/src/index/overlap-handlers.ts
@@ -34,28 +34,32 @@
 
   /** Tells how much of a prompt each source has cached; refused until the indexer has caught up. */
   @messageHandler('overlap', OverlapRequestBody)
-  async overlap(request: OverlapRequest): HandlerResult {
+  overlap(request: OverlapRequest): HandlerResult {
     if (!this.isReady())
-      return failure('overlap', '', 'the gate is not open yet', 'refused', 'not-ready');
-    return Right(computeOverlap(this.trees, this.expectedBlocks, request, this.isReachable));
+      return Promise.resolve(
+        failure('overlap', '', 'the gate is not open yet', 'refused', 'not-ready'),
+      );
+    return Promise.resolve(
+      Right(computeOverlap(this.trees, this.expectedBlocks, request, this.isReachable)),
+    );
   }
 
   /** Takes a router's notice of a request that it placed. */
   @messageHandler('placed', PlacementNoticeBody)
-  async placed(notice: PlacementNotice, channel: PeerChannel): HandlerResult {
+  placed(notice: PlacementNotice, channel: PeerChannel): HandlerResult {
     this.trees.learnPrompt(notice.model, notice.salt, notice.parts);
     this.expectBlocks(channel, notice);
     if (notice.store !== undefined) this.expectBlocks(channel, { ...notice, engine: notice.store });
     this.watch(channel);
-    return Right(undefined);
+    return Promise.resolve(Right(undefined));
   }
 
   /** Takes a router's loads and tells those of the others. */
   @messageHandler('loads', LoadReportBody)
-  async load(report: LoadReport, channel: PeerChannel): HandlerResult {
+  load(report: LoadReport, channel: PeerChannel): HandlerResult {
     this.watch(channel);
     const router = channel.hello?.name ?? channel.peer;
-    return Right(this.loads.report(channel, router, report));
+    return Promise.resolve(Right(this.loads.report(channel, router, report)));
   }
 
   private expectBlocks(channel: PeerChannel, notice: PlacementNotice): void {
--- a/src/index/source-repair.ts
+++ b/src/index/source-repair.ts
@@ -80,11 +80,13 @@
 
   /** Refused where this replica is in doubt itself, or behind. */
   @messageHandler('whole', SourceContentRequest)
-  async whole(request: SourceContentRequest): HandlerResult {
+  whole(request: SourceContentRequest): HandlerResult {
     const content = this.copyOf(request);
-    return content
-      ? Right(content)
-      : failure('whole', request.source, 'in doubt here, or behind', 'refused', 'in-doubt');
+    return Promise.resolve(
+      content
+        ? Right(content)
+        : failure('whole', request.source, 'in doubt here, or behind', 'refused', 'in-doubt'),
+    );
   }
 }
 
--- a/src/programs/daemon.ts
+++ b/src/programs/daemon.ts
@@ -110,12 +110,12 @@
   const adapter = settings.dialect === 'platform' ? usersPlatform : undefined;
   const started = await start(ports, settings, adapter);
   if (started.isLeft()) {
-    const { step, peer, reason } = started.extract() as OperationError;
+    const { step, peer, reason } = started.extract();
     logger.error({ event: 'daemon.start-failed', step, peer }, reason);
-    process.stderr.write(`${program}: ${describeError(started.extract() as OperationError)}\n`);
+    process.stderr.write(`${program}: ${describeError(started.extract())}\n`);
     process.exit(EXIT_FAILED);
   }
-  const shutdown = makeShutdown(started.extract() as RunningService, process.exit);
+  const shutdown = makeShutdown(started.extract() as RunningService, process.exit.bind(process));
   function crash(error: unknown): void {
     const text = String((error as Error | undefined)?.stack ?? error);
     logger.error({ event: 'daemon.crashed', peer: settings.name }, text);
--- a/test/compatibility/wire.test.ts
+++ b/test/compatibility/wire.test.ts
@@ -102,7 +102,9 @@
   const server = net.createServer(taken);
   const back: Buffer[] = [];
   let finish: () => void = nothing;
-  function nothing(): void {}
+  function nothing(): void {
+    // does nothing on purpose
+  }
   function wait(done: () => void): void {
     finish = done;
   }
@@ -152,8 +154,8 @@
   function get(target: object, name: string): unknown {
     return name === 'constructor' ? Reflect.get(target, name) : note;
   }
-  async function note(taken: unknown): Promise<unknown> {
-    return Right({ taken });
+  function note(taken: unknown): Promise<unknown> {
+    return Promise.resolve(Right({ taken }));
   }
   const stand = new Proxy(Object.create(edge.prototype) as object, { get });
   const outcome = await dispatch([stand], type, body, undefined, 'peer');
--- a/test/control/change-forwarding.test.ts
+++ b/test/control/change-forwarding.test.ts
@@ -34,8 +34,9 @@
     answer = done;
   }
   const change = new Promise<Result<unknown>>(onAnswer);
-  async function sleep(ms: number): Promise<void> {
+  function sleep(ms: number): Promise<void> {
     fake.silentMs += ms;
+    return Promise.resolve();
   }
   async function ask(type: string, _body: unknown, within: number): Promise<Result<unknown>> {
     if (type !== 'order-under-way') {
--- a/test/control/change-sender.test.ts
+++ b/test/control/change-sender.test.ts
@@ -41,7 +41,9 @@
     }
     return new Promise(wait);
   }
-  function nothing(): void {}
+  function nothing(): void {
+    // does nothing on purpose
+  }
   function newestOf(): VersionedValue | undefined {
     return newest;
   }
--- a/test/control/draining-engines.test.ts
+++ b/test/control/draining-engines.test.ts
@@ -77,7 +77,9 @@
   function never(): Promise<never> {
     return new Promise(nothing);
   }
-  function nothing(): void {}
+  function nothing(): void {
+    // does nothing on purpose
+  }
   function yes(): boolean {
     return true;
   }
@@ -87,12 +89,12 @@
   function value(): { value: Engine[] } {
     return { value: [ENGINE] };
   }
-  async function ask(): Promise<unknown> {
+  function ask(): Promise<unknown> {
     const pieces = [JSON.stringify({ engines: [{ ...ENGINE, leaving: true }] })];
-    async function next(): Promise<unknown> {
-      return Right(pieces.shift());
+    function next(): Promise<unknown> {
+      return Promise.resolve(Right(pieces.shift()));
     }
-    return Right({ status: 200, headers: {}, nextChunk: next });
+    return Promise.resolve(Right({ status: 200, headers: {}, nextChunk: next }));
   }
   const controller = {
     settings,
--- a/test/control/engine-orders.test.ts
+++ b/test/control/engine-orders.test.ts
@@ -34,7 +34,8 @@
     fence: 41,
     expected: 3,
   });
-  expect(JSON.parse(again.body as string).expectedCount).toBe(3);
+  const body = JSON.parse(again.body as string) as { expectedCount: number };
+  expect(body.expectedCount).toBe(3);
 }
 
 function answers(): void {
--- a/test/control/full-disk-controller.test.ts
+++ b/test/control/full-disk-controller.test.ts
@@ -21,7 +21,7 @@
   function owns(process: Proc): boolean {
     return controllerAt(rig, process).keyOwner.owns('deployment');
   }
-  return rig.core.filter(owns)[0];
+  return rig.core.find(owns)!;
 }
 
 /** The revision that a controller describes, or what is wrong with its reply. */
--- a/test/control/key-owner.test.ts
+++ b/test/control/key-owner.test.ts
@@ -73,13 +73,17 @@
   }
 }
 
-async function succeed(): Promise<Result<void>> {
-  return Right(undefined);
+function succeed(): Promise<Result<void>> {
+  return Promise.resolve(Right(undefined));
 }
 
-function nothing(): void {}
+function nothing(): void {
+  // does nothing on purpose
+}
 
-async function learnNothing(): Promise<void> {}
+async function learnNothing(): Promise<void> {
+  // does nothing on purpose
+}
 
 async function makeThreeVoters(): Promise<Cluster> {
   const cluster = new Cluster();
--- a/test/control/lease-renewal.test.ts
+++ b/test/control/lease-renewal.test.ts
@@ -277,11 +277,13 @@
   const rig = makeRig(0);
   const kinds: string[] = [];
   const base = largeValue(1);
-  async function ask(type: string, body: unknown): Promise<unknown> {
-    if (type !== 'changes') return Right(true);
+  function ask(type: string, body: unknown): Promise<unknown> {
+    if (type !== 'changes') return Promise.resolve(Right(true));
     const [message] = body as ChangeMessage[];
     kinds.push(message.kind);
-    return Right({ lacking: message.kind === 'delta' ? [appliedEntry(base)] : [] });
+    return Promise.resolve(
+      Right({ lacking: message.kind === 'delta' ? [appliedEntry(base)] : [] }),
+    );
   }
   const channel = { request: ask } as unknown as PeerChannel;
   rig.learn(base);
--- a/test/control/leases.test.ts
+++ b/test/control/leases.test.ts
@@ -46,7 +46,9 @@
   function never(): Promise<never> {
     return new Promise(nothing);
   }
-  function nothing(): void {}
+  function nothing(): void {
+    // does nothing on purpose
+  }
   function versionOf(number: number): { key: string; epoch: number; by: string; number: number } {
     return { key: 'k', epoch: 1, by: 'a', number };
   }
--- a/test/control/linearizable-reads.test.ts
+++ b/test/control/linearizable-reads.test.ts
@@ -279,7 +279,9 @@
   expect(errorOrValue((await cluster.runUntilSettled(seen))!)[1]?.value).toBe('second');
 }
 
-function nothing(): void {}
+function nothing(): void {
+  // does nothing on purpose
+}
 
 /** Runs virtual time on in small steps, so that what has no timer goes on as well. */
 async function runFor(cluster: Cluster, ms: number): Promise<void> {
--- a/test/control/partitioned-controller.test.ts
+++ b/test/control/partitioned-controller.test.ts
@@ -154,10 +154,11 @@
     duties: true,
   });
   const polls = new Map<string, number>();
-  async function list(call: IncomingRequest): Promise<void> {
+  function list(call: IncomingRequest): Promise<void> {
     polls.set(call.peer, (polls.get(call.peer) ?? 0) + 1);
     call.writeHead(200, { 'content-type': 'application/json' });
     call.end(JSON.stringify({ instances: [], nextPageToken: null }));
+    return Promise.resolve();
   }
   await rig.net.ports(rig.w.proc('platform', PLATFORM)).network.serveHttp(`${PLATFORM}:9000`, list);
   const first = await rig.settled(rig.insist(0, PATHS.replace, 0, documentOf(10, ['/a/']), 12000));
@@ -167,7 +168,7 @@
     const { owns } = rig.controllers.get(proc.name)!.keyOwner;
     return role === 'no owner' ? !owns(CONTROL_KEYS.deployment) : owns(role);
   }
-  const cutOff = rig.core.filter(hasRole)[0];
+  const cutOff = rig.core.find(hasRole)!;
   function isOther(proc: Proc): boolean {
     return proc !== cutOff;
   }
--- a/test/control/storage-durability.test.ts
+++ b/test/control/storage-durability.test.ts
@@ -119,12 +119,14 @@
   function voters(): typeof voterSet {
     return voterSet;
   }
-  function nothing(): void {}
-  async function nobody(): Promise<Result<unknown>> {
-    return failure('ask', '', 'nobody', 'refused', 'none');
+  function nothing(): void {
+    // does nothing on purpose
   }
-  async function sync(): Promise<Result<void>> {
-    return Right(undefined);
+  function nobody(): Promise<Result<unknown>> {
+    return Promise.resolve(failure('ask', '', 'nobody', 'refused', 'none'));
+  }
+  function sync(): Promise<Result<void>> {
+    return Promise.resolve(Right(undefined));
   }
   const transport: VoterTransport = {
     ownerId: 'a.1',
--- a/test/control/storage-fixture.ts
+++ b/test/control/storage-fixture.ts
@@ -25,16 +25,16 @@
 export function portsWithFiles(files: DiskFiles, seed = 3): Ports {
   const world = makeWorld(1, false);
   const base = makeNet(world).ports(world.proc('node', '127.10.1.1'));
-  async function read(name: string): Promise<Result<Uint8Array | undefined>> {
-    return Right(files.get(name));
+  function read(name: string): Promise<Result<Uint8Array | undefined>> {
+    return Promise.resolve(Right(files.get(name)));
   }
-  async function write(name: string, bytes: Uint8Array): Promise<Result<void>> {
+  function write(name: string, bytes: Uint8Array): Promise<Result<void>> {
     files.set(name, Uint8Array.from(bytes));
-    return Right(undefined);
+    return Promise.resolve(Right(undefined));
   }
-  async function append(name: string, bytes: Uint8Array): Promise<Result<void>> {
+  function append(name: string, bytes: Uint8Array): Promise<Result<void>> {
     files.set(name, Buffer.concat([files.get(name) ?? new Uint8Array(0), bytes]));
-    return Right(undefined);
+    return Promise.resolve(Right(undefined));
   }
   return { ...base, random: seededDice(seed), disk: { read, write, append } };
 }
@@ -60,7 +60,7 @@
 
 /** Makes three voters on empty disks. */
 export async function makeThreeVoters(): Promise<ThreeVoters> {
-  const disks: DiskFiles[] = [new Map(), new Map(), new Map()];
+  const disks: DiskFiles[] = [emptyDisk(), emptyDisk(), emptyDisk()];
   const stores: ControlStore[] = [];
   const acceptors: Acceptor[] = [];
   const currentVoters: Voter[] = [];
@@ -75,11 +75,7 @@
     return { now: currentVoters, next: nextVoters };
   }
 
-  async function startOwner(
-    index: number,
-    ownerId: string,
-    passes: MessageFilter,
-  ): Promise<KeyOwner> {
+  function startOwner(index: number, ownerId: string, passes: MessageFilter): Promise<KeyOwner> {
     const transport: VoterTransport = {
       ownerId,
       timeoutMs: 100,
@@ -95,7 +91,7 @@
     }
     for (const [each, store] of stores.entries())
       acceptors[each] = new Acceptor(store, transport, portsWithFiles(disks[each]));
-    return makeKeyOwner(stores[index], transport);
+    return Promise.resolve(makeKeyOwner(stores[index], transport));
   }
 
   function learnedValue(index: number): unknown {
@@ -116,9 +112,13 @@
   return { startOwner, learnedValue, resetDisk, replaceDisk };
 }
 
-function doNothing(): void {}
+function doNothing(): void {
+  // does nothing on purpose
+}
 
-async function learnNothing(): Promise<void> {}
+async function learnNothing(): Promise<void> {
+  // does nothing on purpose
+}
 
 function copyOf(files: DiskFiles): DiskFiles {
   return new Map(files);
@@ -160,3 +160,7 @@
     yield { what: `${name} gone`, files: without };
   }
 }
+
+function emptyDisk(): DiskFiles {
+  return new Map<string, Uint8Array>();
+}
--- a/test/control/storage-full-disk.test.ts
+++ b/test/control/storage-full-disk.test.ts
@@ -219,9 +219,11 @@
   function voters(): VoterSet {
     return { now: [{ disk: store.diskId, at: '10.1.0.1:7000' }] };
   }
-  function nothing(): void {}
-  async function nobody(): Promise<Result<unknown>> {
-    return failure('ask', '', 'nobody', 'refused', 'none');
+  function nothing(): void {
+    // does nothing on purpose
+  }
+  function nobody(): Promise<Result<unknown>> {
+    return Promise.resolve(failure('ask', '', 'nobody', 'refused', 'none'));
   }
   const transport = {
     ownerId: 'a.1',
--- a/test/control/storage-log-deltas.test.ts
+++ b/test/control/storage-log-deltas.test.ts
@@ -33,22 +33,22 @@
 
 /** A disk in memory that counts what is written on it. */
 function countingDisk(written: WrittenFiles): Disk {
-  async function read(name: string): Promise<Result<Uint8Array | undefined>> {
-    return Right(written.files.get(name));
+  function read(name: string): Promise<Result<Uint8Array | undefined>> {
+    return Promise.resolve(Right(written.files.get(name)));
   }
   function count(bytes: Uint8Array): void {
     written.bytes += bytes.length;
     written.writes++;
   }
-  async function write(name: string, bytes: Uint8Array): Promise<Result<void>> {
+  function write(name: string, bytes: Uint8Array): Promise<Result<void>> {
     count(bytes);
     written.files.set(name, Uint8Array.from(bytes));
-    return Right(undefined);
+    return Promise.resolve(Right(undefined));
   }
-  async function append(name: string, bytes: Uint8Array): Promise<Result<void>> {
+  function append(name: string, bytes: Uint8Array): Promise<Result<void>> {
     count(bytes);
     written.files.set(name, Buffer.concat([written.files.get(name) ?? new Uint8Array(0), bytes]));
-    return Right(undefined);
+    return Promise.resolve(Right(undefined));
   }
   return { read, write, append };
 }
@@ -97,7 +97,9 @@
   function ask(_: Voter, type: string, body: unknown): Promise<Result<unknown>> {
     return dispatch([acceptor], type, body, undefined, 'here');
   }
-  function nothing(): void {}
+  function nothing(): void {
+    // does nothing on purpose
+  }
   function learnHere(change: VersionedValue): Promise<unknown> {
     return acceptor.learn({ change });
   }
--- a/test/data/bare-caller.ts
+++ b/test/data/bare-caller.ts
@@ -20,7 +20,9 @@
   function data(p: Buffer): void {
     text += p.toString('latin1');
   }
-  function nothing(): void {}
+  function nothing(): void {
+    // does nothing on purpose
+  }
   socket.on('data', data);
   socket.on('error', nothing);
   function up(done: () => void): void {
--- a/test/data/engine-connections.test.ts
+++ b/test/data/engine-connections.test.ts
@@ -58,8 +58,9 @@
       return t.at > time;
     }
   }
-  async function connect(at: string): Promise<Result<HttpConnection>> {
-    if (isDark) return failure('connect', at, 'no connection in time', 'refused', 'timeout');
+  function connect(at: string): Promise<Result<HttpConnection>> {
+    if (isDark)
+      return Promise.resolve(failure('connect', at, 'no connection in time', 'refused', 'timeout'));
     let fits = true;
     let told: () => void;
     let end: (v: { surplus: boolean }) => void;
@@ -95,7 +96,7 @@
       end: endWith,
     };
     made.push(h);
-    return Right(h);
+    return Promise.resolve(Right(h));
   }
   function dark(on: boolean): void {
     isDark = on;
--- a/test/data/gateway-fixture.ts
+++ b/test/data/gateway-fixture.ts
@@ -252,7 +252,9 @@
   }
   if (ways.engines) tellEngines(ways.engines);
   if (ways.deployment) tell(CONTROL_KEYS.deployment, { revision: 1, doc: ways.deployment });
-  function sink(): void {}
+  function sink(): void {
+    // does nothing on purpose
+  }
   const log = { info: sink, notice: sink, warn: sink, error: sink };
   const follower = {
     hasLease: isLive,
@@ -360,7 +362,9 @@
       function closed(): void {
         done({ id, status: res.statusCode!, headers: res.headers, body, isComplete: res.complete });
       }
-      function nothing(): void {}
+      function nothing(): void {
+        // does nothing on purpose
+      }
       res.on('data', data);
       res.on('error', nothing);
       res.on('close', closed);
--- a/test/data/gateway-late-bytes.test.ts
+++ b/test/data/gateway-late-bytes.test.ts
@@ -77,7 +77,9 @@
 /** Bodies from this size on are taken to be read in part only. */
 const SMALL = 1000;
 
-function nothing(): void {}
+function nothing(): void {
+  // does nothing on purpose
+}
 
 function answerOf(id: string, body: string): string {
   return `HTTP/1.1 200 OK\r\nPlumhollow-Attempt-Id: ${id}\r\nPlumhollow-Response-Seal: s\r\nContent-Length: ${body.length}\r\n\r\n${body}`;
--- a/test/data/gateway-readiness.test.ts
+++ b/test/data/gateway-readiness.test.ts
@@ -109,7 +109,9 @@
 
 async function drains(): Promise<void> {
   let finish: () => void = nothing;
-  function nothing(): void {}
+  function nothing(): void {
+    // does nothing on purpose
+  }
   let began: () => void;
   function wait(done: () => void): void {
     began = done;
--- a/test/data/gateway-transcripts.test.ts
+++ b/test/data/gateway-transcripts.test.ts
@@ -41,7 +41,9 @@
       }
       if (answer.endsWith('half')) setImmediate(cut);
     }
-    function nothing(): void {}
+    function nothing(): void {
+      // does nothing on purpose
+    }
     s.on('data', data);
     s.on('error', nothing);
   }
--- a/test/data/gateway-uncertain-attempts.test.ts
+++ b/test/data/gateway-uncertain-attempts.test.ts
@@ -34,7 +34,9 @@
 }
 
 /** Takes the request and says nothing. */
-function silent(): void {}
+function silent(): void {
+  // does nothing on purpose
+}
 
 async function brokenOff(): Promise<void> {
   const e = await startStandIn('e1', breaksOff);
--- a/test/data/held-streams.ts
+++ b/test/data/held-streams.ts
@@ -18,7 +18,9 @@
 export function heldStreams(isSilent = false): HeldStreams {
   const ends: (() => void)[] = [];
   let tellHeld = nothing;
-  function nothing(): void {}
+  function nothing(): void {
+    // does nothing on purpose
+  }
 
   function answer(c: EngineCall): void {
     function begin(): void {
--- a/test/index/index-loads.test.ts
+++ b/test/index/index-loads.test.ts
@@ -3,7 +3,7 @@
 import { computeOverlap } from '../../src/index/overlap';
 import { OverlapHandlers } from '../../src/index/overlap-handlers';
 import { PeerChannel } from '../../src/shared/transport/connections';
-import { makePrefixTrees, PrefixTrees } from '../../src/index/prefix-trees';
+import { makePrefixTrees, PrefixTrees, Rows } from '../../src/index/prefix-trees';
 import { EngineLoad, WireBlock } from '../../src/shared/contracts/indexer';
 
 const PROMPT: WireBlock[] = [
@@ -17,7 +17,9 @@
   return time;
 }
 
-function none(): void {}
+function none(): void {
+  // does nothing on purpose
+}
 
 function keep(trees: PrefixTrees, source: string, hash: string, size: number): void {
   trees.apply(source, {
@@ -224,7 +226,9 @@
   function reached(): boolean {
     return true;
   }
-  function never(): void {}
+  function never(): void {
+    // does nothing on purpose
+  }
   const router = { closed: new Promise<void>(never), peer: 'r1' } as unknown as PeerChannel;
   const edge = new OverlapHandlers(trees, coming, makeLoadBoard(now, 900), reached, ready);
   keep(trees, 'store', 'a', 800);
@@ -280,7 +284,7 @@
   function wanted(s: string): boolean {
     return s !== 'gone';
   }
-  other.loadRows(JSON.parse(JSON.stringify(trees.rows())), wanted);
+  other.loadRows(JSON.parse(JSON.stringify(trees.rows())) as Rows, wanted);
   expect(computeOverlap(other, coming, ask())).toEqual([
     ['e1', 1450, 0],
     ['e2', 800, 0],
--- a/test/tools/worst-days.test.ts
+++ b/test/tools/worst-days.test.ts
@@ -45,8 +45,8 @@
 
 /** Reads give what this controller has heard of, without asking the others. */
 function readsOwnMemory(controller: Controller): void {
-  async function newest(key: string): ReturnType<Controller['readLinearizable']> {
-    return Right(controller.committedValue(key)?.place);
+  function newest(key: string): ReturnType<Controller['readLinearizable']> {
+    return Promise.resolve(Right(controller.committedValue(key)?.place));
   }
   controller.readLinearizable = newest;
 }
@@ -54,9 +54,11 @@
 /** Acknowledges a change before it is made. */
 function acknowledgesAtOnce(controller: Controller): void {
   const { change } = controller;
-  async function changeLater(operation: Parameters<typeof change>[0]): ReturnType<typeof change> {
+  function changeLater(operation: Parameters<typeof change>[0]): ReturnType<typeof change> {
     void change(operation);
-    return Right({ place: { epoch: 0, by: '', number: 0 }, inEffect: false, value: undefined });
+    return Promise.resolve(
+      Right({ place: { epoch: 0, by: '', number: 0 }, inEffect: false, value: undefined }),
+    );
   }
   controller.change = changeLater;
 }
@@ -66,11 +68,11 @@
   const { store: slots } = controller;
   const { put } = slots;
   const unwritten: LogEntry[] = [];
-  async function putLater(line: LogEntry): ReturnType<typeof put> {
+  function putLater(line: LogEntry): ReturnType<typeof put> {
     applyLogEntry(slots.registers, line);
     unwritten.push(line);
     if (unwritten.length > UNWRITTEN_LINES) void put(unwritten.shift()!);
-    return Right(undefined);
+    return Promise.resolve(Right(undefined));
   }
   slots.put = putLater;
 }
--- a/tools/capacity/load.ts
+++ b/tools/capacity/load.ts
@@ -30,8 +30,8 @@
     timeoutMs: 2000,
     retryPauseMs: 200,
   });
-  async function up(): Promise<boolean> {
-    return held.channel() !== undefined;
+  function up(): Promise<boolean> {
+    return Promise.resolve(held.channel() !== undefined);
   }
   await h.until(5000, up);
   return held;
--- a/tools/capacity/platform-axes.ts
+++ b/tools/capacity/platform-axes.ts
@@ -166,7 +166,7 @@
 }
 
 function runOverlaps(size: number, folder: string, net: number): Promise<Measured> {
-  async function asks(h: Hollow): Promise<
+  function asks(h: Hollow): Promise<
     {
       name: string;
       n: number;
@@ -174,17 +174,17 @@
       make: (n: number) => { type: string; body: unknown };
     }[]
   > {
-    return [
+    return Promise.resolve([
       { name: 'overlap', n: 4, perS: size, make: overlapOf(h) },
       { name: 'placed', n: 4, perS: size, make: placedOf(h) },
-    ];
+    ]);
   }
   return runIndexer({ engines: 4, holds: 20000 }, asks, folder, net);
 }
 
 /** The board: 16 routers' tells at 20 a second each, as at a bound of 2 s, with requests at every engine. */
 function runBoard(size: number, folder: string, net: number): Promise<Measured> {
-  async function asks(): Promise<
+  function asks(): Promise<
     {
       name: string;
       n: number;
@@ -192,7 +192,7 @@
       make: (n: number) => { type: string; body: unknown };
     }[]
   > {
-    return [{ name: 'tell', n: 16, perS: 320, make: boardOf(size, 40) }];
+    return Promise.resolve([{ name: 'tell', n: 16, perS: 320, make: boardOf(size, 40) }]);
   }
   return runIndexer({}, asks, folder, net);
 }
--- a/tools/capacity/platform.ts
+++ b/tools/capacity/platform.ts
@@ -19,13 +19,14 @@
 
 /** Starts the platform's stand-in list, page by page. */
 export function startList(ports: Ports, at: string, engines: Engine[]): Promise<Result<Listener>> {
-  async function take(call: IncomingRequest): Promise<void> {
+  function take(call: IncomingRequest): Promise<void> {
     const from = Number(call.query.get('pageToken') ?? 0);
     const instances = engines.slice(from, from + PAGE).map(listed);
     sendJson(call, 200, {
       instances,
       nextPageToken: from + PAGE < engines.length ? String(from + PAGE) : null,
     });
+    return Promise.resolve();
   }
   return ports.network.serveHttp(at, take);
 }
--- a/tools/capacity/role.ts
+++ b/tools/capacity/role.ts
@@ -110,7 +110,7 @@
   return more;
 }
 
-async function nodes(list: Settings[]): Promise<More> {
+function nodes(list: Settings[]): Promise<More> {
   const all: Follower[] = [];
   let changes = 0;
   function changed(n: VersionedValue): void {
@@ -135,7 +135,7 @@
     void f.changes.observe(changed);
     all.push(f);
   }
-  return followersMore(all, changed_);
+  return Promise.resolve(followersMore(all, changed_));
   function changed_(): number {
     return changes;
   }
@@ -187,7 +187,7 @@
   return followersMore(all.map(followerOf), done);
 }
 
-export async function sources(dialect: string, list: SourceWays[]): Promise<More> {
+async function sources(dialect: string, list: SourceWays[]): Promise<More> {
   const ports = portsFor('sources', '.', 1000);
   for (const w of list) {
     const o = await (dialect === 'platform'
--- a/tools/capacity/sources.ts
+++ b/tools/capacity/sources.ts
@@ -97,7 +97,7 @@
 
   /** Says that it has room. */
   @httpHandler('GET', '/api/status')
-  async status(call: IncomingRequest): Promise<void> {
+  status(call: IncomingRequest): Promise<void> {
     sendJson(call, 200, {
       id: this.w.id,
       model: this.w.model,
@@ -109,6 +109,7 @@
       unreadTokens: 100,
       leaving: false,
     });
+    return Promise.resolve();
   }
 }
 
--- a/tools/compatibility/disk-state.ts
+++ b/tools/compatibility/disk-state.ts
@@ -40,16 +40,16 @@
 export function portsOfFiles(files: DiskFiles, seed = DICE_SEED): Ports {
   const world = makeWorld(1, false);
   const base = makeNet(world).ports(world.proc('node', '127.10.1.1'));
-  async function read(name: string): Promise<Result<Uint8Array | undefined>> {
-    return Right(files.get(name));
+  function read(name: string): Promise<Result<Uint8Array | undefined>> {
+    return Promise.resolve(Right(files.get(name)));
   }
-  async function write(name: string, bytes: Uint8Array): Promise<Result<void>> {
+  function write(name: string, bytes: Uint8Array): Promise<Result<void>> {
     files.set(name, Uint8Array.from(bytes));
-    return Right(undefined);
+    return Promise.resolve(Right(undefined));
   }
-  async function append(name: string, bytes: Uint8Array): Promise<Result<void>> {
+  function append(name: string, bytes: Uint8Array): Promise<Result<void>> {
     files.set(name, Buffer.concat([files.get(name) ?? new Uint8Array(0), bytes]));
-    return Right(undefined);
+    return Promise.resolve(Right(undefined));
   }
   return { ...base, random: seededDice(seed), disk: { read, write, append } };
 }
@@ -123,5 +123,5 @@
       votesDisk: kept.disk,
       votesSpoilt: kept.isCorrupt,
     }),
-  );
+  ) as DiskState;
 }
--- a/tools/compatibility/fixtures.ts
+++ b/tools/compatibility/fixtures.ts
@@ -40,7 +40,7 @@
 
 /** Reads what is expected of the fixtures. */
 export function loadExpected(): Expected {
-  return JSON.parse(readFileSync(expectedPath(FIXTURES), 'utf8'));
+  return JSON.parse(readFileSync(expectedPath(FIXTURES), 'utf8')) as Expected;
 }
 
 /** Reads the files of a recorded disk. */
--- a/tools/compatibility/scenarios.ts
+++ b/tools/compatibility/scenarios.ts
@@ -44,7 +44,9 @@
   function ownLoads(): EngineLoad[] {
     return own;
   }
-  function nothing(): void {}
+  function nothing(): void {
+    // does nothing on purpose
+  }
   function memberAt(at: string): Member {
     return { name: at, role: 'indexer', at, http: '', zone: 'z', life: 'a' };
   }
--- a/tools/compatibility/served.ts
+++ b/tools/compatibility/served.ts
@@ -41,5 +41,5 @@
   if ((await until(fleet, PATIENCE_MS, areUp, 10)) === undefined) return undefined;
   const answers: ServedAnswers = {};
   for (const path of PATHS) answers[path] = await asked(fleet, 'GET', path);
-  return JSON.parse(JSON.stringify(answers));
+  return JSON.parse(JSON.stringify(answers)) as ServedAnswers;
 }
--- a/tools/compatibility/stored-dump.ts
+++ b/tools/compatibility/stored-dump.ts
@@ -31,8 +31,8 @@
 
   /** Gives the recorded dump. */
   @messageHandler('dump-rows')
-  async dumpRows(): HandlerResult {
-    return Right(this.dump);
+  dumpRows(): HandlerResult {
+    return Promise.resolve(Right(this.dump));
   }
 }
 
--- a/tools/compatibility/write-on.ts
+++ b/tools/compatibility/write-on.ts
@@ -61,7 +61,7 @@
         votes: ((await votes.listVotes({ begins: '' })).extract() as { votes: Vote[] }).votes,
         digests,
       }),
-    );
+    ) as typeof last;
   }
   return last!;
 }
--- a/tools/fleet/fleet.ts
+++ b/tools/fleet/fleet.ts
@@ -196,7 +196,7 @@
     .option('--place-by <way>', 'index or affinity', 'index')
     .option('--scale <x>', "callers' rate against the brief's", '1')
     .parse();
-  const o = cmd.opts() as RunnerWays & Partial<SoakOptions>;
+  const o = cmd.opts<RunnerWays & Partial<SoakOptions>>();
   if (o.soak !== undefined) process.exit((await runSoaks(o as SoakOptions)) ? 0 : 1);
   if (o.platform !== undefined) process.exit((await runPlatform(o as PlatformOptions)) ? 0 : 1);
   const d = makeDeployment(cmd.args[0], Number(o.net));
--- a/tools/fleet/machines.ts
+++ b/tools/fleet/machines.ts
@@ -153,7 +153,7 @@
     const child = p.child;
     p.child = undefined;
     const k = kept<void>();
-    if (!child || child.exitCode !== null || child.signalCode !== null) return Promise.resolve();
+    if (child?.exitCode !== null || child.signalCode !== null) return Promise.resolve();
     ending.add(k.promise);
     child.once('exit', gone);
     child.kill(signal);
--- a/tools/fleet/processes.ts
+++ b/tools/fleet/processes.ts
@@ -41,7 +41,7 @@
   function wait(done: () => void): void {
     function said(b: Buffer): void {
       if (String(b).includes('is up')) done();
-      else process.stderr.write(`${name}: ${b}`);
+      else process.stderr.write(`${name}: ${String(b)}`);
     }
     child.stdout!.on('data', said);
   }
--- a/tools/model/disk.ts
+++ b/tools/model/disk.ts
@@ -74,14 +74,14 @@
     digested = undefined;
   }
 
-  async function read(name: string): Promise<Result<Uint8Array | undefined>> {
+  function read(name: string): Promise<Result<Uint8Array | undefined>> {
     const file = files.get(name);
     if (syncedReads && file && file.durable !== file.cached) {
       file.durable = file.cached;
       version++;
       changed();
     }
-    return Right(file?.cached);
+    return Promise.resolve(Right(file?.cached));
   }
 
   function port(schedule: (label: string, sync: () => void) => void): Disk {
@@ -143,8 +143,8 @@
     function atOnce(_label: string, sync: () => void): void {
       sync();
     }
-    async function readDurable(name: string): Promise<Result<Uint8Array | undefined>> {
-      return Right(bytes.get(name));
+    function readDurable(name: string): Promise<Result<Uint8Array | undefined>> {
+      return Promise.resolve(Right(bytes.get(name)));
     }
     return { ...copy.port(atOnce), read: readDurable };
   }
--- a/tools/model/faults.ts
+++ b/tools/model/faults.ts
@@ -26,7 +26,7 @@
 
 /** All ways in which a power loss may leave some files. */
 function remaindersOf(names: string[]): Map<string, Remainder>[] {
-  let ways: Map<string, Remainder>[] = [new Map()];
+  let ways = [new Map<string, Remainder>()];
   for (const name of names) {
     const more: Map<string, Remainder>[] = [];
     for (const way of ways)
@@ -42,7 +42,9 @@
   return parts.length === 0 ? 'nothing was unsynced' : parts.join(', ');
 }
 
-function nothing(): void {}
+function nothing(): void {
+  // does nothing on purpose
+}
 
 /** Makes the faults of one run; budgets are spent as they happen. */
 export function makeFaults({ nodes, network, budgets, mayWipe }: FaultParts): Faults {
--- a/tools/model/mutations.ts
+++ b/tools/model/mutations.ts
@@ -49,18 +49,18 @@
 
 /** An acceptor that answers before its sync. */
 function unsyncedSlots(slots: ControlStore): ControlStore {
-  async function put(line: LogEntry): Promise<Result<void>> {
+  function put(line: LogEntry): Promise<Result<void>> {
     void slots.put(line);
-    return Right(undefined);
+    return Promise.resolve(Right(undefined));
   }
   return { ...slots, put };
 }
 
 /** A disk whose whole files count as written before they are synced. */
 function unsyncedWrites(disk: Disk): Disk {
-  async function write(name: string, bytes: Uint8Array): Promise<Result<void>> {
+  function write(name: string, bytes: Uint8Array): Promise<Result<void>> {
     void disk.write(name, bytes);
-    return Right(undefined);
+    return Promise.resolve(Right(undefined));
   }
   return { ...disk, write };
 }
@@ -154,16 +154,16 @@
 
 /** A change of the voters that commits no key anew for the new disks. */
 function carryNothing(owner: KeyOwner): KeyOwner {
-  async function own(): ReturnType<KeyOwner['acquire']> {
-    return Right(undefined);
+  function own(): ReturnType<KeyOwner['acquire']> {
+    return Promise.resolve(Right(undefined));
   }
   return { ...owner, acquire: own, reacquire: own };
 }
 
 /** A read that goes by what is learned here. */
 function readHere(parts: ReadDependencies): ReadDependencies {
-  async function askVoter(v: Voter): Promise<Result<unknown>> {
-    return Right({ disk: v.disk });
+  function askVoter(v: Voter): Promise<Result<unknown>> {
+    return Promise.resolve(Right({ disk: v.disk }));
   }
   return { ...parts, requestVoter: askVoter };
 }
--- a/tools/model/node.ts
+++ b/tools/model/node.ts
@@ -83,7 +83,9 @@
   return Right(doc);
 }
 
-function nothing(): void {}
+function nothing(): void {
+  // does nothing on purpose
+}
 
 const log = { info: nothing, notice: nothing, warn: nothing, error: nothing };
 
--- a/tools/model/operators.ts
+++ b/tools/model/operators.ts
@@ -165,8 +165,10 @@
     }
   }
 
-  async function handle(type: string): Promise<Result<unknown>> {
-    return Left(makeError(type, operator.name, 'asks only', 'refused', 'not-known'));
+  function handle(type: string): Promise<Result<unknown>> {
+    return Promise.resolve(
+      Left(makeError(type, operator.name, 'asks only', 'refused', 'not-known')),
+    );
   }
 
   function describe(): string {
--- a/tools/model/replace.ts
+++ b/tools/model/replace.ts
@@ -19,17 +19,21 @@
 
   /** Tells the names of the keys that are kept here. */
   @messageHandler('held')
-  async held(): HandlerResult {
-    return Right({ disk: this.slots.diskId, votes: [], keys: [...this.slots.registers.keys()] });
+  held(): HandlerResult {
+    return Promise.resolve(
+      Right({ disk: this.slots.diskId, votes: [], keys: [...this.slots.registers.keys()] }),
+    );
   }
 
   /** A change is in effect once it is learned here. */
   @messageHandler('effect')
-  async effect(m: Version & { key: string }): HandlerResult {
+  effect(m: Version & { key: string }): HandlerResult {
     const learned = this.slots.registers.get(m.key)?.learned;
-    return learned && compareVersions(learned, m) >= 0
-      ? Right({ disk: this.slots.diskId })
-      : failure('effect', this.slots.diskId, 'not learned here', 'unknown', 'pending');
+    return Promise.resolve(
+      learned && compareVersions(learned, m) >= 0
+        ? Right({ disk: this.slots.diskId })
+        : failure('effect', this.slots.diskId, 'not learned here', 'unknown', 'pending'),
+    );
   }
 }
 
--- a/tools/model/world.ts
+++ b/tools/model/world.ts
@@ -46,7 +46,9 @@
   return { version, disk: { disk: disk.diskId, cells: disk.registers } };
 }
 
-function nothing(): void {}
+function nothing(): void {
+  // does nothing on purpose
+}
 
 const SILENT = { info: nothing, notice: nothing, warn: nothing, error: nothing };
 
--- a/tools/sim/feeds.ts
+++ b/tools/sim/feeds.ts
@@ -80,11 +80,15 @@
 
 type Trouble = (t: Scene, caches: Cache[]) => Promise<void>;
 
+function ignore(): void {
+  // does nothing on purpose
+}
+
 /** Leaves a mechanism out of every indexer. */
 function leaveOut(t: Scene): void {
   for (const ix of t.indexers) {
     if (without === 'lists') ix.sources.snapshot = undefined;
-    if (without === 'notes') ix.expectedBlocks.expect = nothing;
+    if (without === 'notes') ix.expectedBlocks.expect = ignore;
   }
 }
 
@@ -93,12 +97,13 @@
 }
 
 /** Some engines lose the events that they hold, and tell late for a while. */
-async function gap(t: Scene): Promise<void> {
+function gap(t: Scene): Promise<void> {
   for (const s of engines(t).slice(0, 3)) {
     s.loseHeld();
     s.ways.lateMs = 1500;
   }
   void healed();
+  return Promise.resolve();
   async function healed(): Promise<void> {
     await t.sleep(4000);
     for (const s of engines(t)) s.ways.lateMs = 80;
@@ -106,13 +111,15 @@
 }
 
 /** Each engine's next events are never told. */
-async function never(t: Scene): Promise<void> {
+function never(t: Scene): Promise<void> {
   for (const s of engines(t)) s.loseNext(25);
+  return Promise.resolve();
 }
 
-async function restarts(t: Scene, caches: Cache[]): Promise<void> {
+function restarts(t: Scene, caches: Cache[]): Promise<void> {
   engines(t)[0].restart();
   caches[0].clear();
+  return Promise.resolve();
 }
 
 function killed(which: number[]): Trouble {
@@ -135,7 +142,9 @@
   }
 }
 
-async function nothing(): Promise<void> {}
+async function nothing(): Promise<void> {
+  // does nothing on purpose
+}
 
 const TROUBLES: [string, Trouble, number?][] = [
   ['none', nothing],
@@ -263,7 +272,7 @@
     .option('--only <text>', 'only troubles whose name has this')
     .option('--without <mechanism>', 'leave out lists or notes')
     .parse();
-  const o = cmd.opts() as { seeds: string; only?: string; without?: string };
+  const o = cmd.opts<{ seeds: string; only?: string; without?: string }>();
   without = o.without;
   process.stdout.write(
     '| trouble at 20 s | too little, of held | too much, of held | back under 0.05 after ms | lists | 1,000 shared tokens read again |\n| --- | --- | --- | --- | --- | --- |\n',
--- a/tools/sim/overlap.ts
+++ b/tools/sim/overlap.ts
@@ -146,7 +146,7 @@
     .option('--only <text>', 'only faults whose name has this')
     .option('--without <mechanism>', 'leave a mechanism out')
     .parse();
-  const o = cmd.opts() as { deployment: string; seeds: string; without?: string; only?: string };
+  const o = cmd.opts<{ deployment: string; seeds: string; without?: string; only?: string }>();
   if (o.without) MECHANISMS[o.without]();
   process.stdout.write(
     '| fault at 20 s | too little, of held | too much, of held | worst second | back under 0.05 after ms |\n| --- | --- | --- | --- | --- |\n',
--- a/tools/sim/sim.ts
+++ b/tools/sim/sim.ts
@@ -191,7 +191,7 @@
     .option('--worst', "worst days of the core: storms of operators' changes under faults")
     .option('--trace', 'with --seed: print the trace')
     .parse();
-  const o = cmd.opts() as {
+  const o = cmd.opts<{
     seeds: string;
     from: string;
     seed?: string;
@@ -206,7 +206,7 @@
     short?: string;
     long?: string;
     jobs?: string;
-  };
+  }>();
   if (
     !DEPLOYMENTS.includes(o.deployment) ||
     (o.without !== undefined && !(o.without in MECHANISMS))
--- a/tools/sim/simfleet.ts
+++ b/tools/sim/simfleet.ts
@@ -252,7 +252,7 @@
     w.after(1000, judge);
     function judge(): void {
       if (p.life !== life || !p.alive || p.frozen || (p.disturbedAt ?? -1) >= at) return;
-      for (const m of open) if (m.knownAt === undefined) m.knownAt = at;
+      for (const m of open) m.knownAt ??= at;
     }
   }
   function unknown(m: Mark): boolean {
--- a/tools/sim/simops.ts
+++ b/tools/sim/simops.ts
@@ -59,8 +59,9 @@
   const r = await askCore(f, method, path, body, first);
   const body2 = 'body' in r ? r.body : {};
   const sort = (body2?.error as { class?: string } | undefined)?.class;
+  const change = body2?.change as string | undefined;
   const sure = r.status !== 0 ? sort !== 'unknown' : (r as { sure: boolean }).sure;
-  f.w.trace(`operator ${method} ${path} ${r.status} ${String(body2?.change ?? sort ?? '')}`);
+  f.w.trace(`operator ${method} ${path} ${r.status} ${change ?? sort ?? ''}`);
   if (r.status === 200) {
     log.acks++;
     log.effectMs.push(f.w.now() - sent);
--- a/tools/sim/simwire.ts
+++ b/tools/sim/simwire.ts
@@ -83,15 +83,13 @@
       return p.alive && p.life === life;
     }
 
-    async function listen(
-      at: string,
-      l: Omit<SimListener, 'proc' | 'life'>,
-    ): Promise<Result<Listener>> {
+    function listen(at: string, l: Omit<SimListener, 'proc' | 'life'>): Promise<Result<Listener>> {
       listeners.set(at, { ...l, proc: p, life });
-      async function close(): Promise<void> {
+      function close(): Promise<void> {
         if (listeners.get(at)?.proc === p) listeners.delete(at);
+        return Promise.resolve();
       }
-      return Right({ address: at, close });
+      return Promise.resolve(Right({ address: at, close }));
     }
 
     function dial(at: string, within: number): Promise<Result<Connection>> {
@@ -245,11 +243,13 @@
         function makeCall(rec: PipeEnds): IncomingRequest {
           const url = new URL(q.path, 'http://node');
           let closed = false;
-          async function body(most: number): Promise<Result<string>> {
+          function body(most: number): Promise<Result<string>> {
             const text = q.body ?? '';
-            return text.length > most
-              ? Left(makeError('read body', p.ip, `over ${most} bytes`, 'refused', 'too-large'))
-              : Right(text);
+            return Promise.resolve(
+              text.length > most
+                ? Left(makeError('read body', p.ip, `over ${most} bytes`, 'refused', 'too-large'))
+                : Right(text),
+            );
           }
           function head(status: number, headers: Record<string, string>): void {
             if (closed) return;
@@ -260,13 +260,13 @@
             }
             back!.send(arriveHead);
           }
-          async function piece(text: string): Promise<boolean> {
-            if (closed || gone.signal.aborted || back!.broken()) return false;
+          function piece(text: string): Promise<boolean> {
+            if (closed || gone.signal.aborted || back!.broken()) return Promise.resolve(false);
             function arrivePiece(): void {
               if (!over) settleOne(Right(text));
             }
             back!.send(arrivePiece);
-            return true;
+            return Promise.resolve(true);
           }
           function end(text?: string): void {
             if (closed) return;
--- a/tools/sim/simworld.ts
+++ b/tools/sim/simworld.ts
@@ -62,7 +62,9 @@
     return time;
   }
 
-  function nothing(): void {}
+  function nothing(): void {
+    // does nothing on purpose
+  }
 
   function after(ms: number, run: () => void): () => void {
     const e: SimEvent = { at: time + Math.max(0, ms), n: ++count, run };
@@ -174,8 +176,8 @@
       }
       return new Promise(wait);
     }
-    async function read(name: string): Promise<Result<Uint8Array | undefined>> {
-      return Right(p.files.get(name));
+    function read(name: string): Promise<Result<Uint8Array | undefined>> {
+      return Promise.resolve(Right(p.files.get(name)));
     }
     function join(a: Uint8Array | undefined, b: Uint8Array): Uint8Array {
       return Buffer.concat([a ?? new Uint8Array(0), b]);
--- a/tools/sim/without.ts
+++ b/tools/sim/without.ts
@@ -33,8 +33,8 @@
 }
 
 function noVotes(): void {
-  async function won(): Promise<once.KeyAcquisition> {
-    return { isAcquired: true, state: 'running' };
+  function won(): Promise<once.KeyAcquisition> {
+    return Promise.resolve({ isAcquired: true, state: 'running' });
   }
   function mark(): undefined {
     return undefined;
@@ -44,8 +44,8 @@
 }
 
 function noEffect(): void {
-  async function atOnce(this: { store: { diskId: string } }): Promise<Result<unknown>> {
-    return Right({ disk: this.store.diskId });
+  function atOnce(this: { store: { diskId: string } }): Promise<Result<unknown>> {
+    return Promise.resolve(Right({ disk: this.store.diskId }));
   }
   (leases.LeaseRegistry.prototype as unknown as Patch).effect = atOnce;
 }
@@ -76,7 +76,9 @@
   function endless(s: Settings): bounds.TimeLimits {
     return { ...real(s), oldWeightsRetireMs: Infinity };
   }
-  async function nothing(): Promise<void> {}
+  async function nothing(): Promise<void> {
+    // does nothing on purpose
+  }
   (bounds as unknown as Patch).timeLimitsOf = endless;
   (oldWeights as unknown as Patch).retireOldWeights = nothing;
 }
@@ -109,9 +111,9 @@
     ...x: Parameters<typeof slots.openControlStore>
   ): Promise<Result<slots.ControlStore>> {
     function skip(s: slots.ControlStore): slots.ControlStore {
-      async function put(l: slots.LogEntry): Promise<Result<void>> {
+      function put(l: slots.LogEntry): Promise<Result<void>> {
         slots.applyLogEntry(s.registers, l);
-        return Right(undefined);
+        return Promise.resolve(Right(undefined));
       }
       return { ...s, put };
     }
@@ -270,9 +272,11 @@
     ...x: Parameters<typeof forwarding.forwardAttempt>
   ): Promise<forwarding.ForwardOutcome> {
     if (++calls % 20 !== 0) return real(...x);
-    function nothing(): void {}
-    async function taken(): Promise<boolean> {
-      return true;
+    function nothing(): void {
+      // does nothing on purpose
+    }
+    function taken(): Promise<boolean> {
+      return Promise.resolve(true);
     }
     const [call, ...rest] = x;
     void real({ ...call, writeHead: nothing, write: taken, end: nothing }, ...rest);
@@ -288,13 +292,13 @@
 function noRepair(way: 'peers' | 'returns' | 'doubt'): () => void {
   function patch(): void {
     if (way === 'peers') {
-      async function none(): Promise<Result<unknown>> {
-        return Right([]);
+      function none(): Promise<Result<unknown>> {
+        return Promise.resolve(Right([]));
       }
       (indexMessages.IndexHandlers.prototype as unknown as Patch).missed = none;
     } else if (way === 'returns') {
-      async function deaf(): Promise<Result<unknown>> {
-        return Right(undefined);
+      function deaf(): Promise<Result<unknown>> {
+        return Promise.resolve(Right(undefined));
       }
       (indexMessages.IndexHandlers.prototype as unknown as Patch).reused = deaf;
     } else {
--- a/tools/sim/worst/core.ts
+++ b/tools/sim/worst/core.ts
@@ -186,7 +186,7 @@
 
   function owns(member: Member): boolean {
     const controller = member.proc.alive ? member.controller : undefined;
-    return controller !== undefined && controller.keyOwner.owns(CONTROL_KEYS.deployment);
+    return controller?.keyOwner.owns(CONTROL_KEYS.deployment) === true;
   }
 
   /** Several faults may cut the same link; it heals with the last of them. */
--- a/tools/standins/core.ts
+++ b/tools/standins/core.ts
@@ -30,31 +30,33 @@
 
   /** Grants a lease and tells all that stands. */
   @messageHandler('claim')
-  async lease(c: { member: Member }, ex: PeerChannel): HandlerResult {
+  lease(c: { member: Member }, ex: PeerChannel): HandlerResult {
     this.links.add(ex);
     void ex.closed.then(this.forget.bind(this, ex, c.member));
     this.members.set(c.member.name, c.member);
     ex.notify('news', [...this.state.values()]);
-    return Right({
-      granted: true,
-      disk: this.voters.now[0].disk,
-      missing: [],
-      voters: this.voters,
-      members: [...this.members.values()],
-    });
+    return Promise.resolve(
+      Right({
+        granted: true,
+        disk: this.voters.now[0].disk,
+        missing: [],
+        voters: this.voters,
+        members: [...this.members.values()],
+      }),
+    );
   }
 
   /** Tells where the core is. */
   @messageHandler('who')
-  async who(): HandlerResult {
-    return Right({ voters: this.voters });
+  who(): HandlerResult {
+    return Promise.resolve(Right({ voters: this.voters }));
   }
 
   /** Takes one that leaves off the list. */
   @messageHandler('leave')
-  async leave(c: { member: Member }): HandlerResult {
+  leave(c: { member: Member }): HandlerResult {
     this.members.delete(c.member.name);
-    return Right(true);
+    return Promise.resolve(Right(true));
   }
 
   private forget(ex: PeerChannel, m: Member): void {
--- a/tools/standins/engine.ts
+++ b/tools/standins/engine.ts
@@ -273,7 +273,7 @@
   }
 
   @httpHandler('GET', '/api/status')
-  async status(call: IncomingRequest): Promise<void> {
+  status(call: IncomingRequest): Promise<void> {
     const { ways } = this;
     sendJson(call, 200, {
       id: ways.id,
@@ -286,6 +286,7 @@
       unreadTokens: this.unread,
       leaving: this.leaving,
     });
+    return Promise.resolve();
   }
 
   @httpHandler('POST', '/api/order')
--- a/tools/standins/platform.ts
+++ b/tools/standins/platform.ts
@@ -17,9 +17,10 @@
   ) {}
 
   @httpHandler('GET', '/api/engines')
-  async list(call: IncomingRequest): Promise<void> {
+  list(call: IncomingRequest): Promise<void> {
     this.served(call.peer);
     sendJson(call, 200, { engines: this.engines });
+    return Promise.resolve();
   }
 
   @httpHandler('PUT', '/api/engines')
@@ -31,7 +32,9 @@
   }
 }
 
-function nothing(): void {}
+function nothing(): void {
+  // does nothing on purpose
+}
 
 /** Starts a stand-in platform. */
 export function startPlatform(
--- a/tools/standins/platform/batch.ts
+++ b/tools/standins/platform/batch.ts
@@ -15,7 +15,9 @@
   warm: () => number;
 }
 
-function nothing(): void {}
+function nothing(): void {
+  // does nothing on purpose
+}
 
 let seals = 0;
 
--- a/tools/standins/platform/cache.ts
+++ b/tools/standins/platform/cache.ts
@@ -203,4 +203,6 @@
   return { ways, used, match, touch, put, hold, release, drop, events, wake, list, held };
 }
 
-function nothing(): void {}
+function nothing(): void {
+  // does nothing on purpose
+}
--- a/tools/standins/platform/channel.ts
+++ b/tools/standins/platform/channel.ts
@@ -255,4 +255,6 @@
   return up.promise;
 }
 
-function nothing(): void {}
+function nothing(): void {
+  // does nothing on purpose
+}
--- a/tools/standins/platform/clients.ts
+++ b/tools/standins/platform/clients.ts
@@ -58,7 +58,9 @@
 const PROMISES = new Set([429, 503, 408, 421]);
 const FINAL = new Set([400, 401, 404, 413, 431]);
 
-function nothing(): void {}
+function nothing(): void {
+  // does nothing on purpose
+}
 
 /** Makes the clients; nothing is called until they run. */
 export function makeClients(ground: Ground, entry: Entry, ways: ClientWays): Clients {
--- a/tools/standins/platform/engine.ts
+++ b/tools/standins/platform/engine.ts
@@ -42,7 +42,9 @@
 
 const REPORT_MS = 200;
 
-function nothing(): void {}
+function nothing(): void {
+  // does nothing on purpose
+}
 
 /** Starts one life of an engine. */
 export async function startEngine(
@@ -140,13 +142,12 @@
     }
     if (x.headers[H.instance] !== undefined && x.headers[H.instance] !== spec.instance)
       return answer(421);
-    const model = String(b?.model ?? '');
+    const model = textOf(b?.model);
     const revision = Number(b?.revision);
-    const method = String(b?.method ?? '');
+    const method = textOf(b?.method);
     const named = revision === 1 || (ground.named.get(model) ?? []).includes(revision);
     if (
-      !b ||
-      b.operation !== 'revision' ||
+      b?.operation !== 'revision' ||
       typeof b.holder !== 'string' ||
       typeof b.fenceToken !== 'number' ||
       !versions.has(model) ||
@@ -229,3 +230,8 @@
   };
   return life;
 }
+
+/** A text of a body; empty where it is none. */
+function textOf(value: unknown): string {
+  return typeof value === 'string' ? value : '';
+}
--- a/tools/standins/platform/instances.ts
+++ b/tools/standins/platform/instances.ts
@@ -65,7 +65,7 @@
     for (const id of known) {
       if (left.has(id)) continue;
       const row = past[0].rows.find(same);
-      if (row && row.state === 'ready') continue;
+      if (row?.state === 'ready') continue;
       left.add(id);
       book.leaving.push({ instance: id, at: clock.now() });
       function same(r: Row): boolean {
--- a/tools/standins/platform/serve.ts
+++ b/tools/standins/platform/serve.ts
@@ -62,7 +62,9 @@
   return { promise, keep };
 }
 
-function nothing(): void {}
+function nothing(): void {
+  // does nothing on purpose
+}
 
 function gather(req: http.IncomingMessage): Promise<string | undefined> {
   const parts: Buffer[] = [];
@@ -236,8 +238,9 @@
 ): (at: string, ways: DoorWays, take: (x: Exchange) => void) => Promise<Door> {
   async function openOn(at: string, _ways: DoorWays, take: (x: Exchange) => void): Promise<Door> {
     let silent = false;
-    async function called(call: IncomingRequest): Promise<void> {
+    function called(call: IncomingRequest): Promise<void> {
       if (!silent) take(exchangeOfCall(call));
+      return Promise.resolve();
     }
     const [f, l] = errorOrValue(await wire.serveHttp(at, called));
     if (f) throw new Error(`${at}: ${f.reason}`);
--- a/tools/standins/platform/store.ts
+++ b/tools/standins/platform/store.ts
@@ -14,7 +14,9 @@
 
 const MOST_WAIT = 1000;
 
-function nothing(): void {}
+function nothing(): void {
+  // does nothing on purpose
+}
 
 /** Answers calls about kept parts, as engines and stores both do; whether it was one. */
 export function serveKept(ground: Ground, keeper: Keeper, x: Exchange): boolean {
