--- a/src/shared/system/suspension-clock.ts
+++ b/src/shared/system/suspension-clock.ts
@@ -1,13 +1,21 @@
-const COARSE = 25;
+/**
+ * Monotonic time that counts the time for which the machine was suspended.
+ */
 
-/** Monotonic time that counts suspension: where a coarse clock that goes on meanwhile has run ahead, its lead is added; time never goes back. */
+/** How far the coarse clock may be ahead by its coarseness alone. */
+const COARSE_TOLERANCE_MS = 25;
+
+/**
+ * Monotonic time that counts suspension: where a coarse clock that goes on meanwhile has run ahead of the monotonic one,
+ * its lead is added. Time never goes back. Both clocks are in ms.
+ */
 export function countingSuspension(monotonic: () => number, coarse: () => number): () => number {
-  const began = coarse() - monotonic();
-  let lead = 0;
+  const initialLeadMs = coarse() - monotonic();
+  let suspendedMs = 0;
   function now(): number {
-    const ahead = coarse() - monotonic() - began;
-    if (ahead > lead + COARSE) lead = ahead;
-    return monotonic() + lead;
+    const leadMs = coarse() - monotonic() - initialLeadMs;
+    if (leadMs > suspendedMs + COARSE_TOLERANCE_MS) suspendedMs = leadMs;
+    return monotonic() + suspendedMs;
   }
   return now;
 }
--- a/src/shared/system/system-clock.ts
+++ b/src/shared/system/system-clock.ts
@@ -4,33 +4,38 @@
 
 import { uptime } from 'node:os';
 import { performance } from 'node:perf_hooks';
-import { countingSuspension } from './suspension-clock';
 import { Clock } from '../ports/clock';
+import { countingSuspension } from './suspension-clock';
 
-function sinceBoot(): number {
-  return uptime() * 1000;
+const MS_PER_S = 1000;
+
+function sinceBootMs(): number {
+  return uptime() * MS_PER_S;
 }
 
-/** The machine's monotonic clock, with the time it was suspended where it may be. */
-export function makeSystemClock(suspends = true): Clock {
-  const monotonic = performance.now.bind(performance);
-  const now =
-    suspends && process.platform === 'linux' ? countingSuspension(monotonic, sinceBoot) : monotonic;
-  function wall(): string {
-    return new Date().toISOString();
-  }
-  function sleep(ms: number): Promise<void> {
-    function wait(go: () => void): void {
-      setTimeout(go, ms);
-    }
-    return new Promise(wait);
+function wallTime(): string {
+  return new Date().toISOString();
+}
+
+function sleep(ms: number): Promise<void> {
+  function run(resolve: () => void): void {
+    setTimeout(resolve, ms);
   }
-  function timer(ms: number, ring: () => void): () => void {
-    const t = setTimeout(ring, ms);
-    function off(): void {
-      clearTimeout(t);
-    }
-    return off;
+  return new Promise(run);
+}
+
+function setTimer(ms: number, onTimer: () => void): () => void {
+  const timer = setTimeout(onTimer, ms);
+  function cancel(): void {
+    clearTimeout(timer);
   }
-  return { now, wallTime: wall, sleep, setTimer: timer };
+  return cancel;
+}
+
+/** The machine's monotonic clock; where the machine may be suspended (`suspends`) it counts that time too. */
+export function makeSystemClock(suspends = true): Clock {
+  const monotonic = performance.now.bind(performance);
+  const counts = suspends && process.platform === 'linux';
+  const now = counts ? countingSuspension(monotonic, sinceBootMs) : monotonic;
+  return { now, wallTime, sleep, setTimer };
 }
