--- a/src/shared/concurrency/single-flight.ts
+++ b/src/shared/concurrency/single-flight.ts
@@ -1,9 +1,12 @@
-/** Work that is asked for again while it is under way, and is done once. */
+/**
+ * Single flight: work that is asked for again while it is in progress is done once.
+ */
 
 /** Joins calls for the same work. */
 export interface SingleFlight<T> {
-  /** Starts the work of an identity, or joins that which is under way; work without an identity is always started. */
+  /** Starts the work of an identity, or joins that which is in progress; work without an identity is always started. */
   run: (identity: string | undefined, start: () => Promise<T>) => Promise<T>;
+  /** Whether work of an identity is in progress. */
   isInProgress: (identity: string) => boolean;
 }
 
@@ -17,16 +20,16 @@
     if (flight) return flight;
     const result = start();
     flights.set(identity, result);
-    void result.finally(over);
-    function over(): void {
+    void result.finally(onEnd);
+    function onEnd(): void {
       flights.delete(identity!);
     }
     return result;
   }
 
-  function isUnderWay(identity: string): boolean {
+  function isInProgress(identity: string): boolean {
     return flights.has(identity);
   }
 
-  return { run, isInProgress: isUnderWay };
+  return { run, isInProgress };
 }
--- a/src/shared/concurrency/timeout.ts
+++ b/src/shared/concurrency/timeout.ts
@@ -1,24 +1,28 @@
+/**
+ * Time limits on results.
+ */
+
 import { failure, Result } from '../errors/errors';
 import { Clock } from '../ports/clock';
 
-/** Waits for a result, but not past a time; what comes later is dropped, and its fate is told as unknown. */
+/** Waits for a result, but no longer than `timeoutMs`: then it is the error `timeout`, of unknown effect, and what comes later is dropped. */
 export function withTimeout<T>(
   clock: Clock,
-  ms: number,
+  timeoutMs: number,
   step: string,
   peer: string,
   result: Promise<Result<T>>,
 ): Promise<Result<T>> {
-  function wait(done: (o: Result<T>) => void): void {
-    const off = clock.setTimer(ms, late);
-    function late(): void {
-      done(failure(step, peer, 'not done in time', 'unknown', 'timeout'));
+  function run(resolve: (result: Result<T>) => void): void {
+    const cancelTimer = clock.setTimer(timeoutMs, onTimeout);
+    function onTimeout(): void {
+      resolve(failure(step, peer, 'not done in time', 'unknown', 'timeout'));
     }
-    function arrived(o: Result<T>): void {
-      off();
-      done(o);
+    function onResult(inTime: Result<T>): void {
+      cancelTimer();
+      resolve(inTime);
     }
-    void result.then(arrived);
+    void result.then(onResult);
   }
-  return new Promise(wait);
+  return new Promise(run);
 }
--- a/src/shared/concurrency/waker.ts
+++ b/src/shared/concurrency/waker.ts
@@ -1,35 +1,40 @@
+/**
+ * Waits of loops that can be cut short.
+ */
+
 import { Clock } from '../ports/clock';
 
-/** Waits that end at their time, or sooner where something has come up meanwhile. */
+/** The waits of one loop, which end sooner where it is woken. */
 export interface Waker {
-  /** Comes back after `ms`, or `least` after it was woken. */
-  wait: (ms: number, least: number) => Promise<void>;
+  /** Resolves after `ms`, or `wakeDelayMs` after it was woken, also where that was before the wait. */
+  wait: (ms: number, wakeDelayMs: number) => Promise<void>;
+  /** Ends the wait in progress, or the next one. */
   wake: () => void;
 }
 
 /** Makes a waker for one loop. */
 export function makeWaker(clock: Clock): Waker {
-  let woken = false;
-  let end: (() => void) | undefined;
+  let isWoken = false;
+  let endWait: (() => void) | undefined;
 
   function wake(): void {
-    woken = true;
-    end?.();
+    isWoken = true;
+    endWait?.();
   }
 
-  async function wait(ms: number, least: number): Promise<void> {
-    function run(done: () => void): void {
-      const off = clock.setTimer(ms, over);
-      function over(): void {
-        off();
-        end = undefined;
-        done();
+  async function wait(ms: number, wakeDelayMs: number): Promise<void> {
+    function run(resolve: () => void): void {
+      const cancelTimer = clock.setTimer(ms, onEnd);
+      function onEnd(): void {
+        cancelTimer();
+        endWait = undefined;
+        resolve();
       }
-      end = over;
+      endWait = onEnd;
     }
-    if (!woken) await new Promise<void>(run);
-    if (woken) await clock.sleep(least);
-    woken = false;
+    if (!isWoken) await new Promise<void>(run);
+    if (isWoken) await clock.sleep(wakeDelayMs);
+    isWoken = false;
   }
 
   return { wait, wake };
@@ -40,6 +45,7 @@
   /** Makes a waker for one more loop. */
   add: () => Waker;
   /** Wakes all loops. */
+  /** Ends the wait in progress, or the next one. */
   wake: () => void;
 }
 
--- a/src/shared/ports/logger.ts
+++ b/src/shared/ports/logger.ts
@@ -2,7 +2,7 @@
  * The port of the log.
  */
 
-/** The log: a ring in memory, written out at `error`. */
+/** The log: the newest lines are kept in memory, and written out at `error`. */
 export interface Logger {
   info: (fields: object, text: string) => void;
   /** A rare line that is written out at once. */
--- a/src/shared/ports/ports.ts
+++ b/src/shared/ports/ports.ts
@@ -16,6 +16,6 @@
   disk: Disk;
   network: Network;
   logger: Logger;
-  /** Raw HTTP, where the process serves by another manner of speaking than our own. */
+  /** Raw HTTP, where the process serves a platform by its adapter. */
   rawHttp?: RawHttpNetwork;
 }
--- a/src/shared/ports/raw-http.ts
+++ b/src/shared/ports/raw-http.ts
@@ -1,5 +1,5 @@
 /**
- * The port of HTTP with untouched bytes and headers, and a say over connections.
+ * The port of raw HTTP: with untouched bytes and headers, and control over connections.
  */
 
 import { Result } from '../errors/errors';
@@ -8,7 +8,7 @@
 /** Headers as they stand on the wire: name, value, name, value. */
 export type RawHeaderList = string[];
 
-/** An HTTP request that reached us, its bytes and headers untouched. */
+/** An incoming HTTP request, its bytes and headers untouched, and its response. */
 export interface RawIncomingRequest {
   method: string;
   target: string;
@@ -16,15 +16,16 @@
   /** Headers by name in lower case. */
   headersByName: Record<string, string | undefined>;
   peer: string;
-  /** Aborted when the caller goes away before its answer is whole. */
+  /** Aborted when the caller goes away before its response is complete. */
   aborted: AbortSignal;
-  body: (most: number) => Promise<Result<Uint8Array>>;
-  /** The head goes out with the first piece or the end. */
+  /** Reads the body. Errors: `too-large` for more than `maxBytes`, `bad-body` where the caller goes away. */
+  body: (maxBytes: number) => Promise<Result<Uint8Array>>;
+  /** The head is sent with the first chunk or the end. */
   writeHead: (status: number, headers: RawHeaderList) => void;
   write: (bytes: Uint8Array) => Promise<boolean>;
   end: (bytes?: Uint8Array) => void;
   destroy: () => void;
-  /** Comes once the answer has been written out, or its connection is closed. */
+  /** Resolves once the response has been written out, or its connection is closed. */
   written: Promise<void>;
 }
 
@@ -32,31 +33,32 @@
 export interface ServeLimits {
   headerTimeoutMs: number;
   idleTimeoutMs: number;
-  /** Whether each answer closes its connection. */
+  /** Whether each response closes its connection. */
   closing: boolean;
 }
 
 /** A raw server that listens. */
 export interface RawListener extends Listener {
-  setLimits: (l: ServeLimits) => void;
+  setLimits: (limits: ServeLimits) => void;
   /** Connections and requests that have come so far. */
   arrivalCount: () => number;
-  /** Comes once all that has arrived by now was read and given to its handler. */
+  /** Resolves once all that has arrived by now was read and given to its handler. */
   readArrived: () => Promise<void>;
-  /** Ends listening, has what has arrived and what comes within `lingerMs` answered, and comes once all answers are written out, or after `withinMs`; gives how many are not. */
+  /** Ends listening, has what has arrived and what comes within `lingerMs` answered, and resolves once all responses are written out, or after `withinMs`, with how many are not. */
   closeGracefully: (lingerMs: number, withinMs: number) => Promise<number>;
 }
 
-/** The answer to a raw request; pieces are pulled, undefined is a whole end. */
+/** The response to an outgoing raw request. */
 export interface RawHttpResponse {
   status: number;
   headers: RawHeaderList;
   headersByName: Record<string, string | undefined>;
+  /** The next chunk of the body; undefined at its complete end. */
   nextChunk: () => Promise<Result<Uint8Array | undefined>>;
   cancel: () => void;
 }
 
-/** A raw request of ours. */
+/** An outgoing raw request. */
 export interface RawHttpRequest {
   method: string;
   target: string;
@@ -64,32 +66,32 @@
   body?: Uint8Array | string;
 }
 
-/** A kept HTTP connection of ours: one request at a time. */
+/** An outgoing HTTP connection that is kept, with one request at a time. Its functions need no `this`. */
 export interface HttpConnection {
   address: string;
-  /** Whether it is up, idle, and no byte came that nobody asked for. */
+  /** Whether it is up, idle, and no byte came that belongs to no response. */
   isReusable: () => boolean;
-  /** Requests that it was used for. */
+  /** How many requests it was used for. */
   useCount: () => number;
-  /** A fault of sort `refused` says that no byte was written; the answer must be whole within the ms. */
+  /** Sends a request, whose complete response may take `timeoutMs`. An error that is refused says that no byte was sent. */
   request: (
-    q: RawHttpRequest,
-    within: number,
-    gone: AbortSignal,
+    request: RawHttpRequest,
+    timeoutMs: number,
+    aborted: AbortSignal,
   ) => Promise<Result<RawHttpResponse>>;
-  /** Called each time that it is idle again. */
-  onIdle: (told: () => void) => void;
-  /** Comes when it is closed: whether bytes came that nobody asked for. */
+  /** Sets what is called each time that it is idle again. */
+  onIdle: (listener: () => void) => void;
+  /** Resolves when it is closed: whether bytes came that belong to no response. */
   closed: Promise<{ surplus: boolean }>;
   close: () => void;
 }
 
-/** HTTP with untouched bytes and headers, and a say over connections. */
+/** HTTP with untouched bytes and headers, and control over connections. */
 export interface RawHttpNetwork {
   serve: (
-    at: string,
+    address: string,
     limits: ServeLimits,
-    take: (call: RawIncomingRequest) => Promise<void>,
+    onRequest: (call: RawIncomingRequest) => Promise<void>,
   ) => Promise<Result<RawListener>>;
-  connect: (at: string, within: number) => Promise<Result<HttpConnection>>;
+  connect: (address: string, timeoutMs: number) => Promise<Result<HttpConnection>>;
 }
--- a/src/shared/util/push-stream.ts
+++ b/src/shared/util/push-stream.ts
@@ -1,47 +1,52 @@
 /**
- * A `most` stream that values are pushed to.
+ * Streams of the library `most` that values are pushed to.
  */
 
-import { Stream as Feed } from 'most';
+import { Stream } from 'most';
 
-/** The receiving end of a feed. */
+/** What observes a stream; the interface of `most`. */
 export interface Sink<T> {
-  event: (time: number, x: T) => void;
-  end: (time: number, x?: T) => void;
+  event: (time: number, value: T) => void;
+  end: (time: number, value?: T) => void;
 }
 
-/** A `most` feed that is pushed by hand; what comes before the first reader waits for it. */
+/** A stream that values are pushed to; what comes before the first observer is kept for it. */
 export interface PushStream<T> {
-  stream: Feed<T>;
-  push: (x: T) => void;
+  stream: Stream<T>;
+  /** Passes a value to all observers; ignored after the end. */
+  push: (value: T) => void;
   end: () => void;
 }
 
-/** Makes a feed that is pushed by hand. */
+/** Makes a stream without values. */
 export function makePushStream<T>(): PushStream<T> {
   const sinks = new Set<Sink<T>>();
-  let waiting: T[] | undefined = [];
-  let over = false;
-  function add(x: T): void {
-    if (over) return;
-    if (waiting) waiting.push(x);
-    else for (const s of sinks) s.event(0, x);
+  let unobserved: T[] | undefined = [];
+  let isEnded = false;
+
+  function push(value: T): void {
+    if (isEnded) return;
+    if (unobserved) unobserved.push(value);
+    else for (const sink of sinks) sink.event(0, value);
   }
+
   function end(): void {
-    over = true;
-    for (const s of sinks) s.end(0, undefined);
+    isEnded = true;
+    for (const sink of sinks) sink.end(0, undefined);
     sinks.clear();
   }
+
   function run(sink: Sink<T>): { dispose: () => void } {
     sinks.add(sink);
-    const held = waiting ?? [];
-    waiting = undefined;
-    for (const x of held) sink.event(0, x);
-    if (over) sink.end(0, undefined);
+    const kept = unobserved ?? [];
+    unobserved = undefined;
+    for (const value of kept) sink.event(0, value);
+    if (isEnded) sink.end(0, undefined);
     function dispose(): void {
       sinks.delete(sink);
     }
     return { dispose };
   }
-  return { stream: new Feed<T>({ run }), push: add, end };
+
+  return { stream: new Stream<T>({ run }), push, end };
 }
