--- a/src/programs/daemon.ts
+++ b/src/programs/daemon.ts
@@ -5,7 +5,7 @@
 import { readFileSync } from 'node:fs';
 import { Either, Left } from 'purify-ts';
 import { usersPlatform } from '../../platform/adapter';
-import { describeError, errorOrValue, OperationError, Result } from '../shared/errors/errors';
+import { describeError, errorOrValue, Result } from '../shared/errors/errors';
 import { PlatformAdapter } from '../shared/platform-adapter/platform-adapter';
 import { Logger } from '../shared/ports/logger';
 import { Ports } from '../shared/ports/ports';
--- a/src/shared/replication/catch-up.ts
+++ b/src/shared/replication/catch-up.ts
@@ -58,10 +58,10 @@
   }
 
   async fetch(channel: PeerChannel, lacking: AppliedEntry[]): Promise<boolean> {
-    const missing = lacking.filter(this.isMissing, this).map(keyOfEntry);
-    const idle = missing.filter(this.isIdle, this);
-    const others = missing.map(this.fetchOf, this);
-    if (idle.length === 0) return (await Promise.all(others)).every(isFetched);
+    const missing = lacking.filter(this.isMissing.bind(this)).map(keyOfEntry);
+    const idle = missing.filter(this.isIdle.bind(this));
+    const others = missing.map(this.fetchOf.bind(this));
+    if (idle.length === 0) return (await Promise.all(others.map(toPromise))).every(isFetched);
     return this.track(idle, this.fetchKeys(channel, idle));
   }
 
@@ -99,7 +99,7 @@
 
   /** Fetches keys; what can't be read over the applied version is fetched complete. */
   private async fetchKeys(channel: PeerChannel, keys: string[]): Promise<boolean> {
-    const unread = await this.fetchEntries(channel, keys.map(this.appliedEntry, this));
+    const unread = await this.fetchEntries(channel, keys.map(this.appliedEntry.bind(this)));
     if (!unread || unread.length === 0) return unread !== undefined;
     const unreadComplete = await this.fetchEntries(channel, unread.map(initialEntry));
     return unreadComplete?.length === 0;
@@ -150,3 +150,8 @@
 export function makeCatchUp(dependencies: CatchUpDependencies): CatchUp {
   return new ChangeCatchUp(dependencies);
 }
+
+/** A fetch that is in progress, or that is over already. */
+function toPromise(fetched: Promise<boolean> | undefined): Promise<boolean | undefined> {
+  return Promise.resolve(fetched);
+}
--- a/src/shared/replication/core-discovery.ts
+++ b/src/shared/replication/core-discovery.ts
@@ -59,7 +59,7 @@
       await clock.sleep(timeLimits.leaseMs);
       if (!isKnown() || isConnected()) connectedAt = clock.now();
       else if (clock.now() - connectedAt > timeLimits.idleChannelTimeoutMs)
-        await Promise.all(seeds.map(this.askSeed, this));
+        await Promise.all(seeds.map(this.askSeed.bind(this)));
     }
   }
 
--- a/src/shared/replication/follower-handlers.ts
+++ b/src/shared/replication/follower-handlers.ts
@@ -60,42 +60,42 @@
 
   /** Applies committed changes that come complete. */
   @messageHandler('news')
-  async news(changes: VersionedValue[]): HandlerResult {
+  news(changes: VersionedValue[]): HandlerResult {
     this.dependencies.apply(changes);
-    return Right(true);
+    return Promise.resolve(Right(true));
   }
 
   /** Applies committed changes in whatever form they come, and replies which could not be read. */
   @messageHandler('changes')
-  async changes(messages: ChangeMessage[], from: PeerChannel): HandlerResult {
+  changes(messages: ChangeMessage[], from: PeerChannel): HandlerResult {
     const { inline, offers } = separateOffers(messages);
     for (const offer of offers) this.dependencies.fetchOffer(offer, from);
-    return Right(applyMessages(this.dependencies, inline));
+    return Promise.resolve(Right(applyMessages(this.dependencies, inline)));
   }
 
   /** Takes note of engines that drain, where the controllers could not commit that as a change. */
   @messageHandler('leaving')
-  async leaving(ids: string[]): HandlerResult {
+  leaving(ids: string[]): HandlerResult {
     this.dependencies.onEnginesDraining(ids);
-    return Right(true);
+    return Promise.resolve(Right(true));
   }
 
   /** Replies whether a change is applied here. */
   @messageHandler('has')
-  async has(change: VersionedValue): HandlerResult {
-    return Right(isCurrent(this.dependencies.appliedVersion(change.key), change));
+  has(change: VersionedValue): HandlerResult {
+    return Promise.resolve(Right(isCurrent(this.dependencies.appliedVersion(change.key), change)));
   }
 
   /** Takes the voter set from a controller that has this process among its seeds. */
   @messageHandler('here')
-  async here(voters: VoterSet): HandlerResult {
+  here(voters: VoterSet): HandlerResult {
     this.dependencies.onCoreFound(voters);
-    return Right(true);
+    return Promise.resolve(Right(true));
   }
 
   /** Replies to a new node where the controllers are. */
   @messageHandler('who')
-  async askWho(): HandlerResult {
-    return Right(this.dependencies.coreLocation());
+  askWho(): HandlerResult {
+    return Promise.resolve(Right(this.dependencies.coreLocation()));
   }
 }
--- a/src/shared/replication/follower.ts
+++ b/src/shared/replication/follower.ts
@@ -305,10 +305,12 @@
   }
 
   /** Applies messages, and gives the keys that could not be read. */
-  private async applyMessages(messages: InlineChange[]): Promise<string[]> {
+  private applyMessages(messages: InlineChange[]): Promise<string[]> {
     const apply = this.applyAll.bind(this);
     const appliedVersion = this.state.get.bind(this.state);
-    return applyMessages({ apply, appliedVersion }, messages).lacking.map(keyOfEntry);
+    return Promise.resolve(
+      applyMessages({ apply, appliedVersion }, messages).lacking.map(keyOfEntry),
+    );
   }
 
   private onUp(channel: PeerChannel): void {
--- a/src/shared/system/http-client.ts
+++ b/src/shared/system/http-client.ts
@@ -127,8 +127,8 @@
     decoder: TextDecoder,
   ): Promise<Result<string | undefined>> {
     try {
-      const { done, value } = await chunks.next();
-      if (!done) return Right(decoder.decode(value, { stream: true }));
+      const next = await chunks.next();
+      if (next.done !== true) return Right(decoder.decode(next.value, { stream: true }));
       this.release();
       return Right(undefined);
     } catch (error) {
--- a/src/shared/system/message-connection.ts
+++ b/src/shared/system/message-connection.ts
@@ -60,8 +60,17 @@
   }
 }
 
+/** A connection whose functions need no `this`: tools that measure connections spread and wrap them. */
 function makeConnection(socket: net.Socket): Connection {
-  return new MessageConnection(socket);
+  const connection = new MessageConnection(socket);
+  const { peer, closed, messages } = connection;
+  return {
+    peer,
+    closed,
+    messages,
+    send: connection.send.bind(connection),
+    close: connection.close.bind(connection),
+  };
 }
 
 /** Listens for connections at an address. */
--- a/src/shared/system/sockets.ts
+++ b/src/shared/system/sockets.ts
@@ -19,7 +19,9 @@
 }
 
 /** Does nothing: for events that another listener sees to. */
-export function ignore(): void {}
+export function ignore(): void {
+  // does nothing on purpose
+}
 
 /** Where and how a socket is connected. */
 export interface ConnectOptions {
--- a/src/shared/transport/hello-handlers.ts
+++ b/src/shared/transport/hello-handlers.ts
@@ -14,16 +14,16 @@
 
   /** Checks the peer's handshake message, notes it on the channel, and replies with our own. */
   @messageHandler('hello')
-  async hello(body: unknown, channel: PeerChannel): HandlerResult {
+  hello(body: unknown, channel: PeerChannel): HandlerResult {
     const [error, hello] = errorOrValue(checkHello(body, channel.peer));
-    if (error) return Left(error);
+    if (error) return Promise.resolve(Left(error));
     channel.hello = hello;
-    return Right(this.own);
+    return Promise.resolve(Right(this.own));
   }
 
   /** Replies to a heartbeat, which shows that this process still runs. */
   @messageHandler('ping')
-  async ping(): HandlerResult {
-    return Right(true);
+  ping(): HandlerResult {
+    return Promise.resolve(Right(true));
   }
 }
--- a/src/shared/transport/http-handlers.ts
+++ b/src/shared/transport/http-handlers.ts
@@ -63,10 +63,7 @@
 }
 
 /** Reads a JSON body of at most `maxBytes`; where it can't be read the error is sent, and undefined is returned. */
-export async function readJsonBody(
-  call: IncomingRequest,
-  maxBytes: number,
-): Promise<unknown | undefined> {
+export async function readJsonBody(call: IncomingRequest, maxBytes: number): Promise<unknown> {
   const [bodyError, text] = errorOrValue(await call.body(maxBytes));
   if (bodyError) {
     const { code, reason } = bodyError;
--- a/test/shared/chunk-fetcher.test.ts
+++ b/test/shared/chunk-fetcher.test.ts
@@ -30,11 +30,13 @@
   const history = makeVersionHistory();
   for (const version of versions) history.note(version);
   const source: Source = { asked: [], left, exchange: { request: ask } as unknown as PeerChannel };
-  async function ask(type: string, body: unknown): Promise<Result<unknown>> {
+  function ask(type: string, body: unknown): Promise<Result<unknown>> {
     expect(type).toBe('change-piece');
     source.asked.push(body as ChunkRequest);
     const bytes = source.left-- > 0 ? history.chunk(body as ChunkRequest) : undefined;
-    return bytes ? Right(bytes) : Left(makeError('change piece', 'core', 'not to be had'));
+    return Promise.resolve(
+      bytes ? Right(bytes) : Left(makeError('change piece', 'core', 'not to be had')),
+    );
   }
   return source;
 }
@@ -128,8 +130,8 @@
 /** Bytes that are not those that were offered are no change. */
 async function spoiltBytes(): Promise<void> {
   const offer = offerFor(VERSIONS, VERSIONS[0]);
-  async function ask(): Promise<Result<unknown>> {
-    return Right(new Uint8Array(CHUNK_BYTES));
+  function ask(): Promise<Result<unknown>> {
+    return Promise.resolve(Right(new Uint8Array(CHUNK_BYTES)));
   }
   const exchange = { request: ask } as unknown as PeerChannel;
   expect(await fetcherOver([]).fetch(offer, exchange)).toBeUndefined();
@@ -151,9 +153,9 @@
   function held(): VersionedValue {
     return applied.at(-1)!;
   }
-  async function apply(messages: Parameters<typeof readChange>[1][]): Promise<string[]> {
+  function apply(messages: Parameters<typeof readChange>[1][]): Promise<string[]> {
     for (const message of messages) applied.push(readChange(held(), message)!);
-    return [];
+    return Promise.resolve([]);
   }
   function exchanges(): PeerChannel[] {
     return [source.exchange];
--- a/test/shared/raw-http-close.test.ts
+++ b/test/shared/raw-http-close.test.ts
@@ -15,7 +15,9 @@
 /** How long a close may take where a caller holds it up. */
 const SHORT_MS = 50;
 
-function nothing(): void {}
+function nothing(): void {
+  // does nothing on purpose
+}
 
 async function serve(take: (call: RawIncomingRequest) => Promise<void>): Promise<RawListener> {
   return (await makeRawHttpNetwork().serve('127.0.0.1:0', LIMITS, take)).unsafeCoerce();
@@ -27,9 +29,10 @@
   call.end(Buffer.from('ok'));
 }
 
-async function answersAtLength(call: RawIncomingRequest): Promise<void> {
+function answersAtLength(call: RawIncomingRequest): Promise<void> {
   call.writeHead(200, ['Content-Length', String(LARGE.length)]);
   call.end(LARGE);
+  return Promise.resolve();
 }
 
 /** How long a server answers what comes on the connections that it has. */
--- a/test/shared/shutdown.test.ts
+++ b/test/shared/shutdown.test.ts
@@ -10,7 +10,9 @@
 } {
   const did: string[] = [];
   let finish = nothing;
-  function nothing(): void {}
+  function nothing(): void {
+    // does nothing on purpose
+  }
   function wait(done: () => void): void {
     finish = done;
   }
@@ -19,8 +21,9 @@
     did.push('drain');
     return drained;
   }
-  async function stop(): Promise<void> {
+  function stop(): Promise<void> {
     did.push('stop');
+    return Promise.resolve();
   }
   function exit(code: number): void {
     did.push(`exit ${code}`);
--- a/test/shared/system-network.test.ts
+++ b/test/shared/system-network.test.ts
@@ -18,7 +18,9 @@
   const clock = makeSystemClock();
   let given = 0;
   let stuck: (v: string) => void = none;
-  function none(): void {}
+  function none(): void {
+    // does nothing on purpose
+  }
   function wait(go: (v: string) => void): void {
     stuck = go;
   }
