--- a/src/control/configuration/change-effects.ts
+++ b/src/control/configuration/change-effects.ts
@@ -7,28 +7,40 @@
 import { errorOrValue, Result } from '../../shared/errors/errors';
 import { pollVoters } from '../../shared/transport/quorum-poll';
 import { Clock } from '../../shared/ports/clock';
+import { versionOf } from '../../shared/replication/delta';
 import { TimeLimits } from '../../shared/settings/time-limits';
 import { Settings } from '../../shared/settings/settings';
 import { Version } from '../../shared/state/versions';
 import { Voter, VoterSet } from '../../shared/state/voter-set';
+import { TimedVoterRequest } from '../consensus/voter-request';
 import { ChangeResult } from './change-coordinator';
 import { controlKeyOf, Operation } from './operations';
 
 /** How long a voter's reply is waited for, as a ratio of how long that voter waits for the effect. */
 const REPLY_TIMEOUT_RATIO = 1.1;
 
+/** Asks a majority of the voters to reply once a change is in effect at each, and waits for that up to `timeoutMs`. */
+export function pollEffect(
+  requestVoter: TimedVoterRequest,
+  voters: VoterSet,
+  key: string,
+  version: Version,
+  timeoutMs: number,
+): Promise<Result<unknown[]>> {
+  const body = { key, ...versionOf(version), within: timeoutMs };
+  function requestEffect(voter: Voter): Promise<Result<unknown>> {
+    return requestVoter(voter, 'effect', body, timeoutMs * REPLY_TIMEOUT_RATIO);
+  }
+  return pollVoters(voters, requestEffect);
+}
+
 /** What waiting for effects needs of its controller. */
 export interface ChangeEffectsDependencies {
   clock: Clock;
   settings: Settings;
   timeLimits: TimeLimits;
   voters: () => VoterSet | undefined;
-  requestVoter: (
-    voter: Voter,
-    type: string,
-    body: unknown,
-    timeoutMs: number,
-  ) => Promise<Result<unknown>>;
+  requestVoter: TimedVoterRequest;
   commit: (operation: Operation) => Promise<Result<ChangeResult>>;
   /** Notes how long a change took until it was in effect. */
   observeEffectMs: (ms: number) => void;
@@ -49,12 +61,7 @@
   async function awaitEffect(key: string, version: Version, timeoutMs: number): Promise<boolean> {
     const voters = dependencies.voters();
     if (!voters) return false;
-    const { epoch, by, number } = version;
-    const body = { key, epoch, by, number, within: timeoutMs };
-    function ask(voter: Voter): Promise<Result<unknown>> {
-      return requestVoter(voter, 'effect', body, timeoutMs * REPLY_TIMEOUT_RATIO);
-    }
-    return (await pollVoters(voters, ask)).isRight();
+    return (await pollEffect(requestVoter, voters, key, version, timeoutMs)).isRight();
   }
 
   async function change(operation: Operation): Promise<Result<ChangeResult>> {
--- a/src/control/configuration/owner-requests.ts
+++ b/src/control/configuration/owner-requests.ts
@@ -54,28 +54,32 @@
     const address = this.ownerAddress(key);
     if (address === undefined) return Left(this.noVoter(type));
     if (address === settings.wire) return dispatchLocally(type, body);
-    const reply = await this.send(address, type, body);
+    const reply = await this.send(
+      address,
+      type,
+      body,
+      this.dependencies.timeLimits.forwardTimeoutMs,
+    );
     const [error] = errorOrValue(reply);
     return error && isRetryableElsewhere(error) ? dispatchLocally(type, body) : reply;
   }
 
   /** Has a key's owner commit its value anew; where that one does not answer, nobody takes its place. */
   async recommit(key: string): Promise<Result<unknown>> {
-    const { settings, timeLimits, keyOwner, channelTo } = this.dependencies;
+    const { settings, timeLimits, keyOwner } = this.dependencies;
     const address = this.ownerAddress(key);
     if (address === undefined) return Left(this.noVoter('settle'));
     if (address === settings.wire) return keyOwner.reacquire(key);
-    return (
-      channelTo(address)?.request('settle', { key }, timeLimits.requestTimeoutMs) ??
-      Left(notConnected('settle', address))
-    );
+    return this.send(address, 'settle', { key }, timeLimits.requestTimeoutMs);
   }
 
-  private async send(address: string, type: string, body: object): Promise<Result<unknown>> {
-    const { timeLimits, channelTo } = this.dependencies;
-    return (
-      channelTo(address)?.request(type, body, timeLimits.forwardTimeoutMs) ??
-      Left(notConnected(type, address))
-    );
+  private async send(
+    address: string,
+    type: string,
+    body: object,
+    timeoutMs: number,
+  ): Promise<Result<unknown>> {
+    const channel = this.dependencies.channelTo(address);
+    return channel?.request(type, body, timeoutMs) ?? Left(notConnected(type, address));
   }
 }
--- a/src/control/consensus/accepted-versions.ts
+++ b/src/control/consensus/accepted-versions.ts
@@ -3,11 +3,13 @@
  */
 
 import { failure, errorOrValue, Result } from '../../shared/errors/errors';
+import { isAtLeast } from '../../shared/replication/change-message';
 import { versionOf } from '../../shared/replication/delta';
 import { pollVoters } from '../../shared/transport/quorum-poll';
-import { compareVersions, VersionedValue, Version } from '../../shared/state/versions';
+import { VersionedValue, Version } from '../../shared/state/versions';
 import { Voter, VoterSet } from '../../shared/state/voter-set';
 import { AcceptedVersionReply, AcceptedVersionRequest } from './acceptor-messages';
+import { RequestVoter } from './voter-request';
 
 /** What a poll of the voters gave. */
 export interface PolledVersions {
@@ -17,9 +19,6 @@
   newerVoterSet?: VersionedValue;
 }
 
-/** Sends a request to a voter, under a time-out of the caller's. */
-export type RequestVoter = (voter: Voter, type: string, body: unknown) => Promise<Result<unknown>>;
-
 /**
  * Polls the voters for the version of a key that each has accepted last. A voter that goes by a later voter set than
  * `committedVoters` counts for no majority.
@@ -73,5 +72,5 @@
 
 /** Whether a version is later than the one that is known; where none is, any is later. */
 export function isNewerVersion(version: Version, known: Version | undefined): boolean {
-  return known === undefined || compareVersions(version, known) > 0;
+  return !isAtLeast(known, version);
 }
--- a/src/control/consensus/acceptor.ts
+++ b/src/control/consensus/acceptor.ts
@@ -40,7 +40,7 @@
  * The newest value that a disk knows to be accepted: what it accepted itself, or what it learned, which a majority has
  * accepted.
  */
-export function newestAccepted(
+function newestAccepted(
   register: Pick<RegisterState, 'accepted' | 'learned'> | undefined,
 ): VersionedValue | undefined {
   if (!register?.accepted || !register.learned) return register?.accepted ?? register?.learned;
@@ -50,10 +50,7 @@
 }
 
 /** The voter set that is committed here, where it is later than the one that the sender of a request goes by. */
-export function newerVoterSet(
-  store: ControlStore,
-  sent: Version | undefined,
-): VersionedValue | undefined {
+function newerVoterSet(store: ControlStore, sent: Version | undefined): VersionedValue | undefined {
   const committed = store.registers.get(CONTROL_KEYS.voters)?.learned;
   if (!committed) return undefined;
   return isNewerVersion(committed, sent) ? committed : undefined;
--- a/src/control/consensus/linearizable-read.ts
+++ b/src/control/consensus/linearizable-read.ts
@@ -11,7 +11,8 @@
 import { VoterSet } from '../../shared/state/voter-set';
 import { ControlStore } from '../storage/control-store';
 import { AcceptedVersionReply } from './acceptor-messages';
-import { hasNewerAccepted, pollAcceptedVersions, RequestVoter } from './accepted-versions';
+import { hasNewerAccepted, pollAcceptedVersions } from './accepted-versions';
+import { RequestVoter } from './voter-request';
 import { KeyOwner } from './key-owner';
 
 /** How often one read polls the voters: a second time where the first poll shows that they were replaced. */
--- a/src/control/consensus/replica-sync.ts
+++ b/src/control/consensus/replica-sync.ts
@@ -14,7 +14,7 @@
 import { versionOf } from '../../shared/replication/delta';
 import { ControlStore } from '../storage/control-store';
 import { learnedValues } from '../storage/register-state';
-import { RequestVoter } from './accepted-versions';
+import { RequestVoter } from './voter-request';
 
 /** How many keys one message asks about. */
 const MAX_KEYS_PER_REQUEST = 256;
--- a/src/control/consensus/voter-transport.ts
+++ b/src/control/consensus/voter-transport.ts
@@ -5,6 +5,7 @@
 import { errorOrValue, Result } from '../../shared/errors/errors';
 import { VersionedValue } from '../../shared/state/versions';
 import { Voter, VoterSet } from '../../shared/state/voter-set';
+import { TimedVoterRequest } from './voter-request';
 
 /** What the consensus roles of one process share: its identity, the voters, and the way to them. */
 export interface VoterTransport {
@@ -15,12 +16,7 @@
   /** The voter set as it is known here; undefined before the bootstrap. */
   voters: () => VoterSet | undefined;
   /** Sends a request to a voter, which may be this process, and waits for its reply up to `timeoutMs`. */
-  request: (
-    voter: Voter,
-    type: string,
-    body: unknown,
-    timeoutMs: number,
-  ) => Promise<Result<unknown>>;
+  request: TimedVoterRequest;
   /** Called for each value that is newly learned here, with the one that it replaces. */
   onLearned: (learned: VersionedValue, previous?: VersionedValue) => void;
   /** Learns a committed value in this process. */
--- a/src/control/controller-interface.ts
+++ b/src/control/controller-interface.ts
@@ -9,11 +9,12 @@
 import { Settings } from '../shared/settings/settings';
 import { Waker } from '../shared/concurrency/waker';
 import { VersionedValue, Version } from '../shared/state/versions';
-import { Voter, VoterSet } from '../shared/state/voter-set';
+import { VoterSet } from '../shared/state/voter-set';
 import { ChangeResult } from './configuration/change-coordinator';
 import { LeaseRegistry } from './leases/lease-registry';
 import { VoterLiveness } from './membership/voter-liveness';
 import { Operation } from './configuration/operations';
+import { TimedVoterRequest } from './consensus/voter-request';
 import { KeyOwner } from './consensus/key-owner';
 import { MembershipRequests } from './membership/membership-requests';
 import { ControlStore } from './storage/control-store';
@@ -75,12 +76,7 @@
   /** Whether the newest value of a key was learned as it was committed, and not by catching up. */
   wasLearnedLive: (key: string) => boolean;
   /** Sends a request to a voter, which may be this node. */
-  requestVoter: (
-    voter: Voter,
-    type: string,
-    body: unknown,
-    timeoutMs: number,
-  ) => Promise<Result<unknown>>;
+  requestVoter: TimedVoterRequest;
   /** Leaves the voter set gracefully; resolves when this controller may stop. */
   drain: () => Promise<unknown>;
   /** Closes connections and ends the loops. */
--- a/src/control/leases/effect-waiter.ts
+++ b/src/control/leases/effect-waiter.ts
@@ -4,8 +4,8 @@
  */
 
 import { Ports } from '../../shared/ports/ports';
+import { isAtLeast } from '../../shared/replication/change-message';
 import { TimeLimits } from '../../shared/settings/time-limits';
-import { compareVersions } from '../../shared/state/versions';
 import { ControlStore } from '../storage/control-store';
 import { covers } from './learned-changes';
 import { EffectRequest } from './lease-messages';
@@ -74,7 +74,7 @@
   private isInEffect(change: EffectRequest): boolean {
     const { store, ports, table } = this.dependencies;
     const learned = store.registers.get(change.key)?.learned;
-    if (!learned || compareVersions(learned, change) < 0) return false;
+    if (!isAtLeast(learned, change)) return false;
     if (ports.clock.now() < this.unknownLeasesUntil) return false;
     for (const router of table.liveRouters()) if (!covers(router.applied, change)) return false;
     return true;
--- a/src/control/leases/lease-messages.ts
+++ b/src/control/leases/lease-messages.ts
@@ -1,12 +1,10 @@
 /**
- * The messages that followers and voters send to a controller's lease registry, and its reply to a lease request. The
- * field names are sent.
+ * The messages that followers and voters send to a controller's lease registry. The field names are sent.
  */
 
 import { AppliedEntry } from '../../shared/replication/change-message';
 import { Member } from '../../shared/state/members';
-import { Version, VersionedValue } from '../../shared/state/versions';
-import { VoterSet } from '../../shared/state/voter-set';
+import { Version } from '../../shared/state/versions';
 import { bodyField } from '../../shared/transport/body-fields';
 
 /** A follower's request for a lease: who it is, and how far it has applied each key: all of them, or what changed since its last request on this channel. */
@@ -38,21 +36,5 @@
   @bodyField('number') within!: number;
 }
 
-/** The reply to a lease request; voters and members only where they differ from what the follower was sent last. */
-export interface LeaseReply {
-  granted: boolean;
-  /** The id of the disk of the controller that replies. */
-  disk: string;
-  /** What the follower lacks, in full; none where it is granted. */
-  missing?: VersionedValue[];
-  /** What the follower lacks, for it to fetch. */
-  lacking?: AppliedEntry[];
-  voters?: VoterSet;
-  members?: Member[];
-  joined?: Member[];
-  /** The names and incarnations of the members that left. */
-  left?: string[];
-}
-
 /** The versions of keys that a follower has applied. */
 export type AppliedVersions = Map<string, Version>;
--- a/src/control/leases/lease-registry.ts
+++ b/src/control/leases/lease-registry.ts
@@ -7,6 +7,7 @@
 import { Right } from 'purify-ts';
 import { appliedEntries, ChangeMessage } from '../../shared/replication/change-message';
 import { ChunkRequest } from '../../shared/replication/chunk-fetcher';
+import { LeaseReply } from '../../shared/replication/lease-renewal';
 import { failure } from '../../shared/errors/errors';
 import { Ports } from '../../shared/ports/ports';
 import { TimeLimits } from '../../shared/settings/time-limits';
@@ -20,13 +21,7 @@
 import { EffectWaiter } from './effect-waiter';
 import { lagMetricRows } from './follower-lag';
 import { LearnedChanges } from './learned-changes';
-import {
-  AppliedVersions,
-  EffectRequest,
-  FetchRequest,
-  LeaseReply,
-  LeaseRequest,
-} from './lease-messages';
+import { AppliedVersions, EffectRequest, FetchRequest, LeaseRequest } from './lease-messages';
 import { LeaseHolder, LeaseTable } from './lease-table';
 import { compareNames, membershipDelta } from './membership-view';
 
--- a/src/control/leases/lease-table.ts
+++ b/src/control/leases/lease-table.ts
@@ -6,12 +6,12 @@
 import { isDeepStrictEqual } from 'node:util';
 import { Clock } from '../../shared/ports/clock';
 import { TimeLimits } from '../../shared/settings/time-limits';
-import { Member } from '../../shared/state/members';
+import { incarnationOf, Member } from '../../shared/state/members';
 import { VoterSet } from '../../shared/state/voter-set';
 import { PeerChannel } from '../../shared/transport/connections';
 import { ChangeSender } from './change-sender';
 import { AppliedVersions } from './lease-messages';
-import { compareNames, incarnationOf, MembershipView } from './membership-view';
+import { compareNames, MembershipView } from './membership-view';
 
 /** An expired lease is forgotten after so many lease times: until then its holder may renew by what changed. */
 const EXPIRED_KEPT_LEASES = 10;
--- a/src/control/leases/membership-view.ts
+++ b/src/control/leases/membership-view.ts
@@ -2,7 +2,7 @@
  * The members at one time, and the difference between two lists of them.
  */
 
-import { Member } from '../../shared/state/members';
+import { incarnationOf, Member } from '../../shared/state/members';
 
 /** The members at one time; it stands for as long as nobody joins, leaves, or could have let a lease expire. */
 export interface MembershipView {
@@ -17,11 +17,6 @@
   left: string[];
 }
 
-/** Names one run of a node's process: its name, and the id that it took when it started. */
-export function incarnationOf(member: Member): string {
-  return `${member.name} ${member.life}`;
-}
-
 /** Orders what has names by them. */
 export function compareNames(a: { name: string }, b: { name: string }): number {
   return a.name < b.name ? -1 : 1;
--- a/src/control/membership/bootstrap.ts
+++ b/src/control/membership/bootstrap.ts
@@ -9,6 +9,7 @@
 import { Settings } from '../../shared/settings/settings';
 import { Voter, VoterSet } from '../../shared/state/voter-set';
 import { CONTROL_KEYS } from '../../shared/state/control-keys';
+import { RequestVoter } from '../consensus/voter-request';
 import { ControlStore } from '../storage/control-store';
 import {
   checkDiskIntact,
@@ -28,7 +29,7 @@
   voters: () => VoterSet | undefined;
   /** Asks the controller at an address for its disk and voter set. */
   identify: (address: string) => Promise<Result<IdentifyReply>>;
-  requestVoter: (voter: Voter, type: string, body: unknown) => Promise<Result<unknown>>;
+  requestVoter: RequestVoter;
   /** Commits the founders as the voter set, where this controller owns that key. */
   commitBootstrap: (founders: VoterSet) => Promise<void>;
 }
--- a/src/control/membership/graceful-leave.ts
+++ b/src/control/membership/graceful-leave.ts
@@ -2,13 +2,14 @@
  * The graceful leave of a controller: it votes on until its disk is not needed any more, or its time is over.
  */
 
-import { errorOrValue, Result } from '../../shared/errors/errors';
+import { errorOrValue } from '../../shared/errors/errors';
 import { Clock } from '../../shared/ports/clock';
 import { Logger } from '../../shared/ports/logger';
 import { TimeLimits } from '../../shared/settings/time-limits';
 import { allVoters, isQuorum, isVoter, Voter, VoterSet } from '../../shared/state/voter-set';
 import { VoterLiveness } from './voter-liveness';
 import { syncReplica } from '../consensus/replica-sync';
+import { RequestVoter } from '../consensus/voter-request';
 import { LeaveReply } from './membership-requests';
 import { ControlStore } from '../storage/control-store';
 
@@ -33,7 +34,7 @@
   voters: () => VoterSet | undefined;
   /** Controllers that ask to vote. */
   candidates: () => Voter[];
-  requestVoter: (voter: Voter, type: string, body: unknown) => Promise<Result<unknown>>;
+  requestVoter: RequestVoter;
   /** Has the loops of this controller look at the voters at once. */
   wake: () => void;
 }
--- a/src/control/membership/joint-set-completion.ts
+++ b/src/control/membership/joint-set-completion.ts
@@ -8,7 +8,7 @@
 import { isVoter, Voter, VoterSet } from '../../shared/state/voter-set';
 import { CONTROL_KEYS } from '../../shared/state/control-keys';
 import { Version } from '../../shared/state/versions';
-import { pollVoters } from '../../shared/transport/quorum-poll';
+import { pollEffect } from '../configuration/change-effects';
 import { syncReplicas } from '../consensus/replica-sync';
 import { Controller } from '../controller-interface';
 import { collectQuorumState, copyVotes, recommitKeys } from './quorum-state';
@@ -24,9 +24,6 @@
 /** The first pause between these checks, as a ratio of the lease renewal. */
 const LEARNED_CHECK_PAUSE_RATIO = 0.1;
 
-/** How much longer than a voter waits for an effect its reply is waited for. */
-const EFFECT_REPLY_RATIO = 1.1;
-
 /** What a reconfiguration needs of its controller. */
 export type ReconfigurationController = Pick<
   Controller,
@@ -93,7 +90,7 @@
     const { controller, progress, stepTimes, version } = this;
     const [unknownError, joint] = errorOrValue(await this.awaitLearned());
     if (unknownError) return Left(unknownError);
-    const newVoters = newVotersOf(joint);
+    const newVoters = newVotersOf(joint.now, joint.next);
     const isRepair = this.isRepair(joint);
     if (!isRepair && !progress.isInEffect) {
       const polling = this.pollEffect(joint.now);
@@ -156,13 +153,8 @@
   /** Resolves when no router goes by the old set alone; a repair need not wait, since a lost disk votes no more. */
   private pollEffect(now: Voter[]): Promise<Result<unknown[]>> {
     const { requestVoter, timeLimits } = this.controller;
-    const { epoch, by, number } = this.version;
-    const within = timeLimits.effectTimeoutMs;
-    const body = { key: CONTROL_KEYS.voters, epoch, by, number, within };
-    function requestEffect(voter: Voter): Promise<Result<unknown>> {
-      return requestVoter(voter, 'effect', body, within * EFFECT_REPLY_RATIO);
-    }
-    return pollVoters({ now }, requestEffect);
+    const { effectTimeoutMs } = timeLimits;
+    return pollEffect(requestVoter, { now }, CONTROL_KEYS.voters, this.version, effectTimeoutMs);
   }
 
   private syncNewVoters(newVoters: readonly Voter[]): Promise<Result<void>> {
@@ -191,9 +183,10 @@
   }
 }
 
-function newVotersOf({ now, next }: JointSet): Voter[] {
+/** Those of the next voters that do not vote now. */
+export function newVotersOf(now: readonly Voter[], next: readonly Voter[]): Voter[] {
   function isNew(voter: Voter): boolean {
-    return !isVoter({ now }, voter.disk);
+    return !isVoter({ now: [...now] }, voter.disk);
   }
   return next.filter(isNew);
 }
--- a/src/control/membership/voter-set-controller.ts
+++ b/src/control/membership/voter-set-controller.ts
@@ -4,11 +4,11 @@
 
 import { errorOrValue } from '../../shared/errors/errors';
 import { Ports } from '../../shared/ports/ports';
-import { addressOf, isVoter, Voter, VoterSet } from '../../shared/state/voter-set';
+import { addressOf, Voter, VoterSet } from '../../shared/state/voter-set';
 import { CONTROL_KEYS } from '../../shared/state/control-keys';
 import { Controller } from '../controller-interface';
 import { waitForNextRound } from '../maintenance-pause';
-import { NEW_VOTER_UNWRITABLE } from './joint-set-completion';
+import { newVotersOf, NEW_VOTER_UNWRITABLE } from './joint-set-completion';
 import { changeVoterSet, revertVoterSet } from './reconfiguration';
 import { makeReconfigurationProgress } from './reconfiguration-progress';
 import { VoterHealthTracker } from './voter-health';
@@ -109,13 +109,10 @@
   private plan(now: readonly Voter[]): Voter[] | undefined {
     const { isUp, membershipRequests, settings } = this.controller;
     const { health } = this;
-    function isReachable(voter: Voter): boolean {
-      return isUp(voter);
-    }
     function healthOf(voter: Voter): ReturnType<VoterHealthTracker['healthOf']> {
       return health.healthOf(voter);
     }
-    const candidates = membershipRequests.candidates().filter(isReachable);
+    const candidates = membershipRequests.candidates().filter(isUp);
     return planVoterSet(now, candidates, healthOf, settings.tolerated * 2 + 1);
   }
 
@@ -129,12 +126,9 @@
     function isDroppedAsLost(voter: Voter): boolean {
       return !target.includes(voter) && health.healthOf(voter) === 'lost';
     }
-    function isReachable(voter: Voter): boolean {
-      return isUp(voter);
-    }
     const dropped = now.filter(isDroppedAsLost);
     if (dropped.length === 0) return true;
-    for (const voter of now.filter(isReachable)) {
+    for (const voter of now.filter(isUp)) {
       const [error, isOneUp] = errorOrValue(
         await requestVoter(voter, 'sees', dropped, timeLimits.requestTimeoutMs),
       );
@@ -144,7 +138,6 @@
   }
 
   private logChange(now: readonly Voter[], target: readonly Voter[]): void {
-    // The simulation's event hash covers the step of warnings, so that this line keeps it.
     this.ports.logger.warn(
       { event: 'voters.set-changing', peer: this.controller.name },
       `voters ${now.map(addressOf).join(' ')} become ${target.map(addressOf).join(' ')}`,
@@ -164,11 +157,3 @@
     return this.controller.jointForMs() > this.controller.timeLimits.diskRepairMs;
   }
 }
-
-/** Those of the target set that do not vote now. */
-function newVotersOf(now: readonly Voter[], target: readonly Voter[]): Voter[] {
-  function isNew(voter: Voter): boolean {
-    return !isVoter({ now: [...now] }, voter.disk);
-  }
-  return target.filter(isNew);
-}
--- a/src/control/singletons/rollout-decisions.ts
+++ b/src/control/singletons/rollout-decisions.ts
@@ -191,7 +191,7 @@
 }
 
 /** Whether an engine reports that it has the weights of an update, or newer ones. */
-export function reportsLoaded(report: EngineReport, update: EngineUpdate): boolean {
+function reportsLoaded(report: EngineReport, update: EngineUpdate): boolean {
   for (const served of report.models)
     if (served.name === update.model) return !lacks(served.weights, update.named);
   return false;
--- a/src/control/storage/frames.ts
+++ b/src/control/storage/frames.ts
@@ -21,7 +21,7 @@
  * The most that is written before it is synced, in bytes. A longer write reaches the file in several calls, which
  * a loss of power keeps or drops one by one; what is left then can not be told from synced bytes that changed.
  */
-export const MAX_UNSYNCED_BYTES = 256 * 1024;
+const MAX_UNSYNCED_BYTES = 256 * 1024;
 
 /** A chunk of a packed value that is too long for one frame; the last one completes it. The field names are stored. */
 interface ValueChunk {
--- a/src/shared/replication/member-view.ts
+++ b/src/shared/replication/member-view.ts
@@ -2,7 +2,7 @@
  * The members that a node knows of, as the controllers' grants of its leases report them.
  */
 
-import { Member } from '../state/members';
+import { incarnationOf, Member } from '../state/members';
 
 /** What a controller's grant of a lease reports of the members: all of them, or who joined and left since the last. The field names are sent. */
 export interface MemberUpdate {
@@ -30,11 +30,6 @@
   members: Map<string, Member>;
 }
 
-/** Identifies one run of a process; part of the message format. */
-function incarnationOf(member: Member): string {
-  return `${member.name} ${member.life}`;
-}
-
 function withIncarnation(member: Member): [string, Member] {
   return [incarnationOf(member), member];
 }
--- a/src/shared/state/members.ts
+++ b/src/shared/state/members.ts
@@ -11,3 +11,8 @@
   zone: string;
   life: string;
 }
+
+/** Identifies one run of a process: its name, and the id that it took when it started. Part of the message format. */
+export function incarnationOf(member: Member): string {
+  return `${member.name} ${member.life}`;
+}
