--- a/src/shared/transport/wire-error.ts
+++ b/src/shared/transport/wire-error.ts
@@ -24,9 +24,9 @@
   return 'code' in error ? { ...encoded, code: error.code } : encoded;
 }
 
-/** Reads an error that a peer sent. */
+/** Reads an error that a peer sent; what is malformed is read as far as it can be, and nothing is thrown. */
 export function decodeError(sent: WireError): OperationError {
   const { step, peer, why, sort } = sent;
   const decoded: OperationError = { step, peer, reason: why, certainty: sort };
-  return 'code' in sent ? { ...decoded, code: sent.code } : decoded;
+  return Object.hasOwn(sent, 'code') ? { ...decoded, code: sent.code } : decoded;
 }
--- a/test/shared/connections.test.ts
+++ b/test/shared/connections.test.ts
@@ -7,7 +7,7 @@
   maintainConnection,
   PROTOCOL_VERSION,
 } from '../../src/shared/transport/connections';
-import { Connection } from '../../src/shared/ports/network';
+import { Connection, Message } from '../../src/shared/ports/network';
 import { makeNet } from '../../tools/sim/simwire';
 import { makeWorld } from '../../tools/sim/simworld';
 
@@ -88,8 +88,36 @@
   held.stop();
 }
 
+async function malformedError(): Promise<void> {
+  const w = makeWorld(3, false);
+  const net = makeNet(w);
+  const server = net.ports(w.proc('server', '127.10.1.1'));
+  const client = net.ports(w.proc('client', '127.10.1.2'));
+  const at = '127.10.1.1:7000';
+  function respondsBadly(connection: Connection): void {
+    function respond({ id, type }: Message): void {
+      connection.send({ re: id, ...(type === 'whole' ? { body: 7 } : { fault: type }) });
+    }
+    void connection.messages.observe(respond);
+  }
+  await server.network.listen(at, respondsBadly);
+  const replies: unknown[] = [];
+  async function requestAll(): Promise<void> {
+    const [, connection] = errorOrValue(await client.network.connect(at, 100));
+    const channel = openChannel(client, connection!, []);
+    for (const type of ['a text', 'whole']) {
+      const [error, value] = errorOrValue(await channel.request(type, {}, 100));
+      replies.push(error ? { code: error.code } : value);
+    }
+  }
+  void requestAll();
+  await w.run(1000);
+  expect(replies).toEqual([{ code: undefined }, 7]);
+}
+
 test(
   'versions one apart meet, with fields that one does not know; further apart is refused',
   versions,
 );
 test('a peer that takes no turns counts as down, and is up again when it wakes', frozenPeer);
+test('an error that is malformed is an error, and the channel works on', malformedError);
