--- a/src/control/configuration/intents-validation.ts
+++ b/src/control/configuration/intents-validation.ts
@@ -9,7 +9,8 @@
 import { id, maybeId, neededAddress, share, whole } from '../../shared/settings/validators';
 import { Intents } from '../../shared/state/intents';
 import { checkReferences } from './intents-references';
-import { IntentViolation, isPlainObject } from './intents-violations';
+import { isPlainObject } from '../../shared/util/plain-object';
+import { IntentViolation } from './intents-violations';
 
 export type { IntentViolation } from './intents-violations';
 
--- a/src/control/configuration/intents-violations.ts
+++ b/src/control/configuration/intents-violations.ts
@@ -8,8 +8,3 @@
   path: string;
   why: string;
 }
-
-/** Whether a value that was read from JSON is an object. */
-export function isPlainObject(value: unknown): value is Record<string, unknown> {
-  return typeof value === 'object' && value !== null && !Array.isArray(value);
-}
--- a/src/control/membership/seed-announcer.ts
+++ b/src/control/membership/seed-announcer.ts
@@ -11,7 +11,7 @@
 import { Settings } from '../../shared/settings/settings';
 import { allVoters, VoterSet } from '../../shared/state/voter-set';
 import { VersionedValue } from '../../shared/state/versions';
-import { jittered } from '../maintenance-pause';
+import { jittered } from '../../shared/concurrency/jitter';
 
 /** What announcing to the seeds needs of its controller. */
 export interface SeedAnnouncerDependencies {
--- a/src/data/gateway/indexer-client.ts
+++ b/src/data/gateway/indexer-client.ts
@@ -16,6 +16,7 @@
 import { TimeLimits } from '../../shared/settings/time-limits';
 import { EngineLoads } from './engine-loads';
 import { LoadBoard } from './load-board';
+import { jittered } from '../../shared/concurrency/jitter';
 
 /** Queries in a row that fail before an indexer is left out for a while. */
 const MAX_CONSECUTIVE_FAILURES = 3;
@@ -23,9 +24,6 @@
 const REPORT_PAUSE_RATIO = 0.4;
 /** How many routers report at the usual pause; more report less often, in proportion. */
 const ROUTERS_AT_USUAL_PAUSE = 16;
-/** The pause lies between these multiples of itself. */
-const JITTER_MIN_RATIO = 0.8;
-const JITTER_SPAN_RATIO = 0.4;
 
 /** Failed queries of one indexer. */
 interface QueryFailures {
@@ -161,11 +159,8 @@
 
   private reportPauseMs(): number {
     const { ports, timeLimits, routerCount } = this.dependencies;
-    return (
-      timeLimits.indexQueryTimeoutMs *
-      REPORT_PAUSE_RATIO *
-      Math.max(1, (routerCount() ?? 1) / ROUTERS_AT_USUAL_PAUSE) *
-      (JITTER_MIN_RATIO + JITTER_SPAN_RATIO * ports.random.next())
-    );
+    const crowdRatio = Math.max(1, (routerCount() ?? 1) / ROUTERS_AT_USUAL_PAUSE);
+    const averageMs = timeLimits.indexQueryTimeoutMs * REPORT_PAUSE_RATIO * crowdRatio;
+    return jittered(ports.random, averageMs);
   }
 }
--- a/src/index/feed-listener.ts
+++ b/src/index/feed-listener.ts
@@ -9,6 +9,7 @@
 import { TimeLimits } from '../shared/settings/time-limits';
 import { makePushStream } from '../shared/util/push-stream';
 import { CacheSources, Registration } from './cache-sources';
+import { jittered } from '../shared/concurrency/jitter';
 
 /** Whether a listener has heard its source: not yet, lately, no more; or is not to listen. */
 export type ListenerStatus = 'pending' | 'active' | 'paused' | 'failed';
@@ -109,8 +110,7 @@
       }
       this.noteSuccess();
       if (!this.take(reply)) continue;
-      if (sources.batchingMs > 0)
-        await clock.sleep(sources.batchingMs * (0.8 + 0.4 * random.next()));
+      if (sources.batchingMs > 0) await clock.sleep(jittered(random, sources.batchingMs));
     }
   }
 
--- a/src/programs/cli/change-reply.ts
+++ b/src/programs/cli/change-reply.ts
@@ -5,7 +5,7 @@
 import { IntentViolation } from '../../control/configuration/intents-validation';
 import { Console } from './console';
 import { HttpReply } from './controller-client';
-import { EXIT_FINDINGS, EXIT_OK } from './exit-codes';
+import { EXIT_FINDINGS, EXIT_OK } from '../exit-codes';
 
 /** The body of an answer to a change; an API key is told once, when it is made. */
 interface ChangeReplyBody {
--- a/src/programs/cli/controller-client.ts
+++ b/src/programs/cli/controller-client.ts
@@ -6,7 +6,7 @@
 import { Network } from '../../shared/ports/network';
 import { requestJson } from '../../shared/util/http-json';
 import { Console } from './console';
-import { EXIT_FINDINGS } from './exit-codes';
+import { EXIT_FINDINGS } from '../exit-codes';
 
 /** How long one controller may take for its whole answer. */
 export const REQUEST_TIMEOUT_MS = 8000;
--- a/src/programs/cli/fleet-commands.ts
+++ b/src/programs/cli/fleet-commands.ts
@@ -7,7 +7,7 @@
 import { printChangeAndExit } from './change-reply';
 import { Console } from './console';
 import { ControllerClient, HttpReply } from './controller-client';
-import { EXIT_FINDINGS, EXIT_OK } from './exit-codes';
+import { EXIT_FINDINGS, EXIT_OK } from '../exit-codes';
 
 interface MemberRow {
   name: string;
--- a/src/programs/cli/history-commands.ts
+++ b/src/programs/cli/history-commands.ts
@@ -2,14 +2,13 @@
  * The command `plumhollow history check`.
  */
 
-import { readFileSync } from 'node:fs';
 import { Command } from 'commander';
 import { describeError, errorOrValue } from '../../shared/errors/errors';
 import { HistoryCall, LineFault, parseHistory } from '../../shared/history/calls';
 import { checkHistory, sayVerdict } from '../../shared/history/verdict';
-import { tryCatch } from '../../shared/util/try-catch';
+import { readTextFile } from '../../shared/util/text-file';
 import { Console } from './console';
-import { EXIT_FINDINGS, EXIT_OK, EXIT_USAGE } from './exit-codes';
+import { EXIT_FINDINGS, EXIT_OK, EXIT_USAGE } from '../exit-codes';
 
 /** Adds the commands that judge recorded histories. */
 export function addHistoryCommands(program: Command, console: Console): void {
@@ -22,10 +21,7 @@
   }
 
   function check(file: string): void {
-    function readText(): string {
-      return readFileSync(file, 'utf8');
-    }
-    const [unreadable, text] = errorOrValue(tryCatch('read file', file, readText));
+    const [unreadable, text] = errorOrValue(readTextFile('read file', file));
     if (unreadable) return console.fail(EXIT_USAGE, describeError(unreadable));
     const parsed = parseHistory(text);
     if (parsed.isLeft()) return printUnreadable(parsed.extract());
--- a/src/programs/cli/intents-commands.ts
+++ b/src/programs/cli/intents-commands.ts
@@ -2,17 +2,17 @@
  * Commands that read, compare and apply the operators' intents.
  */
 
-import { readFileSync } from 'node:fs';
 import { Command } from 'commander';
 import { compareIntentsWithFleet, Finding } from '../../control/configuration/intents-consistency';
 import { IntentViolation, validateIntents } from '../../control/configuration/intents-validation';
 import { describeError, errorOrValue } from '../../shared/errors/errors';
 import { Intents } from '../../shared/state/intents';
-import { parseJson, tryCatch } from '../../shared/util/try-catch';
+import { parseJson } from '../../shared/util/try-catch';
+import { readTextFile } from '../../shared/util/text-file';
 import { printChangeAndExit, printViolations } from './change-reply';
 import { Console } from './console';
 import { ControllerClient, REQUEST_TIMEOUT_MS } from './controller-client';
-import { EXIT_FINDINGS, EXIT_OK, EXIT_USAGE } from './exit-codes';
+import { EXIT_FINDINGS, EXIT_OK, EXIT_USAGE } from '../exit-codes';
 
 /** How long a store of kept blocks may take to answer when intents are compared with the fleet. */
 const STORE_TIMEOUT_MS = REQUEST_TIMEOUT_MS / 4;
@@ -47,10 +47,7 @@
   console: Console,
 ): void {
   function readIntentsFile(file: string): { intents?: Intents; violations: IntentViolation[] } {
-    function readText(): string {
-      return readFileSync(file, 'utf8');
-    }
-    const [unreadable, text] = errorOrValue(tryCatch('read file', file, readText));
+    const [unreadable, text] = errorOrValue(readTextFile('read file', file));
     if (unreadable) return console.fail(EXIT_USAGE, describeError(unreadable));
     const [invalid, document] = errorOrValue(parseJson(text, 'read file', file));
     if (invalid) return { violations: [{ path: '', why: invalid.reason }] };
--- a/src/programs/daemon.ts
+++ b/src/programs/daemon.ts
@@ -2,7 +2,6 @@
  * What all daemons share: settings, ports, start, and an orderly end.
  */
 
-import { readFileSync } from 'node:fs';
 import { Either, Left } from 'purify-ts';
 import { usersPlatform } from '../../platform/adapter';
 import { describeError, errorOrValue, Result } from '../shared/errors/errors';
@@ -17,16 +16,14 @@
 import { makeSystemClock } from '../shared/system/system-clock';
 import { makeSystemNetwork } from '../shared/system/tcp-network';
 import { makeSystemRandom } from '../shared/system/system-random';
-import { tryCatch } from '../shared/util/try-catch';
+import { readTextFile } from '../shared/util/text-file';
+import { EXIT_FAILED, EXIT_USAGE } from './exit-codes';
 import { RunningService } from './running-service';
 import { makeShutdown } from './shutdown';
 
 /** The version that all programs tell. */
 export const VERSION = '0.1.0';
 
-const EXIT_FAILED = 1;
-const EXIT_USAGE = 2;
-
 /** Starts a program's service; without an adapter it speaks our own protocols. */
 export type StartService = (
   ports: Ports,
@@ -69,10 +66,7 @@
 }
 
 function readPlatformSettings(file: string): Either<string[], Settings> {
-  function readText(): string {
-    return readFileSync(file, 'utf8');
-  }
-  const [error, text] = errorOrValue(tryCatch('read settings', file, readText));
+  const [error, text] = errorOrValue(readTextFile('read settings', file));
   return error ? Left([describeError(error)]) : usersPlatform.settings(text);
 }
 
--- a/src/programs/flags.ts
+++ b/src/programs/flags.ts
@@ -5,9 +5,7 @@
 import { Command } from 'commander';
 import { Either } from 'purify-ts';
 import { readSettings, Settings, SettingsField, settingsFields } from '../shared/settings/settings';
-
-const EXIT_OK = 0;
-const EXIT_USAGE = 2;
+import { exitOnUsageError } from './exit-codes';
 
 /** The flag of a setting: `graceMs` is set by `--grace-ms`. */
 function flagName(setting: string): string {
@@ -26,10 +24,6 @@
   return text === 'true';
 }
 
-function exitOnUsageError(error: { exitCode: number }): never {
-  process.exit(error.exitCode === 0 ? EXIT_OK : EXIT_USAGE);
-}
-
 function addFlag(command: Command, { name, doc, sort }: SettingsField): void {
   const flag = flagName(name);
   switch (sort) {
--- a/src/programs/plumhollow.ts
+++ b/src/programs/plumhollow.ts
@@ -7,11 +7,11 @@
 import { makeSystemNetwork } from '../shared/system/tcp-network';
 import { makeConsole } from './cli/console';
 import { makeControllerClient } from './cli/controller-client';
-import { EXIT_OK, EXIT_USAGE } from './cli/exit-codes';
 import { addFleetCommands } from './cli/fleet-commands';
 import { addHistoryCommands } from './cli/history-commands';
 import { addIntentsCommands } from './cli/intents-commands';
 import { VERSION } from './daemon';
+import { exitOnUsageError } from './exit-codes';
 
 const CONNECT_TIMEOUT_MS = 2000;
 const DEFAULT_CONTROLLER = '127.0.0.1:8000';
@@ -28,10 +28,6 @@
   return program.opts<{ at: string }>().at.split(',');
 }
 
-function exitOnUsageError(error: { exitCode: number }): never {
-  return process.exit(error.exitCode === 0 ? EXIT_OK : EXIT_USAGE);
-}
-
 program.option(
   '--at <list>',
   "controllers' HTTP addresses, ip:port, comma between; or PLUMHOLLOW_AT",
--- a/src/programs/router.ts
+++ b/src/programs/router.ts
@@ -12,19 +12,12 @@
 import { runDaemon } from './daemon';
 import { RunningService } from './running-service';
 
-function toService({ drain, stop }: RunningService): RunningService {
-  return { drain, stop };
-}
-
 async function start(
   ports: Ports,
   settings: Settings,
   adapter: PlatformAdapter | undefined,
 ): Promise<Result<RunningService>> {
-  const started: Result<RunningService> = await (adapter
-    ? startDialectRouter(ports, settings, adapter)
-    : startRouter(ports, settings));
-  return started.map(toService);
+  return adapter ? startDialectRouter(ports, settings, adapter) : startRouter(ports, settings);
 }
 
 void runDaemon({
--- a/src/shared/concurrency/waker.ts
+++ b/src/shared/concurrency/waker.ts
@@ -45,7 +45,6 @@
   /** Makes a waker for one more loop. */
   add: () => Waker;
   /** Wakes all loops. */
-  /** Ends the wait in progress, or the next one. */
   wake: () => void;
 }
 
--- a/src/shared/history/calls.ts
+++ b/src/shared/history/calls.ts
@@ -2,6 +2,7 @@
 import { Either, Left, Right } from 'purify-ts';
 import { errorOrValue } from '../errors/errors';
 import { parseJson } from '../util/try-catch';
+import { isPlainObject } from '../util/plain-object';
 
 /** What a caller asked for: a whole document, a named change of one, a name for weights, or the value that stands. */
 export type CallKind = 'replace' | 'update' | 'name' | 'read';
@@ -131,13 +132,12 @@
 function parseLine(text: string, line: number): Either<LineFault[], HistoryCall> {
   const [fault, fields] = errorOrValue(parseJson(text, 'read history', `line ${line}`));
   if (fault) return Left([{ line, why: fault.reason }]);
-  if (typeof fields !== 'object' || fields === null || Array.isArray(fields))
-    return Left([{ line, why: 'a call must be a JSON object' }]);
-  const faults = faultsOf(fields as Fields);
+  if (!isPlainObject(fields)) return Left([{ line, why: 'a call must be a JSON object' }]);
+  const faults = faultsOf(fields);
   function atLine(why: string): LineFault {
     return { line, why };
   }
-  return faults.length > 0 ? Left(faults.map(atLine)) : Right(callOf(fields as Fields, line));
+  return faults.length > 0 ? Left(faults.map(atLine)) : Right(callOf(fields, line));
 }
 
 /** Reads a history; all faults are told, each with its line. */
--- a/src/shared/platform-adapter/adapter-request.ts
+++ b/src/shared/platform-adapter/adapter-request.ts
@@ -1,48 +1,41 @@
+/**
+ * Requests to machines of the platform, in the form that its adapter makes.
+ */
+
 import { Left, Right } from 'purify-ts';
-import { AdapterRequest } from './platform-adapter';
 import { errorOrValue, Result } from '../errors/errors';
-import { parseJson } from '../util/try-catch';
 import { Network } from '../ports/network';
+import { JsonResponse, parseOptionalJson, readText } from '../util/http-json';
+import { AdapterRequest } from './platform-adapter';
 
-/** What was answered to what a dialect worded; a body that is no JSON is none. */
-export interface AdapterResponse {
-  status: number;
-  body: unknown;
-  headers: Record<string, string | undefined>;
+function headersOf(request: AdapterRequest): Record<string, string> {
+  const headers: Record<string, string> = { 'content-type': 'application/json' };
+  for (let i = 0; i + 1 < request.headers.length; i += 2)
+    headers[request.headers[i]] = request.headers[i + 1];
+  return headers;
 }
 
-/** Sends what a dialect worded and reads the answer whole; `within` is ms. */
+/**
+ * Sends an adapter's request, and reads the response to its end; a body that is no JSON is read as none. `timeoutMs`
+ * is for the complete response.
+ */
 export async function sendAdapterRequest(
-  wire: Network,
-  at: string,
-  w: AdapterRequest,
-  within: number,
-  gone?: AbortSignal,
-): Promise<Result<AdapterResponse>> {
-  const headers: Record<string, string> = { 'content-type': 'application/json' };
-  for (let i = 0; i + 1 < w.headers.length; i += 2) headers[w.headers[i]] = w.headers[i + 1];
-  const body = typeof w.body === 'object' ? Buffer.from(w.body).toString('utf8') : w.body;
-  const [f, r] = errorOrValue(
-    await wire.request({
-      address: at,
-      method: w.method,
-      path: w.target,
-      headers,
-      body,
-      timeoutMs: within,
-      signal: gone,
-    }),
-  );
-  if (f) return Left(f);
-  let text = '';
-  for (;;) {
-    const [g, piece] = errorOrValue(await r.nextChunk());
-    if (g) return Left(g);
-    if (piece === undefined) break;
-    text += piece;
-  }
-  const [, value] = errorOrValue(
-    text === '' ? Right(undefined) : parseJson(text, `${w.method} ${w.target}`, at),
+  network: Network,
+  address: string,
+  request: AdapterRequest,
+  timeoutMs: number,
+  signal?: AbortSignal,
+): Promise<Result<JsonResponse>> {
+  const { method, target } = request;
+  const headers = headersOf(request);
+  const body =
+    typeof request.body === 'object' ? Buffer.from(request.body).toString('utf8') : request.body;
+  const [requestError, response] = errorOrValue(
+    await network.request({ address, method, path: target, headers, body, timeoutMs, signal }),
   );
-  return Right({ status: r.status, body: value, headers: r.headers });
+  if (requestError) return Left(requestError);
+  const [readError, text] = errorOrValue(await readText(response));
+  if (readError) return Left(readError);
+  const [, value] = errorOrValue(parseOptionalJson(text, `${method} ${target}`, address));
+  return Right({ status: response.status, body: value, headers: response.headers });
 }
--- a/src/shared/ports/ports.ts
+++ b/src/shared/ports/ports.ts
@@ -1,5 +1,6 @@
 /**
- * All ports of a process. In the simulator each is replaced by one under virtual time.
+ * All ports of a process. In the simulator each is replaced by one under virtual time. The functions of ports, and of
+ * the connections and requests that they give, need no `this`: a caller may pass them on by themselves.
  */
 
 import { Clock } from './clock';
--- a/src/shared/ports/raw-http.ts
+++ b/src/shared/ports/raw-http.ts
@@ -71,8 +71,6 @@
   address: string;
   /** Whether it is up, idle, and no byte came that belongs to no response. */
   isReusable: () => boolean;
-  /** How many requests it was used for. */
-  useCount: () => number;
   /** Sends a request, whose complete response may take `timeoutMs`. An error that is refused says that no byte was sent. */
   request: (
     request: RawHttpRequest,
--- a/src/shared/replication/applied-state.ts
+++ b/src/shared/replication/applied-state.ts
@@ -50,14 +50,6 @@
     return [...this.byKey.values()];
   }
 
-  /** The keys that begin with a prefix. */
-  keysWithPrefix(prefix: string): string[] {
-    function hasPrefix(key: string): boolean {
-      return key.startsWith(prefix);
-    }
-    return [...this.byKey.keys()].filter(hasPrefix);
-  }
-
   /** How many changes have been applied. */
   changeCount(): number {
     return this.journal.count();
--- a/src/shared/replication/catch-up.ts
+++ b/src/shared/replication/catch-up.ts
@@ -60,8 +60,8 @@
   async fetch(channel: PeerChannel, lacking: AppliedEntry[]): Promise<boolean> {
     const missing = lacking.filter(this.isMissing.bind(this)).map(keyOfEntry);
     const idle = missing.filter(this.isIdle.bind(this));
-    const others = missing.map(this.fetchOf.bind(this));
-    if (idle.length === 0) return (await Promise.all(others.map(toPromise))).every(isFetched);
+    if (idle.length === 0)
+      return (await Promise.all(missing.map(this.fetchInProgress.bind(this)))).every(Boolean);
     return this.track(idle, this.fetchKeys(channel, idle));
   }
 
@@ -79,8 +79,9 @@
     return !this.inProgress.has(key);
   }
 
-  private fetchOf(key: string): Promise<boolean> | undefined {
-    return this.inProgress.get(key);
+  /** The fetch of a key that is not idle. */
+  private fetchInProgress(key: string): Promise<boolean> {
+    return this.inProgress.get(key)!;
   }
 
   /** Notes that keys are being fetched until that is done. */
@@ -142,16 +143,7 @@
   return entryOf(key, undefined);
 }
 
-function isFetched(fetched: boolean | undefined): boolean {
-  return fetched !== false;
-}
-
 /** Makes the catch-up of a node. */
 export function makeCatchUp(dependencies: CatchUpDependencies): CatchUp {
   return new ChangeCatchUp(dependencies);
 }
-
-/** A fetch that is in progress, or that is over already. */
-function toPromise(fetched: Promise<boolean> | undefined): Promise<boolean | undefined> {
-  return Promise.resolve(fetched);
-}
--- a/src/shared/replication/follower.ts
+++ b/src/shared/replication/follower.ts
@@ -34,8 +34,6 @@
   hasLease: () => boolean;
   /** The applied value of a key, and its version. */
   value: <T>(key: string) => { place: Version; value: T } | undefined;
-  /** The keys with a prefix that have a value. */
-  keys: (prefix: string) => string[];
   /** The members of a role, by name; of all roles where it is empty. */
   members: (role: string) => Member[];
   /** The voter set, once it is known. */
@@ -369,7 +367,6 @@
   return {
     hasLease: follower.hasLease.bind(follower),
     value: follower.value.bind(follower),
-    keys: state.keysWithPrefix.bind(state),
     members: members.members.bind(members),
     voters: follower.voters.bind(follower),
     coreAddresses: follower.coreAddresses.bind(follower),
--- a/src/shared/replication/lease-renewal.ts
+++ b/src/shared/replication/lease-renewal.ts
@@ -2,6 +2,7 @@
  * Renewal of a node's leases, one at each controller.
  */
 
+import { jittered } from '../concurrency/jitter';
 import { makeWaker, Waker } from '../concurrency/waker';
 import { errorOrValue, OperationError, Result } from '../errors/errors';
 import { Ports } from '../ports/ports';
@@ -61,10 +62,8 @@
 const RETRY_PAUSE_RATIO = 0.5;
 /** How long a renewal that was woken waits, as a ratio of the renewal interval: it then tells of what else is applied meanwhile. */
 const WAKE_DELAY_RATIO = 0.02;
-/** The least time between renewals, as a ratio of the renewal interval ... */
-const MIN_INTERVAL_RATIO = 0.8;
-/** ... and how much jitter adds to it at the most. */
-const INTERVAL_JITTER_RATIO = 0.4;
+/** The average time between renewals, as a ratio of the renewal interval. */
+const INTERVAL_RATIO = 1;
 
 /** Sends a lease request. */
 function requestLease(
@@ -144,7 +143,7 @@
     const { ports, onGranted } = this.dependencies;
     this.reportedCount = changeCount;
     onGranted(reply, this.channel, requestedAt);
-    await this.pause(MIN_INTERVAL_RATIO + INTERVAL_JITTER_RATIO * ports.random.next());
+    await this.pause(jittered(ports.random, INTERVAL_RATIO));
   }
 
   /** Fetches what is missing here; `changeCount` is what the request reported, where it told only of changes. */
--- a/src/shared/replication/patch.ts
+++ b/src/shared/replication/patch.ts
@@ -3,8 +3,7 @@
  */
 
 import { isDeepStrictEqual } from 'node:util';
-
-type PlainObject = Record<string, unknown>;
+import { isPlainObject, PlainObject } from '../util/plain-object';
 
 /** How one value becomes another. */
 export type Patch = PutPatch | SplicePatch | ItemsPatch | FieldsPatch;
@@ -30,10 +29,6 @@
   drop: string[];
 }
 
-function isPlainObject(value: unknown): value is PlainObject {
-  return typeof value === 'object' && value !== null && !Array.isArray(value);
-}
-
 /** What distinguishes an item from the others of its list: its name, or the hash that stands for it. */
 function identityOf(item: unknown): string | undefined {
   if (!isPlainObject(item)) return undefined;
--- a/src/shared/settings/settings.ts
+++ b/src/shared/settings/settings.ts
@@ -3,6 +3,7 @@
 import { readFileSync } from 'node:fs';
 import { address, addresses, ipOrNone, notNegative, positive, regions, share } from './validators';
 import { tryCatch } from '../util/try-catch';
+import { isPlainObject } from '../util/plain-object';
 
 /** What a process is told at its start. */
 export interface Settings {
@@ -283,9 +284,8 @@
   }
   if (o.isLeft()) return Left([`${file}: ${o.extract().reason}`]);
   const v = o.extract();
-  if (typeof v !== 'object' || v === null || Array.isArray(v))
-    return Left([`${file}: must hold an object`]);
-  return checkSettings(v as Record<string, unknown>, flags, need);
+  if (!isPlainObject(v)) return Left([`${file}: must hold an object`]);
+  return checkSettings(v, flags, need);
 }
 
 /** Checks fields, those of `over` before those of `under`, and fills in what is left out; every fault is listed. */
--- a/src/shared/settings/validators.ts
+++ b/src/shared/settings/validators.ts
@@ -1,3 +1,5 @@
+import { isPlainObject } from '../util/plain-object';
+
 const IP = /^(\d{1,3}\.){3}\d{1,3}$/;
 const ADDRESS = /^(\d{1,3}\.){3}\d{1,3}:\d{1,5}$/;
 
@@ -30,8 +32,7 @@
 
 /** The region of each zone, by name. */
 export function regions(v: unknown): void {
-  if (typeof v !== 'object' || v === null || Array.isArray(v))
-    complain('must hold a region for each zone');
+  if (!isPlainObject(v)) complain('must hold a region for each zone');
   for (const r of Object.values(v))
     if (typeof r !== 'string') complain('must hold a region for each zone');
 }
--- a/src/shared/system/message-connection.ts
+++ b/src/shared/system/message-connection.ts
@@ -60,7 +60,7 @@
   }
 }
 
-/** A connection whose functions need no `this`: tools that measure connections spread and wrap them. */
+/** The connection over a socket, as the port requires it: its functions need no `this`. */
 function makeConnection(socket: net.Socket): Connection {
   const connection = new MessageConnection(socket);
   const { peer, closed, messages } = connection;
--- a/src/shared/system/raw-http-client.ts
+++ b/src/shared/system/raw-http-client.ts
@@ -107,7 +107,6 @@
   readonly closed: Promise<{ surplus: boolean }>;
   private readonly agent = new http.Agent({ keepAlive: true, maxSockets: 1, maxFreeSockets: 1 });
   private isBusy = false;
-  private requestCount = 0;
   /** Whether bytes came that belong to no response. */
   private hasSurplus = false;
   private idleListener: () => void = ignore;
@@ -129,7 +128,6 @@
     return {
       address: this.address,
       isReusable: this.isReusable.bind(this),
-      useCount: this.useCount.bind(this),
       request: this.request.bind(this),
       onIdle: this.onIdle.bind(this),
       closed: this.closed,
@@ -142,10 +140,6 @@
     return !this.isBusy && !this.hasSurplus && !destroyed && writable && !readableEnded;
   }
 
-  useCount(): number {
-    return this.requestCount;
-  }
-
   onIdle(listener: () => void): void {
     this.idleListener = listener;
   }
@@ -175,7 +169,6 @@
     if (aborted.aborted)
       return resolve(failure(step, address, 'the caller went away', 'refused', 'caller-gone'));
     this.isBusy = true;
-    this.requestCount++;
     const events = { onError: this.onExchangeError.bind(this) };
     new RawExchange(address, request, aborted, events, resolve).start(this.agent, timeoutMs);
   }
--- a/src/shared/transport/body-fields.ts
+++ b/src/shared/transport/body-fields.ts
@@ -5,6 +5,7 @@
 
 import { Right } from 'purify-ts';
 import { failure, Result } from '../errors/errors';
+import { isPlainObject } from '../util/plain-object';
 
 /** A class without constructor parameters, whose declared fields a body is checked against. */
 export type BodyClass<T> = new () => T;
@@ -57,10 +58,10 @@
   step: string,
   peer: string,
 ): Result<T> {
-  if (typeof body !== 'object' || body === null || Array.isArray(body))
+  if (!isPlainObject(body))
     return failure(step, peer, 'an object is wanted', 'refused', 'bad-shape');
   const parsed = new bodyClass() as Record<string, unknown>;
-  const fields = body as Record<string, unknown>;
+  const fields = body;
   for (const [name, rule] of rulesByClass.get(bodyClass) ?? []) {
     const value = fields[name];
     const reason = findFieldError(name, rule, value);
--- a/src/shared/transport/maintained-connection.ts
+++ b/src/shared/transport/maintained-connection.ts
@@ -3,18 +3,15 @@
  */
 
 import { Backoff } from '../concurrency/backoff';
+import { jittered } from '../concurrency/jitter';
 import { errorOrValue, OperationError } from '../errors/errors';
 import { Connection } from '../ports/network';
 import { Ports } from '../ports/ports';
 import { Hello } from './hello';
 import { openChannel, PeerChannel } from './peer-channel';
 
-/** A peer that was silent for this ratio of the retry pause is sent a heartbeat ... */
+/** A peer that was silent for this ratio of the retry pause, on average, is sent a heartbeat. */
 const HEARTBEAT_SILENCE_RATIO = 2;
-/** ... with jitter: from this ratio of it ... */
-const MIN_HEARTBEAT_JITTER_RATIO = 0.8;
-/** ... up to this much more. */
-const HEARTBEAT_JITTER_RANGE_RATIO = 0.4;
 /** How long a heartbeat's reply may take, as a ratio of the connect timeout. */
 const HEARTBEAT_TIMEOUT_RATIO = 1.25;
 
@@ -125,9 +122,7 @@
 
   /** How long the peer may be silent until the next heartbeat. */
   private drawSilenceMs(): number {
-    const jitterRatio =
-      MIN_HEARTBEAT_JITTER_RATIO + HEARTBEAT_JITTER_RANGE_RATIO * this.ports.random.next();
-    return this.options.retryPauseMs * HEARTBEAT_SILENCE_RATIO * jitterRatio;
+    return jittered(this.ports.random, this.options.retryPauseMs * HEARTBEAT_SILENCE_RATIO);
   }
 }
 
--- a/src/shared/util/http-json.ts
+++ b/src/shared/util/http-json.ts
@@ -3,39 +3,48 @@
  */
 
 import { Left, Right } from 'purify-ts';
-import { OperationError, makeError, Result } from '../errors/errors';
-import { HttpRequest, Network } from '../ports/network';
+import { errorOrValue, makeError, Result } from '../errors/errors';
+import { HttpRequest, HttpResponse, Network } from '../ports/network';
 import { parseJson } from './try-catch';
 
-/** Asks over HTTP and reads a JSON return whole. */
-export async function requestJson(
-  wire: Network,
-  q: HttpRequest,
-): Promise<Result<{ status: number; body: unknown; headers: Record<string, string | undefined> }>> {
-  const step = `${q.method} ${q.path}`;
-  const r = await wire.request({
-    ...q,
-    headers: { 'content-type': 'application/json', ...q.headers },
-  });
-  if (r.isLeft()) return r;
-  const reply = r.extract() as Exclude<ReturnType<typeof r.extract>, OperationError>;
+/** A response that was read to its end; its body is undefined where it is empty. */
+export interface JsonResponse {
+  status: number;
+  body: unknown;
+  headers: Record<string, string | undefined>;
+}
+
+/** Reads the body of a response to its end. */
+export async function readText(response: HttpResponse): Promise<Result<string>> {
   let text = '';
   for (;;) {
-    const p = await reply.nextChunk();
-    if (p.isLeft()) return p;
-    const piece = p.extract() as string | undefined;
-    if (piece === undefined) break;
-    text += piece;
+    const [error, chunk] = errorOrValue(await response.nextChunk());
+    if (error) return Left(error);
+    if (chunk === undefined) return Right(text);
+    text += chunk;
   }
-  const parsed = text === '' ? Right(undefined) : parseJson(text, step, q.address);
-  function whole(body: unknown): {
-    status: number;
-    body: unknown;
-    headers: Record<string, string | undefined>;
-  } {
-    return { status: reply.status, body, headers: reply.headers };
+}
+
+/** Sends a request, and reads its JSON response to the end. */
+export async function requestJson(
+  network: Network,
+  request: HttpRequest,
+): Promise<Result<JsonResponse>> {
+  const { method, path, address } = request;
+  const headers = { 'content-type': 'application/json', ...request.headers };
+  const [requestError, response] = errorOrValue(await network.request({ ...request, headers }));
+  if (requestError) return Left(requestError);
+  const [readError, text] = errorOrValue(await readText(response));
+  if (readError) return Left(readError);
+  function toResponse(body: unknown): JsonResponse {
+    return { status: response!.status, body, headers: response!.headers };
   }
-  return parsed.map(whole);
+  return parseOptionalJson(text, `${method} ${path}`, address).map(toResponse);
+}
+
+/** Parses JSON; an empty text is no value. Errors: `bad-json`. */
+export function parseOptionalJson(text: string, step: string, peer: string): Result<unknown> {
+  return text === '' ? Right(undefined) : parseJson(text, step, peer);
 }
 
 /** Cuts pulled pieces into lines; undefined is a whole end, a broken last line is a fault. */
--- a/test/data/engine-connections.test.ts
+++ b/test/data/engine-connections.test.ts
@@ -87,7 +87,6 @@
     const h: Hand = {
       address: at,
       isReusable: fit,
-      useCount: now,
       request: undefined as never,
       onIdle,
       closed: new Promise(wait),
