--- a/src/control/api/cluster-api.ts
+++ b/src/control/api/cluster-api.ts
@@ -13,9 +13,7 @@
 import { readVoterStatus, voterMetricRows } from '../membership/voter-status';
 import { currentRevision, sendOperationError } from './operator-replies';
 import { BootstrapRequest, ReplaceVoterRequest } from './operator-requests';
-
-/** The content type of the Prometheus text format. */
-const METRICS_CONTENT_TYPE = 'text/plain; version=0.0.4';
+import { METRICS_CONTENT_TYPE } from '../../shared/observability/metrics';
 
 /** Handles the operators' requests about the cluster. */
 export class ClusterApi {
--- a/src/control/configuration/next-value.ts
+++ b/src/control/configuration/next-value.ts
@@ -9,7 +9,7 @@
 import { deriveSalts, Intents, IntentsValue } from '../../shared/state/intents';
 import { VersionedValue } from '../../shared/state/versions';
 import { VoterSet } from '../../shared/state/voter-set';
-import { NamedWeights } from '../../shared/state/weights';
+import { ANY_OLDER, NamedWeights } from '../../shared/state/weights';
 import { computeDeployment, DocumentParser } from './deployment-change';
 import { validateIntents } from './intents-validation';
 import {
@@ -117,7 +117,7 @@
   function isOther(older: string): boolean {
     return older !== weights;
   }
-  const older = before ? [...before.older, before.weights] : ['*'];
+  const older = before ? [...before.older, before.weights] : [ANY_OLDER];
   return Right({ model, weights, older: older.filter(isOther), ...ranked });
 }
 
--- a/src/control/controller-node.ts
+++ b/src/control/controller-node.ts
@@ -51,6 +51,7 @@
 import { IdempotencyVotes } from './storage/idempotency-votes';
 import { learnedValues } from './storage/register-state';
 import { StoredVotes } from './storage/vote-files';
+import { drawRunId } from '../shared/state/members';
 
 /** What a controller is made of. */
 export interface ControllerNodeOptions {
@@ -119,7 +120,7 @@
     this.timeLimits = timeLimitsOf(settings);
     this.hello = helloOf(settings, 'controller', store.diskId);
     this.self = { disk: store.diskId, at: settings.wire };
-    this.ownerId = `${settings.name}.${ports.random.uuid().slice(0, 8)}`;
+    this.ownerId = `${settings.name}.${drawRunId(ports.random)}`;
     this.wakers = makeWakerGroup(ports.clock);
     const transport = this.makeVoterTransport();
     this.acceptor = new Acceptor(store, transport, ports);
--- a/src/data/caller-api.ts
+++ b/src/data/caller-api.ts
@@ -7,16 +7,7 @@
 import { runGenerateAttempts } from './generate-attempts';
 import { checkRequest } from './request-validation';
 import { RouterDependencies } from './router-dependencies';
-
-/** Counters as rows of metrics: `plumhollow_router_` and the field's name in snake case. */
-function counterRows(counts: object): string[] {
-  const rows: string[] = [];
-  for (const [field, value] of Object.entries(counts)) {
-    const name = field.replace(/[A-Z]/g, '_$&').toLowerCase();
-    rows.push(`plumhollow_router_${name}_total ${value}`);
-  }
-  return rows;
-}
+import { counterRows, METRICS_CONTENT_TYPE } from '../shared/observability/metrics';
 
 /** Handles callers' requests. */
 export class CallerApi {
@@ -53,9 +44,9 @@
   /** Figures in the text form that collectors read. */
   @httpHandler('GET', '/metrics')
   async metrics(call: IncomingRequest): Promise<void> {
-    const rows = counterRows(this.router.counts);
+    const rows = counterRows('plumhollow_router', this.router.counts);
     rows.push(`plumhollow_router_under_way ${this.inFlight}`);
-    call.writeHead(200, { 'content-type': 'text/plain; version=0.0.4' });
+    call.writeHead(200, { 'content-type': METRICS_CONTENT_TYPE });
     call.end(await this.router.metrics.text(rows));
   }
 }
--- a/src/data/engine-selector.ts
+++ b/src/data/engine-selector.ts
@@ -11,6 +11,7 @@
 import { CONTROL_KEYS } from '../shared/state/control-keys';
 import { EngineTracker, TrackedEngine } from './engine-tracker';
 import { Overlap } from './overlap-client';
+import { tokensOf } from './caller-request';
 
 /** How much a token counts of which an indexer is in doubt. */
 const DOUBTED_TOKEN_RATIO = 0.5;
@@ -46,7 +47,6 @@
   from: string;
   at: string;
   hashes: string[];
-  tokens: number;
 }
 
 /** Where a request goes, and what is fetched for it. */
@@ -80,12 +80,6 @@
   return hash;
 }
 
-function tokensFrom(blocks: readonly PromptBlock[], start = 0): number {
-  let tokens = 0;
-  for (let i = start; i < blocks.length; i++) tokens += blocks[i].size;
-  return tokens;
-}
-
 /** Whether an engine's batch and queue have room for one more. */
 function hasRoom({ status, sentSinceStatus }: TrackedEngine, isUrgent: boolean): boolean {
   const { running, waiting, batch, queue } = status!;
@@ -132,7 +126,7 @@
     request: ChoiceRequest,
     overlaps: ReadonlyMap<string, Overlap[] | undefined>,
   ): EngineChoice | undefined {
-    const promptTokens = tokensFrom(request.blocks);
+    const promptTokens = tokensOf(request.blocks);
     let best: PricedChoice | undefined;
     for (const candidate of this.candidatesFor(request)) {
       const known = overlaps.get(candidate.weights);
@@ -182,15 +176,15 @@
       if (overlap.source === id || overlap.parts <= own.parts) continue;
       const at = this.sourceAddress(overlap.source);
       if (!at) continue;
-      const tokens = tokensFrom(blocks.slice(0, overlap.parts), own.parts);
+      const missing = blocks.slice(own.parts, overlap.parts);
+      const tokens = tokensOf(missing);
       const transferMs = tokens * this.engines.transferMsPerToken(overlap.source, id);
       const certainty = overlap.tokens / Math.max(1, overlap.tokens + overlap.doubted);
       const readTokens = promptTokens - ownTokens - tokens * certainty;
       const fetchedCost = waitMs + transferMs + readTokens * msPerPrefillToken + rankMs;
       if (fetchedCost >= cost) continue;
       cost = fetchedCost;
-      const hashes = blocks.slice(own.parts, overlap.parts).map(hashOf);
-      fetch = { from: overlap.source, at, hashes, tokens };
+      fetch = { from: overlap.source, at, hashes: missing.map(hashOf) };
     }
     const isCertain = own.doubted === 0;
     const choice = {
--- a/src/data/fresh-weights.ts
+++ b/src/data/fresh-weights.ts
@@ -5,11 +5,9 @@
 import { Clock } from '../shared/ports/clock';
 import { Follower } from '../shared/replication/follower';
 import { CONTROL_KEYS } from '../shared/state/control-keys';
-import { NamedWeights } from '../shared/state/weights';
+import { ANY_OLDER, NamedWeights } from '../shared/state/weights';
 import { EngineTracker, TrackedEngine } from './engine-tracker';
-
-/** Stands among the older weights of a naming for all from before the first one. */
-const ANY_OLDER = '*';
+import { OutdatedWeights } from './outdated-weights';
 
 /** Tells the weights that an engine would run a request with; none where it must not. */
 export type WeightsAt = (tracked: TrackedEngine) => string | undefined;
@@ -30,8 +28,7 @@
 
 /** Follows the naming of weights. */
 export class FreshWeights {
-  /** Since when weights have been older ones, in ms of the clock, by control key and weights. */
-  private readonly outdatedSince = new Map<string, number>();
+  private readonly outdated = new OutdatedWeights();
 
   /** Older weights may serve for `retireMs` from when the newer naming was heard. */
   constructor(
@@ -43,16 +40,8 @@
 
   /** Takes the newest naming under a control key; without a lease it may be long known elsewhere, and its older weights serve no more. */
   recordNaming(key: string, { older }: Pick<NamedWeights, 'older'>): void {
-    for (const weights of older)
-      if (!this.outdatedSince.has(`${key} ${weights}`))
-        this.outdatedSince.set(
-          `${key} ${weights}`,
-          this.follower.hasLease() ? this.clock.now() : -Infinity,
-        );
-    const prefix = `${key} `;
-    for (const known of this.outdatedSince.keys())
-      if (known.startsWith(prefix) && !older.includes(known.slice(prefix.length)))
-        this.outdatedSince.delete(known);
+    const heardAt = this.follower.hasLease() ? this.clock.now() : -Infinity;
+    this.outdated.record(key, older, heardAt);
   }
 
   /** Whether requests with these weights must end, as neither they nor older ones like them are named any more. */
@@ -90,8 +79,7 @@
     const serving = new Set<string>();
     const now = this.clock.now();
     for (const weights of named.older) {
-      const key = `${CONTROL_KEYS.weights}${model} ${weights}`;
-      const since = this.outdatedSince.get(key) ?? -Infinity;
+      const since = this.outdated.sinceOf(CONTROL_KEYS.weights + model, weights) ?? -Infinity;
       if (now - since < this.retireMs) serving.add(weights);
     }
     return serving;
--- a/src/data/gateway/admission.ts
+++ b/src/data/gateway/admission.ts
@@ -12,7 +12,6 @@
 } from '../../shared/state/deployment';
 import { RawIncomingRequest } from '../../shared/ports/raw-http';
 import { AdmittedRequest } from './admitted-request';
-import { leftOrRight } from './either-pair';
 import { Rejection } from './error-responses';
 import { GatewayDependencies } from './gateway-dependencies';
 import { InFlightRequest } from './in-flight-requests';
@@ -129,10 +128,10 @@
   call: RawIncomingRequest,
   inFlight: InFlightRequest,
 ): Promise<Either<Rejection, AdmittedRequest>> {
-  const [unread, read] = leftOrRight(await readRequest(gateway, call));
+  const [unread, read] = errorOrValue(await readRequest(gateway, call));
   if (unread) return Left(unread);
   const { request, table } = read;
-  const [unrouted, destination] = leftOrRight(
+  const [unrouted, destination] = errorOrValue(
     findDestination(table, request, gateway.ports.random.next),
   );
   if (unrouted) return Left(unrouted);
--- a/src/data/gateway/attempts.ts
+++ b/src/data/gateway/attempts.ts
@@ -7,7 +7,6 @@
 import { HttpConnection, RawIncomingRequest } from '../../shared/ports/raw-http';
 import { AdmittedRequest, canResume, selectionRequestOf } from './admitted-request';
 import { AttemptOutcome, AttemptTracker } from './attempt-tracker';
-import { leftOrRight } from './either-pair';
 import { EngineSelection } from './engine-chooser';
 import { Rejection } from './error-responses';
 import { forward } from './forwarding';
@@ -67,7 +66,7 @@
     if (this.isTimeShort()) return this.endWith('time-up');
     if (gateway.drain.isOver()) return true;
     const choice = await gateway.chooser.choose(selectionRequestOf(admitted));
-    const [rejection, selection] = leftOrRight(choice);
+    const [rejection, selection] = errorOrValue(choice);
     if (rejection) {
       this.end = { ...this.end, rejection };
       return this.endWith('no-engine');
--- a/src/data/gateway/candidates.ts
+++ b/src/data/gateway/candidates.ts
@@ -19,12 +19,12 @@
 /** What a long prompt must gain, as a share of its prefill time, to go to an engine of short ones. */
 const LONG_PROMPT_PENALTY_RATIO = 0.3;
 
-function idOf(engine: EngineEndpoint): string {
-  return engine.id;
+function idOf({ id }: { id: string }): string {
+  return id;
 }
 
 /** The ids of engines, in their order. */
-export function idsOf(engines: readonly EngineEndpoint[]): string[] {
+export function idsOf(engines: readonly { id: string }[]): string[] {
   return engines.map(idOf);
 }
 
--- a/src/data/gateway/engine-chooser.ts
+++ b/src/data/gateway/engine-chooser.ts
@@ -19,7 +19,6 @@
 import { timeLimitsOf } from '../../shared/settings/time-limits';
 import { Engine } from '../../shared/state/engines';
 import { AttemptTracker } from './attempt-tracker';
-import { leftOrRight } from './either-pair';
 import { cacheScopeOf, EngineDirectory, ServingEngines } from './engine-directory';
 import { Rejection } from './error-responses';
 import { IndexerClient } from './indexer-client';
@@ -31,6 +30,7 @@
   PoolView,
 } from './placement-types';
 import { cacheSalt, WeightsTracker } from './weights-tracker';
+import { errorOrValue } from '../../shared/errors/errors';
 
 /** What an engine is wanted for. Times are ms of the clock port. */
 export interface SelectionRequest {
@@ -129,7 +129,7 @@
     const salts = this.placement.saltsToQuery(placementRequest);
     const replies = new Map<string, OverlapReply>();
     if (salts.length > 0) await this.queryIndex(wanted, salts, replies);
-    const [rejection, decision] = leftOrRight(this.placement.place(placementRequest, replies));
+    const [rejection, decision] = errorOrValue(this.placement.place(placementRequest, replies));
     if (rejection) return Left(rejectionFor(rejection, route));
     const { candidate, prefixFetch } = decision.estimate;
     const engine = this.directory.find(pool, candidate.endpoint.name);
@@ -174,8 +174,8 @@
   ): Promise<void> {
     const { indexers } = this;
     const timeoutMs = route.aimMs * INDEX_TIMEOUT_RATIO;
+    const parts = wireBlocks(request);
     async function query(salt: string): Promise<void> {
-      const parts = wireBlocks(request);
       const reply = await indexers.queryOverlap(
         { model: request.model ?? '', salt, parts },
         timeoutMs,
--- a/src/data/gateway/gateway.ts
+++ b/src/data/gateway/gateway.ts
@@ -21,7 +21,6 @@
 import { Engine } from '../../shared/state/engines';
 import { CONTROL_KEYS } from '../../shared/state/control-keys';
 import { VersionedValue } from '../../shared/state/versions';
-import { leftOrRight } from './either-pair';
 import { EngineChooser } from './engine-chooser';
 import { EngineConnections } from './engine-connections';
 import { GatewayCounts, GatewayDependencies, zeroCounts } from './gateway-dependencies';
@@ -33,6 +32,7 @@
 import { StartLog } from './start-log';
 import { WeightsMessages } from './weights-messages';
 import { WeightsTracker } from './weights-tracker';
+import { idsOf } from './candidates';
 
 /** Callers' time-outs until there is a deployment, as shares of `contactMs`. */
 const DEFAULT_HEADER_TIMEOUT_RATIO = 1;
@@ -59,12 +59,6 @@
   adapter: PlatformAdapter;
 }
 
-function idsOf(engines: readonly Engine[]): Set<string> {
-  const ids = new Set<string>();
-  for (const { id } of engines) ids.add(id);
-  return ids;
-}
-
 /** The request path of a router; made by `startGateway`. */
 export class Gateway {
   /** Counters since the start. */
@@ -218,13 +212,13 @@
 
   private applyEngines(engines: Engine[]): void {
     this.state.applyEngines(engines);
-    this.connections.retain(idsOf(engines));
+    this.connections.retain(new Set(idsOf(engines)));
     this.weights.recordEngines(engines);
   }
 
   private applyDeployment(document: unknown): void {
     const { ports, settings } = this.options;
-    const [faults, table] = leftOrRight(this.state.applyDeployment(document));
+    const [faults, table] = errorOrValue(this.state.applyDeployment(document));
     if (faults) {
       const fields = { event: 'deployment.unreadable', peer: settings.name };
       return ports.logger.error(fields, faults.join('; '));
--- a/src/data/gateway/placement.ts
+++ b/src/data/gateway/placement.ts
@@ -54,6 +54,8 @@
   /** What indexers reported, by salt. */
   replies: ReadonlyMap<string, OverlapReply>;
   affinityKey: string;
+  /** Tokens of the blocks that other prompts may share. */
+  sharedTokens: number;
   ranks: ReadonlyMap<string, number>;
   candidates: readonly Candidate[];
 }
@@ -126,7 +128,8 @@
     const affinityKey = affinityKeyOf(request);
     const ranks = this.finder.ranksByZone(request.pool.engines, affinityKey);
     const candidates = this.finder.find(request, usable, ranks);
-    const comparison = { request, replies, affinityKey, ranks, candidates };
+    const sharedTokens = sharedTokensOf(request.blocks);
+    const comparison = { request, replies, affinityKey, sharedTokens, ranks, candidates };
     const estimate = this.cheapest(comparison);
     const rejection = shedReason(request, candidates, estimate, this.tenants);
     return rejection ? Left(rejection) : Right(this.decide(comparison, estimate));
@@ -156,13 +159,12 @@
   }
 
   private decide(comparison: Comparison, estimate: CostEstimate): PlacementDecision {
-    const { request, replies, affinityKey } = comparison;
-    const reply = replies.get(estimate.candidate.salt);
+    const { request, affinityKey } = comparison;
     return {
       request,
       estimate,
       urgency: urgencyOf(request),
-      storeAddress: this.storeToFill(request, affinityKey, reply),
+      storeAddress: this.storeToFill(comparison, estimate.candidate.salt),
       affinityKey,
     };
   }
@@ -184,17 +186,17 @@
     salt: string,
     candidates: readonly Candidate[],
   ): CostEstimate[] {
-    const { request, replies, affinityKey, ranks } = comparison;
+    const { request, replies, affinityKey, sharedTokens, ranks } = comparison;
     const isFull = this.strategy === 'full';
     const reply = isFull ? replies.get(salt) : undefined;
     const { atEngine, atSource } = prefixKnowledge(reply, {
-      sharedTokens: sharedTokensOf(request.blocks),
+      sharedTokens,
       recentEngines: this.recent.enginesOf(affinityKey),
       ranks,
       mayFetch: this.recent.keyCount >= MIN_REMEMBERED_PROMPTS,
     });
     const sources = isFull ? this.prefixSources(request.pool, salt, atSource) : [];
-    const prompt = this.promptOf(request, reply);
+    const prompt = this.promptOf(request, sharedTokens, reply);
     return estimateCosts(prompt, candidates, atEngine, sources, this.transfers);
   }
 
@@ -211,9 +213,12 @@
     return estimate.cost * (1 + COST_JITTER_RATIO * this.options.random());
   }
 
-  private promptOf(request: PlacementRequest, reply: OverlapReply | undefined): Prompt {
+  private promptOf(
+    request: PlacementRequest,
+    sharedTokens: number,
+    reply: OverlapReply | undefined,
+  ): Prompt {
     const { promptTokens, maxOutputTokens, latencyTargetMs, remainingMs } = request;
-    const sharedTokens = sharedTokensOf(request.blocks);
     return {
       promptTokens,
       maxOutputTokens,
@@ -228,13 +233,12 @@
 
   /** The address of the store that lacks some of the shared blocks: the same store for a block at every router. */
   private storeToFill(
-    request: PlacementRequest,
-    affinityKey: string,
-    reply: OverlapReply | undefined,
+    { request, replies, affinityKey, sharedTokens }: Comparison,
+    salt: string,
   ): string | undefined {
     const { stores } = request.pool;
+    const reply = replies.get(salt);
     if (!reply || stores.length === 0) return undefined;
-    const sharedTokens = sharedTokensOf(request.blocks);
     if (sharedTokens < request.promptTokens * MIN_STORED_SHARED_RATIO) return undefined;
     const ranks = this.replicas.rank(affinityKey, stores.map(nameOf));
     function isPreferred(store: StoreEndpoint): boolean {
--- a/src/data/gateway/request-handling.ts
+++ b/src/data/gateway/request-handling.ts
@@ -6,7 +6,6 @@
 import { admit } from './admission';
 import { AdmittedRequest } from './admitted-request';
 import { AttemptsEnd, runAttempts } from './attempts';
-import { leftOrRight } from './either-pair';
 import {
   BAD_GATEWAY,
   GATEWAY_TIMEOUT,
@@ -16,6 +15,7 @@
 } from './error-responses';
 import { GatewayDependencies } from './gateway-dependencies';
 import { CutOffCause, InFlightRequest } from './in-flight-requests';
+import { errorOrValue } from '../../shared/errors/errors';
 
 /** Handles one request; comes once its answer was given to the connection. */
 export async function handleRequest(
@@ -24,7 +24,7 @@
   inFlight: InFlightRequest,
 ): Promise<void> {
   gateway.counts.received++;
-  const [rejection, admitted] = leftOrRight(await admit(gateway, call, inFlight));
+  const [rejection, admitted] = errorOrValue(await admit(gateway, call, inFlight));
   if (rejection) return reject(gateway, call, rejection);
   gateway.budget.recordRequest(admitted.pool);
   const { id } = admitted.request;
--- a/src/data/gateway/serving-state.ts
+++ b/src/data/gateway/serving-state.ts
@@ -47,10 +47,10 @@
 
   /** Whether this router may serve: it had leases once, or has them now where the settings are strict, and knows the deployment and the engines. */
   canServe(): boolean {
-    const hasLease = this.follower.hasLease();
-    if (hasLease) this.hadLease = true;
-    if (this.settings.strict && !hasLease) return false;
-    return this.hadLease && this.missing().length === 0;
+    const { follower, settings } = this;
+    this.hadLease ||= follower.hasLease();
+    if (settings.strict && !follower.hasLease()) return false;
+    return this.hadLease && this.table !== undefined && this.knowsEngines();
   }
 
   /** What this router lacks to serve, for people. */
@@ -58,10 +58,14 @@
     const missing: string[] = [];
     if (!this.hadLease) missing.push('leases');
     if (this.table === undefined) missing.push('deployment');
-    if (this.follower.value(CONTROL_KEYS.engines) === undefined) missing.push('engines');
+    if (!this.knowsEngines()) missing.push('engines');
     return missing;
   }
 
+  private knowsEngines(): boolean {
+    return this.follower.value(CONTROL_KEYS.engines) !== undefined;
+  }
+
   /** The routers that are live, where a majority's leases vouch for them; otherwise the most that were ever seen. */
   routerCount(): number | undefined {
     const count = this.follower.members('router').length;
--- a/src/data/gateway/weights-tracker.ts
+++ b/src/data/gateway/weights-tracker.ts
@@ -4,8 +4,9 @@
  */
 
 import { Clock } from '../../shared/ports/clock';
-import { compareWeights, lacks, NamedWeights } from '../../shared/state/weights';
+import { ANY_OLDER, compareWeights, lacks, NamedWeights } from '../../shared/state/weights';
 import { Engine } from '../../shared/state/engines';
+import { OutdatedWeights } from '../outdated-weights';
 
 /** The weights that a fresh request is sent under: `now` are the named ones or newer, `old` ones may serve for some time yet; an engine that is `loading` rejects requests until it is done. */
 export interface ExpectedWeights {
@@ -13,9 +14,6 @@
   kind: 'now' | 'old' | 'loading';
 }
 
-/** Stands among the older weights of a naming for all from before the first one. */
-const ANY_OLDER = '*';
-
 /** An engine that takes up weights. */
 interface Loading {
   /** The weights that it had when that was heard, by model. */
@@ -24,10 +22,6 @@
   until: number;
 }
 
-function keyOf(model: string, weights: string): string {
-  return `${model} ${weights}`;
-}
-
 function modelsOf(engine: Engine): { name: string; weights: string }[] {
   return engine.models ?? [{ name: engine.model, weights: engine.weights }];
 }
@@ -35,8 +29,7 @@
 /** Tracks the weights of engines. An engine's weights never fall within one incarnation, so the newest that any source reports are what it has. */
 export class WeightsTracker {
   private readonly namings = new Map<string, NamedWeights>();
-  /** Since when weights have been older ones, in ms of the clock, by model and weights. */
-  private readonly outdatedSince = new Map<string, number>();
+  private readonly outdated = new OutdatedWeights();
   /** Weights by model, by engine. */
   private readonly engines = new Map<string, Map<string, string>>();
   private readonly loading = new Map<string, Loading>();
@@ -53,13 +46,7 @@
     const { model, older } = naming;
     const heardAt = this.clock.now() - (isLive ? 0 : this.olderMs - this.caughtUpMs);
     this.namings.set(model, naming);
-    for (const weights of older)
-      if (!this.outdatedSince.has(keyOf(model, weights)))
-        this.outdatedSince.set(keyOf(model, weights), heardAt);
-    const prefix = keyOf(model, '');
-    for (const key of this.outdatedSince.keys())
-      if (key.startsWith(prefix) && !older.includes(key.slice(prefix.length)))
-        this.outdatedSince.delete(key);
+    this.outdated.record(model, older, heardAt);
   }
 
   /** Records the list of engines, and forgets all others. */
@@ -114,9 +101,7 @@
   }
 
   private mayStillServe(model: string, weights: string): boolean {
-    const since =
-      this.outdatedSince.get(keyOf(model, weights)) ??
-      this.outdatedSince.get(keyOf(model, ANY_OLDER));
+    const since = this.outdated.sinceOf(model, weights) ?? this.outdated.sinceOf(model, ANY_OLDER);
     return since !== undefined && this.clock.now() - since < this.olderMs;
   }
 }
--- a/src/data/platform-router.ts
+++ b/src/data/platform-router.ts
@@ -4,16 +4,14 @@
 
 import { Left, Right } from 'purify-ts';
 import { errorOrValue, Result } from '../shared/errors/errors';
-import { followCore } from '../shared/replication/follower';
 import { Ports } from '../shared/ports/ports';
 import { Connection } from '../shared/ports/network';
 import { timeLimitsOf } from '../shared/settings/time-limits';
 import { Settings } from '../shared/settings/settings';
-import { openChannel, HelloHandlers } from '../shared/transport/connections';
-import { helloOf } from '../shared/transport/hello';
+import { openChannel } from '../shared/transport/connections';
 import { PlatformAdapter } from '../shared/platform-adapter/platform-adapter';
 import { startGateway } from './gateway/gateway';
-import { routerMember } from './router-member';
+import { joinAsRouter } from './router-identity';
 
 /** A running router of either manner of speaking. */
 export interface RunningRouter {
@@ -29,17 +27,7 @@
   settings: Settings,
   adapter: PlatformAdapter,
 ): Promise<Result<RunningRouter>> {
-  const hello = helloOf(settings, 'router');
-  const member = routerMember(ports, settings);
-  const handlers: object[] = [new HelloHandlers(hello)];
-  const timeLimits = timeLimitsOf(settings);
-  const follower = followCore(ports, {
-    timeLimits,
-    hello,
-    member,
-    seeds: settings.seeds,
-    handlers,
-  });
+  const { follower, handlers } = joinAsRouter(ports, settings, timeLimitsOf(settings));
   function accept(connection: Connection): void {
     openChannel(ports, connection, handlers);
   }
--- a/src/data/request-validation.ts
+++ b/src/data/request-validation.ts
@@ -11,7 +11,6 @@
 import { IncomingRequest } from '../shared/ports/network';
 import { Service } from '../shared/state/intents';
 import { CheckedRequest, GenerateBody, isToken } from './caller-request';
-import { leftOrRight } from './gateway/either-pair';
 import { RequestRefusal, retryAfterMs, sendRefusal } from './request-refusal';
 import { RouterDependencies } from './router-dependencies';
 
@@ -104,10 +103,10 @@
   tenant: string,
   body: GenerateBody,
 ): Either<RequestRefusal, CheckedRequest> {
-  const [unscoped, scope] = leftOrRight(checkScope(router, tenant, body));
+  const [unscoped, scope] = errorOrValue(checkScope(router, tenant, body));
   if (unscoped) return Left(unscoped);
   const { service, salt } = scope;
-  const [badPrompt, blocks] = leftOrRight(checkPrompt(body, service.model));
+  const [badPrompt, blocks] = errorOrValue(checkPrompt(body, service.model));
   if (badPrompt) return Left(badPrompt);
   const key = call.headers['idempotency-key'];
   const badBounds = boundsRefusal(body, service, key);
@@ -130,7 +129,7 @@
   router: RouterDependencies,
   call: IncomingRequest,
 ): Promise<CheckedRequest | undefined> {
-  const [badCaller, tenant] = leftOrRight(checkCaller(router, call));
+  const [badCaller, tenant] = errorOrValue(checkCaller(router, call));
   if (badCaller) return void sendRefusal(router, call, badCaller);
   const json = await readJsonBody(call, router.settings.bodyMostBytes);
   if (json === undefined) {
@@ -142,7 +141,7 @@
     const { code, reason } = error;
     return void sendRefusal(router, call, { status: 400, code: code!, reason });
   }
-  const [badBody, checked] = leftOrRight(checkBody(router, call, tenant, body));
+  const [badBody, checked] = errorOrValue(checkBody(router, call, tenant, body));
   if (badBody) return void sendRefusal(router, call, badBody);
   return checked;
 }
--- a/src/data/router.ts
+++ b/src/data/router.ts
@@ -5,14 +5,12 @@
 import { Left, Right } from 'purify-ts';
 import { errorOrValue, OperationError, Result } from '../shared/errors/errors';
 import { makeRequestListener } from '../shared/transport/http-handlers';
-import { Follower, followCore } from '../shared/replication/follower';
 import { makeMetrics } from '../shared/observability/metrics';
 import { Ports } from '../shared/ports/ports';
 import { Connection, Listener } from '../shared/ports/network';
-import { TimeLimits, timeLimitsOf } from '../shared/settings/time-limits';
+import { timeLimitsOf } from '../shared/settings/time-limits';
 import { Settings } from '../shared/settings/settings';
-import { Hello, openChannel, HelloHandlers } from '../shared/transport/connections';
-import { helloOf } from '../shared/transport/hello';
+import { openChannel } from '../shared/transport/connections';
 import { IntentsValue } from '../shared/state/intents';
 import { CONTROL_KEYS } from '../shared/state/control-keys';
 import { Member } from '../shared/state/members';
@@ -26,7 +24,7 @@
 import { OverlapClient } from './overlap-client';
 import { RunningRouter } from './platform-router';
 import { RouterCounts, RouterDependencies, zeroRouterCounts } from './router-dependencies';
-import { routerMember } from './router-member';
+import { joinAsRouter, RouterIdentity } from './router-identity';
 import { ServiceRetryBudget } from './service-retry-budget';
 import { TenantDirectory, TenantKeys } from './tenant-directory';
 
@@ -38,29 +36,6 @@
   dependencies: RouterDependencies;
 }
 
-/** Who a router is, and whom it follows. */
-interface RouterIdentity {
-  hello: Hello;
-  member: Member;
-  follower: Follower;
-  /** Handlers of messages on the wire. */
-  handlers: object[];
-}
-
-function identify(ports: Ports, settings: Settings, timeLimits: TimeLimits): RouterIdentity {
-  const hello = helloOf(settings, 'router');
-  const member = routerMember(ports, settings);
-  const handlers: object[] = [new HelloHandlers(hello)];
-  const follower = followCore(ports, {
-    timeLimits,
-    hello,
-    member,
-    seeds: settings.seeds,
-    handlers,
-  });
-  return { hello, member, follower, handlers };
-}
-
 /** Ids of runs: the router's name and incarnation, and a number that rises. */
 function runIds({ name, life }: Member): () => string {
   let count = 0;
@@ -196,7 +171,7 @@
 
 /** Starts a router: it follows the core, tracks engines, and takes callers. Errors: a socket can't be listened on. */
 export async function startRouter(ports: Ports, settings: Settings): Promise<Result<Router>> {
-  const identity = identify(ports, settings, timeLimitsOf(settings));
+  const identity = joinAsRouter(ports, settings, timeLimitsOf(settings));
   const router = new ListeningRouter(ports, settings, identity);
   const error = await router.listen();
   if (error) return Left(error);
--- a/src/index/cache-sources.ts
+++ b/src/index/cache-sources.ts
@@ -5,7 +5,7 @@
 import { Left, Right } from 'purify-ts';
 import { BlockEvent, EventsReply, pullEvents } from '../shared/contracts/engine';
 import { pullStoreEvents } from '../shared/contracts/store';
-import { errorOrValue, failure, makeError, OperationError, Result } from '../shared/errors/errors';
+import { errorOrValue, failure, Result } from '../shared/errors/errors';
 import { sendAdapterRequest } from '../shared/platform-adapter/adapter-request';
 import {
   AdapterRequest,
@@ -166,8 +166,7 @@
 
   /** The stores that a document names; undefined where it can't be read. */
   private readStores(document: unknown): Registration[] | undefined {
-    const read = this.adapter.deployment(document).mapLeft(toError);
-    const [, deployment] = errorOrValue(read);
+    const [, deployment] = errorOrValue(this.adapter.deployment(document));
     return deployment?.stores.map(platformRegistration);
   }
 }
@@ -176,10 +175,6 @@
   return storeRegistration(name, at);
 }
 
-function toError(violations: string[]): OperationError {
-  return makeError('read deployment', '', violations.join('; '));
-}
-
 /** Makes the sources that the platform's adapter speaks to. */
 export function makePlatformSources(
   ports: Ports,
--- a/src/index/index-api.ts
+++ b/src/index/index-api.ts
@@ -14,6 +14,7 @@
 } from '../shared/transport/http-handlers';
 import { blocksOf, OverlapQuery } from './index-handlers';
 import { Indexer } from './indexer';
+import { counterRows, METRICS_CONTENT_TYPE } from '../shared/observability/metrics';
 
 /** A query by the hashes of a prompt's blocks. */
 class HashQuery {
@@ -23,18 +24,11 @@
   @bodyField('list') hashes!: string[];
 }
 
-const METRICS_CONTENT_TYPE = 'text/plain; version=0.0.4';
-
 /** The size of a block that is named by its hash: the trees know it. */
 function blockOfHash(hash: string): { hash: string; size: number } {
   return { hash, size: 0 };
 }
 
-/** `epochChanges` becomes `epoch_changes`. */
-function metricName(name: string): string {
-  return name.replace(/[A-Z]/g, '_$&').toLowerCase();
-}
-
 /** Handlers of the HTTP interface. */
 export class IndexApi {
   constructor(private readonly indexer: Indexer) {}
@@ -100,8 +94,7 @@
       `plumhollow_index_parts ${trees.size()}`,
       `plumhollow_index_evicted_total ${trees.evicted()}`,
     ];
-    for (const [name, count] of Object.entries(counts))
-      rows.push(`plumhollow_index_${metricName(name)}_total ${count}`);
+    rows.push(...counterRows('plumhollow_index', counts));
     const byStatus = new Map<string, number>();
     for (const { status } of this.indexer.listenerViews())
       byStatus.set(status, (byStatus.get(status) ?? 0) + 1);
--- a/src/index/indexer.ts
+++ b/src/index/indexer.ts
@@ -11,7 +11,7 @@
 import { followCore, Follower } from '../shared/replication/follower';
 import { Settings } from '../shared/settings/settings';
 import { TimeLimits, timeLimitsOf } from '../shared/settings/time-limits';
-import { Member } from '../shared/state/members';
+import { drawRunId, Member, memberOf } from '../shared/state/members';
 import { addressOf } from '../shared/state/voter-set';
 import { BatchRing } from './batch-ring';
 import { CacheSources, makeOwnSources, makePlatformSources, Registration } from './cache-sources';
@@ -51,7 +51,6 @@
 /** A running indexer. */
 export interface Indexer extends IndexHandlersDependencies {
   settings: Settings;
-  follower: Follower;
   trees: PrefixTrees;
   handlers: object[];
   /** Whether it answers: it has caught up with a peer, or there is none. */
@@ -62,7 +61,6 @@
   sources: CacheSources;
   /** Whether a source's feed can be reached. */
   isReachable: (source: string) => boolean;
-  repair: SourceRepair;
   stop: () => Promise<void>;
 }
 
@@ -79,9 +77,6 @@
 /** The share of the retained blocks that may be expected and not told of yet. */
 const EXPECTED_BLOCKS_RATIO = 0.1;
 
-/** Bytes of an incarnation's id that tell one run of a process from another. */
-const INCARNATION_CHARACTERS = 8;
-
 /** Starts an indexer; without `listens` it takes no connections. */
 export async function startIndexer(
   ports: Ports,
@@ -146,7 +141,7 @@
     this.settings = settings;
     this.timeLimits = timeLimitsOf(settings);
     const hello = helloOf(settings, 'indexer');
-    const incarnation = ports.random.uuid().slice(0, INCARNATION_CHARACTERS);
+    const runId = drawRunId(ports.random);
     this.trees = makePrefixTrees(settings.indexMostParts);
     this.peers = makeConnectionPool(ports, {
       hello,
@@ -174,7 +169,7 @@
       ),
       this.repair.handlers,
     );
-    const member = this.memberOf(incarnation);
+    const member = memberOf(settings, 'indexer', runId);
     this.follower = followCore(ports, {
       timeLimits: this.timeLimits,
       hello,
@@ -207,7 +202,6 @@
     return {
       ...this.handlersDependencies(),
       settings: this.settings,
-      follower: this.follower,
       trees: this.trees,
       handlers: this.options.handlers,
       isReady: this.isReady.bind(this),
@@ -216,16 +210,10 @@
       expectedBlocks: this.expectedBlocks,
       sources: this.sources,
       isReachable: this.isReachable.bind(this),
-      repair: this.repair,
       stop: this.stop.bind(this),
     };
   }
 
-  private memberOf(incarnation: string): Member {
-    const { name, wire, http, zone } = this.settings;
-    return { name, role: 'indexer', at: wire, http, zone, life: incarnation };
-  }
-
   private makeExpectedBlocks(): ExpectedBlocks {
     return makeExpectedBlocks(
       this.ports.clock.now,
--- a/src/index/load-board.ts
+++ b/src/index/load-board.ts
@@ -44,9 +44,9 @@
   return [a[0] - b[0], a[1] - b[1], a[2] - b[2]];
 }
 
-/** Whether two loads differ in what routers go by; held tokens alone are no news. */
-function isChanged([running, unread]: Load, [toldRunning, toldUnread]: Load): boolean {
-  return toldRunning !== running || toldUnread !== unread;
+/** Whether the difference of two loads is what was told, in what routers go by; held tokens alone are no news. */
+function isTold(sum: Load, own: Load, told: Load): boolean {
+  return sum[0] - own[0] === told[0] && sum[1] - own[1] === told[1];
 }
 
 /** Makes an empty board; a router that has not reported for `expiryMs` does not count until it reports again. */
@@ -117,8 +117,9 @@
   function takeChanges(router: RouterLoads): EngineLoad[] {
     const changes: EngineLoad[] = [];
     for (const [engine, sum] of sums) {
-      const others = difference(sum, router.own.get(engine) ?? NO_LOAD);
-      if (!isChanged(others, router.told.get(engine) ?? NO_LOAD)) continue;
+      const own = router.own.get(engine) ?? NO_LOAD;
+      if (isTold(sum, own, router.told.get(engine) ?? NO_LOAD)) continue;
+      const others = difference(sum, own);
       changes.push(toEngineLoad(engine, others));
       if (isIdle(others)) router.told.delete(engine);
       else router.told.set(engine, others);
--- a/src/index/overlap.ts
+++ b/src/index/overlap.ts
@@ -31,9 +31,9 @@
     const next = new Set<string>();
     const expecting = this.expectedBlocks.sourcesExpecting(model, salt, hash);
     for (const { source, kept } of this.trees.holders(model, salt, hash) ?? [])
-      this.addSource(next, source, Math.min(kept, size), size, expecting?.has(source) ?? false);
+      this.addSource(next, source, Math.min(kept, size), size, expecting);
     for (const source of expecting?.keys() ?? [])
-      if (!next.has(source)) this.addSource(next, source, 0, size, true);
+      if (!next.has(source)) this.addSource(next, source, 0, size, expecting);
     if (next.size === 0) return false;
     this.reaching = next;
     return true;
@@ -44,7 +44,7 @@
     source: string,
     cachedTokens: number,
     size: number,
-    isExpected: boolean,
+    expecting: ReadonlyMap<string, unknown> | undefined,
   ): void {
     if (this.reaching && !this.reaching.has(source)) return;
     const overlap = this.overlapOf(source);
@@ -55,7 +55,7 @@
       next.add(source);
       return;
     }
-    if (!isExpected) return;
+    if (!expecting?.has(source)) return;
     overlap.expected += overlap.isComplete ? size - cachedTokens : size;
     overlap.isComplete = false;
     next.add(source);
--- a/src/index/prefix-trees.ts
+++ b/src/index/prefix-trees.ts
@@ -43,7 +43,6 @@
   dropSource: (source: string) => number;
   /** Marks all that a source holds as doubted; gives how many blocks that is. */
   markDoubted: (source: string) => number;
-  doubtedCount: (source: string) => number;
   /** Takes from an engine's answer that it reused the first `count` blocks of a prompt and not the one after them. */
   applyReuse: (
     source: string,
@@ -85,7 +84,6 @@
     apply: trees.apply.bind(trees),
     dropSource: trees.dropSource.bind(trees),
     markDoubted: trees.markDoubted.bind(trees),
-    doubtedCount: trees.doubtedCount.bind(trees),
     applyReuse: trees.applyReuse.bind(trees),
     query: trees.query.bind(trees),
     dump: trees.dump.bind(trees),
@@ -145,15 +143,6 @@
     return held.size;
   }
 
-  doubtedCount(source: string): number {
-    function isDoubted(holding: Holding): boolean {
-      return holding.source === source && holding.doubted;
-    }
-    let count = 0;
-    for (const { holdings } of this.blocks.heldBy(source)) if (holdings.some(isDoubted)) count++;
-    return count;
-  }
-
   applyReuse(
     source: string,
     model: string,
--- a/src/shared/errors/errors.ts
+++ b/src/shared/errors/errors.ts
@@ -49,10 +49,10 @@
   return Left(makeError(step, peer, reason, certainty, code));
 }
 
-/** Opens a result to a pair of which one is undefined, so that a function can return early. */
-export function errorOrValue<T>(
-  result: Result<T>,
-): readonly [OperationError, undefined] | readonly [undefined, T] {
+/** Opens a result, or another `Either`, to a pair of which one is undefined, so that a function can return early. */
+export function errorOrValue<E extends object, T>(
+  result: Either<E, T>,
+): readonly [E, undefined] | readonly [undefined, T] {
   if (result.isLeft()) return [result.extract(), undefined];
   return [undefined, result.extract() as T];
 }
--- a/src/shared/observability/metrics.ts
+++ b/src/shared/observability/metrics.ts
@@ -2,6 +2,19 @@
 import { Clock } from '../ports/clock';
 import { Disk } from '../ports/disk';
 
+/** The content type of the Prometheus text format. */
+export const METRICS_CONTENT_TYPE = 'text/plain; version=0.0.4';
+
+/** Counters as rows of metrics: the prefix, and the field's name in snake case. */
+export function counterRows(prefix: string, counts: object): string[] {
+  const rows: string[] = [];
+  for (const [field, count] of Object.entries(counts)) {
+    const name = field.replace(/[A-Z]/g, '_$&').toLowerCase();
+    rows.push(`${prefix}_${name}_total ${count}`);
+  }
+  return rows;
+}
+
 /** Figures of one process in the text form that collectors read. */
 export interface Metrics {
   times: (name: string, help: string, bound: number) => (ms: number) => void;
--- a/src/shared/state/weights.ts
+++ b/src/shared/state/weights.ts
@@ -1,4 +1,7 @@
-/** The committed value of a model's named weights: `*` among the older ones stands for all from before the first naming. */
+/** Stands among the older weights of a naming for all from before the first one. */
+export const ANY_OLDER = '*';
+
+/** The committed value of a model's named weights; `ANY_OLDER` may stand among the older ones. */
 export interface NamedWeights {
   model: string;
   weights: string;
