--- a/test/compatibility/stored.test.ts
+++ b/test/compatibility/stored.test.ts
@@ -10,7 +10,8 @@
 import { Result } from '../../src/shared/errors/errors';
 import { CONTROL_KEYS } from '../../src/shared/state/control-keys';
 import { damagedForms } from '../../tools/compatibility/disk-damage';
-import { cellsOf, DiskFiles, stateOf } from '../../tools/compatibility/disk-state';
+import { cellsOf, stateOf } from '../../tools/compatibility/disk-state';
+import { DiskFiles } from '../../tools/sim/disk-files';
 import { DamagedState, ExpectedDisk, expectedOf } from '../../tools/compatibility/expected-disks';
 import {
   fixturePath,
--- a/test/control/cluster-bootstrap.test.ts
+++ b/test/control/cluster-bootstrap.test.ts
@@ -52,6 +52,13 @@
   return test;
 }
 
+/** Puts intents that build on a revision; gives the status of the reply. */
+async function putIntents(fleet: SimFleet, basedOn: number, service: string): Promise<number> {
+  const intents = simIntents(fleet.d, service, 0, []);
+  const reply = await requestCore(fleet, 'PUT', '/v1/intents', { basedOn, intents });
+  return reply.status;
+}
+
 function inMajority(controller: { hasQuorum: () => boolean }): boolean {
   return controller.hasQuorum();
 }
@@ -62,14 +69,7 @@
   fleet.starts.get('core-3')!();
   const foundedAt = await until(fleet, 20000, founded(fleet));
   expect(foundedAt! - 9000).toBeLessThan(1500);
-  expect(
-    (
-      await requestCore(fleet, 'PUT', '/v1/intents', {
-        basedOn: 0,
-        intents: simIntents(fleet.d, 'probe-3', 0, []),
-      })
-    ).status,
-  ).toBe(200);
+  expect(await putIntents(fleet, 0, 'probe-3')).toBe(200);
 }
 
 async function absentFounder(): Promise<void> {
@@ -88,14 +88,7 @@
   }
   expect(codes).toEqual(['no-quorum', 'conflict', 200, 200]);
   await until(fleet, 6000, founded(fleet));
-  expect(
-    (
-      await requestCore(fleet, 'PUT', '/v1/intents', {
-        basedOn: 0,
-        intents: simIntents(fleet.d, 'probe-3', 0, []),
-      })
-    ).status,
-  ).toBe(200);
+  expect(await putIntents(fleet, 0, 'probe-3')).toBe(200);
   fleet.starts.get('core-3')!();
   function joined(): boolean {
     const voters = fleet.controllers.get('core-3')?.voters();
@@ -107,27 +100,13 @@
   expect(await until(fleet, 20000, joined)).toBeDefined();
   fleet.w.kill(fleet.w.procAt(addresses[1].split(':')[0])!, true);
   await fleet.w.run(fleet.w.now() + 3000);
-  expect(
-    (
-      await requestCore(fleet, 'PUT', '/v1/intents', {
-        basedOn: 1,
-        intents: simIntents(fleet.d, 'probe-5', 0, []),
-      })
-    ).status,
-  ).toBe(200);
+  expect(await putIntents(fleet, 1, 'probe-5')).toBe(200);
 }
 
 async function neverOverStoredState(): Promise<void> {
   const fleet = without([], '');
   await until(fleet, 9000, founded(fleet));
-  expect(
-    (
-      await requestCore(fleet, 'PUT', '/v1/intents', {
-        basedOn: 0,
-        intents: simIntents(fleet.d, 'probe-3', 0, []),
-      })
-    ).status,
-  ).toBe(200);
+  expect(await putIntents(fleet, 0, 'probe-3')).toBe(200);
   for (const name of fleet.core) fleet.w.kill(fleet.w.procs().find(named(name))!, true);
   for (const name of fleet.core.slice(0, 2)) {
     const proc = fleet.w.procs().find(named(name))!;
--- a/test/control/deployment.test.ts
+++ b/test/control/deployment.test.ts
@@ -194,4 +194,4 @@
   bases,
 );
 test('a named change sets and drops items by name', named);
-test('operators are answered by any controller, as the usersPlatform speaks', spoken);
+test('operators are answered by any controller, as the platform speaks', spoken);
--- a/test/control/partitioned-controller.test.ts
+++ b/test/control/partitioned-controller.test.ts
@@ -172,7 +172,7 @@
   function isOther(proc: Proc): boolean {
     return proc !== cutOff;
   }
-  return { rig: rig, cutOff, others: rig.core.filter(isOther), polls };
+  return { rig, cutOff, others: rig.core.filter(isOther), polls };
 }
 
 /** Takes a change at the other side; nobody there is kept from it by the one that is cut off. */
@@ -212,7 +212,7 @@
 ): Promise<string[]> {
   const faults: string[] = [];
   const scene = await begin(size * 10 + ROLES.indexOf(role), size, told, role);
-  const { rig: rig, cutOff } = scene;
+  const { rig, cutOff } = scene;
   function note(what: string): void {
     faults.push(`${name} size ${size} cut off ${role} ack ${told.ackMs}: ${what}`);
   }
--- a/test/control/storage-corruption.test.ts
+++ b/test/control/storage-corruption.test.ts
@@ -2,20 +2,19 @@
  * Files that were cut, changed, emptied or lost, and files of version 0.1.
  */
 
-import { crc32 } from 'node:zlib';
-import { pack } from 'msgpackr';
 import { openControlStore } from '../../src/control/storage/control-store';
 import { StoredVotes, readStoredVotes } from '../../src/control/storage/vote-files';
 import { IdempotencyVotes } from '../../src/control/storage/idempotency-votes';
 import { errorOrValue } from '../../src/shared/errors/errors';
+import { legacyFrame } from '../../tools/compatibility/legacy-frame';
 import {
   acceptedEntry,
-  DiskFiles,
   acceptedNumber,
   openStore,
   portsWithFiles,
   corruptedCopies,
 } from './storage-fixture';
+import { DiskFiles } from '../../tools/sim/disk-files';
 
 async function everyCut(): Promise<void> {
   const files: DiskFiles = new Map();
@@ -23,7 +22,7 @@
   const ends: { log: number; number: number }[] = [{ log: files.get('log-1')!.length, number: 0 }];
   for (let number = 1; number <= 6; number++) {
     await store.put(acceptedEntry(number));
-    ends.push({ log: files.get('log-1')!.length, number: number });
+    ends.push({ log: files.get('log-1')!.length, number });
   }
   const log = files.get('log-1')!;
   for (let cut = ends[0].log; cut <= log.length; cut++) {
@@ -85,14 +84,6 @@
   everyCorruptByte,
 );
 
-function legacyFrame(v: unknown): Buffer {
-  const body = pack(v);
-  const head = Buffer.alloc(8);
-  head.writeUInt32BE(body.length, 0);
-  head.writeUInt32BE(crc32(body), 4);
-  return Buffer.concat([head, body]);
-}
-
 async function legacyFolder(): Promise<void> {
   const one = { key: 'k', epoch: 1, by: 'a', number: 1, value: 1 };
   const vote = { key: 'x', run: 'r1', state: 'done' };
--- a/test/control/storage-durability.test.ts
+++ b/test/control/storage-durability.test.ts
@@ -13,13 +13,13 @@
 import { Disk } from '../../src/shared/ports/disk';
 import { Ports } from '../../src/shared/ports/ports';
 import {
-  DiskFiles,
   openStore,
   portsWithFiles,
   corruptedCopies,
   makeThreeVoters,
   returningValue,
 } from './storage-fixture';
+import { DiskFiles } from '../../tools/sim/disk-files';
 
 async function emptiedDiskDoesNotCount(): Promise<void> {
   const voters = await makeThreeVoters();
--- a/test/control/storage-fixture.ts
+++ b/test/control/storage-fixture.ts
@@ -11,36 +11,21 @@
 import { failure, errorOrValue, Result } from '../../src/shared/errors/errors';
 import { Ports } from '../../src/shared/ports/ports';
 import { Voter, VoterSet } from '../../src/shared/state/voter-set';
-import { seededDice } from '../../tools/sim/dice';
-import { makeNet } from '../../tools/sim/simwire';
-import { makeWorld } from '../../tools/sim/simworld';
-
-/** The files of a disk, by name. */
-export type DiskFiles = Map<string, Uint8Array>;
+import { DiskFiles, portsOfFiles } from '../../tools/sim/disk-files';
 
 /** Which messages pass, by the index of the receiver and the wire type. */
 export type MessageFilter = (receiver: number, type: string) => boolean;
 
+/** The seed of tests that draw nothing that matters to them. */
+const DEFAULT_SEED = 3;
+
 /** Ports whose disk holds these files. */
-export function portsWithFiles(files: DiskFiles, seed = 3): Ports {
-  const world = makeWorld(1, false);
-  const base = makeNet(world).ports(world.proc('node', '127.10.1.1'));
-  function read(name: string): Promise<Result<Uint8Array | undefined>> {
-    return Promise.resolve(Right(files.get(name)));
-  }
-  function write(name: string, bytes: Uint8Array): Promise<Result<void>> {
-    files.set(name, Uint8Array.from(bytes));
-    return Promise.resolve(Right(undefined));
-  }
-  function append(name: string, bytes: Uint8Array): Promise<Result<void>> {
-    files.set(name, Buffer.concat([files.get(name) ?? new Uint8Array(0), bytes]));
-    return Promise.resolve(Right(undefined));
-  }
-  return { ...base, random: seededDice(seed), disk: { read, write, append } };
+export function portsWithFiles(files: DiskFiles, seed = DEFAULT_SEED): Ports {
+  return portsOfFiles(files, seed);
 }
 
 /** Opens the control store on these files; the seed gives the id of a disk that is new. */
-export async function openStore(files: DiskFiles, seed = 3): Promise<ControlStore> {
+export async function openStore(files: DiskFiles, seed = DEFAULT_SEED): Promise<ControlStore> {
   const [error, store] = errorOrValue(await openControlStore(portsWithFiles(files, seed), 1 << 20));
   expect(error).toBeUndefined();
   return store!;
--- a/test/control/storage-full-disk.test.ts
+++ b/test/control/storage-full-disk.test.ts
@@ -42,7 +42,7 @@
 
 function makeMachine(seed: number): Machine {
   const world = makeWorld(seed, false);
-  return { world: world, net: makeNet(world), process: world.proc('node', '10.1.0.1') };
+  return { world, net: makeNet(world), process: world.proc('node', '10.1.0.1') };
 }
 
 interface OpenedFiles {
@@ -62,7 +62,7 @@
     }
     const votes = new IdempotencyVotes(store, ports, voters, 400);
     await votes.start(storedVotes, OPEN_TIMEOUT_MS);
-    return { store: store, votes };
+    return { store, votes };
   }
   return run();
 }
@@ -89,7 +89,7 @@
 ): Promise<string[]> {
   const faults: string[] = [];
   const machine = makeMachine(seed);
-  const { store: store, votes } = (await runUntilSettled(machine.world, openFiles(machine)))!;
+  const { store, votes } = (await runUntilSettled(machine.world, openFiles(machine)))!;
   const voted: string[] = [];
   let acked = 0;
   machine.process.disk.room = room;
@@ -131,7 +131,7 @@
   const faults: string[] = [];
   const copy = makeMachine(7);
   for (const [name, bytes] of machine.process.files) copy.process.files.set(name, bytes);
-  const { store: store, votes } = (await runUntilSettled(copy.world, openFiles(copy)))!;
+  const { store, votes } = (await runUntilSettled(copy.world, openFiles(copy)))!;
   const number = store.registers.get('k')?.accepted?.number ?? 0;
   if (store.diskId !== was.diskId || store.isCorrupt)
     faults.push(`counts as a new disk at ${acked}`);
@@ -172,7 +172,7 @@
       await runUntilSettled(machine.world, first.store.put({ key: 'k', accepted: accepted(1) }));
     }
     machine.process.disk.full = true;
-    const { store: store, votes } = (await runUntilSettled(machine.world, openFiles(machine)))!;
+    const { store, votes } = (await runUntilSettled(machine.world, openFiles(machine)))!;
     expect(store.isWritable()).toBe(false);
     expect(store.registers.get('k')?.accepted?.number).toBe(kept ? 1 : undefined);
     const line = { key: 'k', accepted: accepted(2) };
@@ -200,7 +200,7 @@
     machine.world.stall(machine.process, true);
     const opened = await runUntilSettled(machine.world, openFiles(machine), 1500);
     expect({ kept, opened: opened !== undefined }).toEqual({ kept, opened: true });
-    const { store: store, votes } = opened!;
+    const { store, votes } = opened!;
     expect(store.isWritable()).toBe(false);
     expect(store.registers.get('k')?.accepted?.number).toBe(kept ? 1 : undefined);
     const put = store.put({ key: 'k', accepted: accepted(2) });
@@ -239,7 +239,7 @@
 /** While one write is under way, and after it has failed, nothing is answered by what is in memory only. */
 async function answersWhenSynced(): Promise<void> {
   const machine = makeMachine(5);
-  const { store: store } = (await runUntilSettled(machine.world, openFiles(machine)))!;
+  const { store } = (await runUntilSettled(machine.world, openFiles(machine)))!;
   const acceptor = acceptorOn(store, machine);
   const change = { ...accepted(1), epoch: 5 };
   const asks: [string, object][] = [
--- a/test/control/storage-torn-writes.test.ts
+++ b/test/control/storage-torn-writes.test.ts
@@ -6,7 +6,8 @@
 import { openControlStore, ControlStore } from '../../src/control/storage/control-store';
 import { errorOrValue, Result } from '../../src/shared/errors/errors';
 import { Ports } from '../../src/shared/ports/ports';
-import { DiskFiles, acceptedNumber, portsWithFiles } from './storage-fixture';
+import { acceptedNumber, portsWithFiles } from './storage-fixture';
+import { DiskFiles } from '../../tools/sim/disk-files';
 
 /** What becomes of one part of a write that was not synced. */
 type PartFate = 'there' | 'missing' | 'torn';
--- a/test/control/weights-rollout.test.ts
+++ b/test/control/weights-rollout.test.ts
@@ -1,5 +1,5 @@
-import { OrderedEngine } from './rolloutengine';
-import { conflicts, makeRolloutRig, RolloutRig } from './rolloutrig';
+import { OrderedEngine } from '../../tools/sim/rollout-engine';
+import { conflicts, makeRolloutRig, RolloutRig } from '../../tools/sim/rollout-rig';
 
 function allAt(rig: RolloutRig, weights: number): () => boolean {
   function isDone(engine: OrderedEngine): boolean {
--- a/test/tools/transcripts.test.ts
+++ b/test/tools/transcripts.test.ts
@@ -156,48 +156,26 @@
   s.lines.push('and at the same time', '', ...twin.lines);
 }
 
+function generate(
+  s: Scene,
+  at: string,
+  body: unknown,
+  headers?: Record<string, string>,
+): Promise<string> {
+  return exchange(s, s.f.callers, at, 'POST', '/v1/generate', body, headers);
+}
+
 async function generating(s: Scene): Promise<void> {
   await configured(s);
-  const { callers, d } = s.f;
+  const { d } = s.f;
   const at = d.edge[0].http;
   const key = { authorization: `Bearer ${s.keys.probe}` };
-  const own = { authorization: `Bearer ${s.keys['tenant-1']}` };
-  await exchange(
-    s,
-    callers,
-    at,
-    'POST',
-    '/v1/generate',
-    { label: 'probe', prompt: 'Is this swap within the labour rules?' },
-    key,
-  );
-  await exchange(
-    s,
-    callers,
-    at,
-    'POST',
-    '/v1/generate',
-    { service: 'swap-1', prompt: 'Approve or refer?', maxTokens: 2 },
-    { ...own, 'idempotency-key': 'swap-77' },
-  );
-  await exchange(
-    s,
-    callers,
-    at,
-    'POST',
-    '/v1/generate',
-    { service: 'swap-1', prompt: 'Approve or refer?', maxTokens: 2 },
-    { ...own, 'idempotency-key': 'swap-77' },
-  );
-  await exchange(
-    s,
-    callers,
-    d.edge[1].http,
-    'POST',
-    '/v1/generate',
-    { service: 'swap-1', prompt: 'Approve or refer?', maxTokens: 2 },
-    { ...own, 'idempotency-key': 'swap-77' },
-  );
+  const own = { authorization: `Bearer ${s.keys['tenant-1']}`, 'idempotency-key': 'swap-77' };
+  const swap = { service: 'swap-1', prompt: 'Approve or refer?', maxTokens: 2 };
+  await generate(s, at, { label: 'probe', prompt: 'Is this swap within the labour rules?' }, key);
+  await generate(s, at, swap, own);
+  await generate(s, at, swap, own);
+  await generate(s, d.edge[1].http, swap, own);
 }
 
 async function refusing(s: Scene): Promise<void> {
@@ -206,46 +184,22 @@
   const at = d.edge[0].http;
   const key = { authorization: `Bearer ${s.keys.probe}` };
   const own = { authorization: `Bearer ${s.keys['tenant-1']}` };
-  await exchange(s, callers, at, 'POST', '/v1/generate', { label: 'probe', prompt: 'x' });
-  await exchange(
-    s,
-    callers,
-    at,
-    'POST',
-    '/v1/generate',
-    { label: 'probe', prompt: 'x' },
-    { authorization: 'Bearer nobody' },
-  );
-  await exchange(s, callers, at, 'POST', '/v1/generate', '{"label":', key);
-  await exchange(s, callers, at, 'POST', '/v1/generate', '[1]', key);
-  await exchange(s, callers, at, 'POST', '/v1/generate', { label: 7, prompt: 'x' }, key);
-  await exchange(s, callers, at, 'POST', '/v1/generate', { label: 'probe' }, key);
-  await exchange(
-    s,
-    callers,
-    at,
-    'POST',
-    '/v1/generate',
-    { label: 'probe', tokens: [1, -2, 'x'] },
-    key,
-  );
-  await exchange(s, callers, at, 'POST', '/v1/generate', { label: 'probe', prompt: '' }, key);
-  await exchange(s, callers, at, 'POST', '/v1/generate', { label: 'none', prompt: 'x' }, key);
-  await exchange(s, callers, at, 'POST', '/v1/generate', { service: 'swap-1', prompt: 'x' }, key);
-  await exchange(s, callers, at, 'POST', '/v1/generate', { service: 'swap-1', prompt: 'x' }, own);
-  await exchange(
-    s,
-    callers,
-    at,
-    'POST',
-    '/v1/generate',
-    { label: 'probe', prompt: 'x'.repeat(1 << 22) },
-    key,
-  );
+  await generate(s, at, { label: 'probe', prompt: 'x' });
+  await generate(s, at, { label: 'probe', prompt: 'x' }, { authorization: 'Bearer nobody' });
+  await generate(s, at, '{"label":', key);
+  await generate(s, at, '[1]', key);
+  await generate(s, at, { label: 7, prompt: 'x' }, key);
+  await generate(s, at, { label: 'probe' }, key);
+  await generate(s, at, { label: 'probe', tokens: [1, -2, 'x'] }, key);
+  await generate(s, at, { label: 'probe', prompt: '' }, key);
+  await generate(s, at, { label: 'none', prompt: 'x' }, key);
+  await generate(s, at, { service: 'swap-1', prompt: 'x' }, key);
+  await generate(s, at, { service: 'swap-1', prompt: 'x' }, own);
+  await generate(s, at, { label: 'probe', prompt: 'x'.repeat(1 << 22) }, key);
   await exchange(s, callers, at, 'GET', '/v1/generate');
   for (const e of s.f.engines) e.leaving = true;
   await callers.clock.sleep(2000);
-  await exchange(s, callers, at, 'POST', '/v1/generate', { label: 'probe', prompt: 'x' }, key);
+  await generate(s, at, { label: 'probe', prompt: 'x' }, key);
   expect(s.f.ledger.filter(isBegun)).toEqual([]);
 }
 
@@ -255,26 +209,20 @@
 
 async function breaking(s: Scene): Promise<void> {
   await configured(s);
-  const { callers, d, w } = s.f;
+  const { d, w } = s.f;
   function crash(): void {
     for (const p of w.procs()) if (p.name.startsWith('engine-')) w.kill(p, false);
   }
   w.after(90, crash);
-  await exchange(
+  await generate(
     s,
-    callers,
     d.edge[0].http,
-    'POST',
-    '/v1/generate',
     { service: 'swap-1', prompt: 'Approve or refer?', maxTokens: 8 },
     { authorization: `Bearer ${s.keys['tenant-1']}`, 'idempotency-key': 'swap-78' },
   );
-  await exchange(
+  await generate(
     s,
-    callers,
     d.edge[0].http,
-    'POST',
-    '/v1/generate',
     { service: 'swap-1', prompt: 'Approve or refer?', maxTokens: 8 },
     { authorization: `Bearer ${s.keys['tenant-1']}`, 'idempotency-key': 'swap-78' },
   );
@@ -282,15 +230,12 @@
 
 async function indexing(s: Scene): Promise<void> {
   await configured(s);
-  const { callers, ops, d, w } = s.f;
+  const { ops, d, w } = s.f;
   const prompt =
     'Union agreement, part one.\n\nPart two: rest between shifts.\n\nWho may swap on Sunday?';
-  await exchange(
+  await generate(
     s,
-    callers,
     d.edge[0].http,
-    'POST',
-    '/v1/generate',
     { label: 'probe', prompt },
     { authorization: `Bearer ${s.keys.probe}` },
   );
--- a/tools/compatibility/disk-damage.ts
+++ b/tools/compatibility/disk-damage.ts
@@ -3,7 +3,7 @@
  */
 
 import { decodeFrames } from '../../src/control/storage/frames';
-import { DiskFiles } from './disk-state';
+import { DiskFiles } from '../sim/disk-files';
 
 /** One damaged form of a disk, and what a controller must make of it. */
 export interface DamagedDisk {
--- a/tools/compatibility/disk-state.ts
+++ b/tools/compatibility/disk-state.ts
@@ -2,18 +2,12 @@
  * The state that a controller reads from the files of its disk, in a form that can be kept as JSON.
  */
 
-import { createHash } from 'node:crypto';
-import { Right } from 'purify-ts';
 import { openControlStore, ControlStore } from '../../src/control/storage/control-store';
 import { StoredVotes, readStoredVotes, Vote } from '../../src/control/storage/vote-files';
-import { errorOrValue, Result } from '../../src/shared/errors/errors';
+import { errorOrValue } from '../../src/shared/errors/errors';
 import { Ports } from '../../src/shared/ports/ports';
-import { seededDice } from '../sim/dice';
-import { makeNet } from '../sim/simwire';
-import { makeWorld } from '../sim/simworld';
-
-/** The files of a disk, by name. */
-export type DiskFiles = Map<string, Uint8Array>;
+import { shortHash } from '../../src/shared/util/hashing';
+import { DiskFiles, portsOfFiles } from '../sim/disk-files';
 
 /** What a disk gives when it is opened: everything that a controller builds on. */
 export interface DiskState {
@@ -28,7 +22,7 @@
 }
 
 /** The log that a controller's slots may grow to, as the controller sets it. */
-export const MOST_LOG_BYTES = 1 << 20;
+const MOST_LOG_BYTES = 1 << 20;
 /** Values whose text is longer are told by their digest. */
 const LONGEST_TEXT = 400;
 const DICE_SEED = 77;
@@ -36,29 +30,6 @@
 /** What long values were shortened to: the values of cells are never changed in place. */
 const shortForms = new WeakMap<object, unknown>();
 
-/** Ports of a process whose disk holds these files. */
-export function portsOfFiles(files: DiskFiles, seed = DICE_SEED): Ports {
-  const world = makeWorld(1, false);
-  const base = makeNet(world).ports(world.proc('node', '127.10.1.1'));
-  function read(name: string): Promise<Result<Uint8Array | undefined>> {
-    return Promise.resolve(Right(files.get(name)));
-  }
-  function write(name: string, bytes: Uint8Array): Promise<Result<void>> {
-    files.set(name, Uint8Array.from(bytes));
-    return Promise.resolve(Right(undefined));
-  }
-  function append(name: string, bytes: Uint8Array): Promise<Result<void>> {
-    files.set(name, Buffer.concat([files.get(name) ?? new Uint8Array(0), bytes]));
-    return Promise.resolve(Right(undefined));
-  }
-  return { ...base, random: seededDice(seed), disk: { read, write, append } };
-}
-
-/** The digest of some bytes or of a text. */
-export function digestOfBytes(bytes: Uint8Array | string): string {
-  return createHash('sha256').update(bytes).digest('hex').slice(0, 16);
-}
-
 function sorted(value: unknown): unknown {
   if (Array.isArray(value)) return value.map(sorted);
   if (typeof value !== 'object' || value === null) return value;
@@ -68,7 +39,8 @@
   return out;
 }
 
-function byName(a: [string, unknown], b: [string, unknown]): number {
+/** Orders entries by their names. */
+export function byName(a: [string, unknown], b: [string, unknown]): number {
   return a[0] < b[0] ? -1 : 1;
 }
 
@@ -78,7 +50,7 @@
   if (before !== undefined) return before;
   const text = JSON.stringify(sorted(value));
   const isLong = text.length > LONGEST_TEXT;
-  const form = isLong ? { textBytes: text.length, digest: digestOfBytes(text) } : value;
+  const form = isLong ? { textBytes: text.length, digest: shortHash(text) } : value;
   shortForms.set(value, form);
   return form;
 }
@@ -102,7 +74,7 @@
 /** Opens the files of a disk as a controller does at its start; they are changed as it changes them. */
 export async function openDisk(
   files: DiskFiles,
-  seed?: number,
+  seed = DICE_SEED,
 ): Promise<{ slots: ControlStore; kept: StoredVotes; ports: Ports }> {
   const ports = portsOfFiles(files, seed);
   const kept = (await readStoredVotes(ports)).extract() as StoredVotes;
--- a/tools/compatibility/expected-disks.ts
+++ b/tools/compatibility/expected-disks.ts
@@ -3,7 +3,9 @@
  */
 
 import { damagedForms } from './disk-damage';
-import { digestOfBytes, DiskFiles, DiskState, stateOf } from './disk-state';
+import { shortHash } from '../../src/shared/util/hashing';
+import { DiskFiles } from '../sim/disk-files';
+import { DiskState, stateOf } from './disk-state';
 import { writeOn, WrittenOn } from './write-on';
 
 /** What a damaged form of a disk gives. */
@@ -29,8 +31,8 @@
 const DAMAGED_SEED = 78;
 
 /** A digest of a JSON value. */
-export function digestOfJson(value: unknown): string {
-  return digestOfBytes(JSON.stringify(value));
+function digestOfJson(value: unknown): string {
+  return shortHash(JSON.stringify(value));
 }
 
 /** Whether a disk is in the form of version 0.1, whose files are no frames of the present one. */
--- a/tools/compatibility/fixture-files.ts
+++ b/tools/compatibility/fixture-files.ts
@@ -5,7 +5,7 @@
 import { mkdirSync, readdirSync, readFileSync, writeFileSync } from 'node:fs';
 import { join } from 'node:path';
 import { gunzipSync, gzipSync } from 'node:zlib';
-import { DiskFiles } from './disk-state';
+import { DiskFiles } from '../sim/disk-files';
 
 const LONGEST_PLAIN_BYTES = 30_000;
 const COMPRESSED = '.gz';
--- a/tools/compatibility/fixtures.ts
+++ b/tools/compatibility/fixtures.ts
@@ -4,7 +4,7 @@
 
 import { readFileSync } from 'node:fs';
 import { join, resolve } from 'node:path';
-import { DiskFiles } from './disk-state';
+import { DiskFiles } from '../sim/disk-files';
 import { ExpectedDisk } from './expected-disks';
 import { loadFiles } from './fixture-files';
 import { ServedAnswers } from './served';
--- a/tools/compatibility/record-stored.ts
+++ b/tools/compatibility/record-stored.ts
@@ -5,7 +5,7 @@
 import { mkdirSync, writeFileSync } from 'node:fs';
 import { join } from 'node:path';
 import { pack } from 'msgpackr';
-import { DiskFiles } from './disk-state';
+import { DiskFiles } from '../sim/disk-files';
 import { expectedOf } from './expected-disks';
 import { saveFiles } from './fixture-files';
 import { DUMP, DUMP_FILE, Expected, expectedPath, HISTORIES } from './fixtures';
--- a/tools/compatibility/recording.ts
+++ b/tools/compatibility/recording.ts
@@ -68,7 +68,7 @@
 const packr = new Packr({ useRecords: false });
 
 /** The bytes that a message has on the wire. */
-export function packMessage(message: Message): Uint8Array {
+function packMessage(message: Message): Uint8Array {
   return Uint8Array.from(packr.pack(message));
 }
 
--- a/tools/compatibility/scenarios.ts
+++ b/tools/compatibility/scenarios.ts
@@ -2,7 +2,7 @@
  * The runs whose messages are recorded. All are in virtual time and give the same messages each time.
  */
 
-import { makeRolloutRig } from '../../test/control/rolloutrig';
+import { makeRolloutRig } from '../sim/rollout-rig';
 import { IndexerClient } from '../../src/data/gateway/indexer-client';
 import { EngineLoads } from '../../src/data/gateway/engine-loads';
 import { timeLimitsOf } from '../../src/shared/settings/time-limits';
--- a/tools/compatibility/served.ts
+++ b/tools/compatibility/served.ts
@@ -4,7 +4,7 @@
 
 import { asked, counts, procOf, until } from '../sim/simcore';
 import { SimFleet } from '../sim/simfleet';
-import { DiskFiles } from './disk-state';
+import { DiskFiles } from '../sim/disk-files';
 import { CORE_NAMES, makeRecordedFleet } from './stored-disks';
 
 /** The answers to an operator's reads, by path. */
--- a/tools/compatibility/stored-disks.ts
+++ b/tools/compatibility/stored-disks.ts
@@ -2,15 +2,14 @@
  * Disks of controllers of a simulated fleet, written by the real storing code.
  */
 
-import { crc32 } from 'node:zlib';
-import { pack } from 'msgpackr';
 import { CONTROL_KEYS } from '../../src/shared/state/control-keys';
 import { Voter, VoterSet } from '../../src/shared/state/voter-set';
 import { asked, back, counts, isFounded, lose, procOf, until, votersOf } from '../sim/simcore';
 import { makeSimFleet, SimFleet, simIntents } from '../sim/simfleet';
 import { damagedForms } from './disk-damage';
-import { DiskFiles } from './disk-state';
+import { DiskFiles } from '../sim/disk-files';
 import { writeOn } from './write-on';
+import { legacyFrame } from './legacy-frame';
 
 /** A recorded disk: the files of one controller at one moment. */
 export interface RecordedDisk {
@@ -161,15 +160,6 @@
   return { name: 'spoilt-core-2', files: damaged };
 }
 
-/** A frame as version 0.1 wrote it. */
-function oldFrame(value: unknown): Uint8Array {
-  const body = pack(value);
-  const head = Buffer.alloc(8);
-  head.writeUInt32BE(body.length, 0);
-  head.writeUInt32BE(crc32(body), 4);
-  return Buffer.concat([head, body]);
-}
-
 /** A disk in the form of version 0.1, which the present code only reads. */
 function oldDisk(): RecordedDisk {
   const accepted = { key: 'intents', epoch: 1, by: 'core-1.a', number: 1, value: { note: 'one' } };
@@ -177,18 +167,18 @@
   const promised = { epoch: 1, by: 'core-1.a' };
   const done = { key: 'first', run: 'run-1', state: 'done' };
   const files: DiskFiles = new Map([
-    ['slot-1', oldFrame({ gen: 1, disk: 'old', cells: [] })],
-    ['slot-0', oldFrame({ gen: 2, disk: 'old', cells: [['intents', { promised, accepted }]] })],
+    ['slot-1', legacyFrame({ gen: 1, disk: 'old', cells: [] })],
+    ['slot-0', legacyFrame({ gen: 2, disk: 'old', cells: [['intents', { promised, accepted }]] })],
     ['log-1', new Uint8Array(0)],
     [
       'log-0',
       Buffer.concat([
-        oldFrame({ key: 'intents', promised, accepted: later }),
-        oldFrame({ key: 'intents', learned: true }),
+        legacyFrame({ key: 'intents', promised, accepted: later }),
+        legacyFrame({ key: 'intents', learned: true }),
       ]),
     ],
-    ['votes-1', Buffer.concat([oldFrame({ gen: 4 }), oldFrame({ vote: done })])],
-    ['votes-0', oldFrame({ gen: 3 })],
+    ['votes-1', Buffer.concat([legacyFrame({ gen: 4 }), legacyFrame({ vote: done })])],
+    ['votes-0', legacyFrame({ gen: 3 })],
   ]);
   return { name: 'version-0.1', files };
 }
--- a/tools/compatibility/stored-recording.ts
+++ b/tools/compatibility/stored-recording.ts
@@ -36,7 +36,7 @@
 /** Reads what was recorded, sorted by type. */
 export function readRecording(folder: string): RecordedType[] {
   const types: RecordedType[] = [];
-  for (const file of readdirSync(folder).filter(isOfType).sort())
+  for (const file of readdirSync(folder).filter(isOfType))
     types.push(JSON.parse(readFileSync(join(folder, file), 'utf8')) as RecordedType);
   return types.sort(byType);
 }
--- a/tools/compatibility/write-on.ts
+++ b/tools/compatibility/write-on.ts
@@ -5,7 +5,9 @@
 import { RegisterState } from '../../src/control/storage/control-store';
 import { Vote } from '../../src/control/storage/vote-files';
 import { IdempotencyVotes } from '../../src/control/storage/idempotency-votes';
-import { DiskFiles, digestOfBytes, DiskState, openDisk, cellsOf } from './disk-state';
+import { shortHashOfBytes } from '../../src/shared/util/hashing';
+import { DiskFiles } from '../sim/disk-files';
+import { byName, cellsOf, DiskState, openDisk } from './disk-state';
 
 /** What the process that wrote held at its end. */
 export interface WrittenOn {
@@ -53,7 +55,7 @@
     ];
     await votes.copyVotes(added);
     const digests: Record<string, string> = {};
-    for (const [name, bytes] of [...files].sort(byName)) digests[name] = digestOfBytes(bytes);
+    for (const [name, bytes] of [...files].sort(byName)) digests[name] = shortHashOfBytes(bytes);
     last = JSON.parse(
       JSON.stringify({
         disk: slots.diskId,
@@ -65,7 +67,3 @@
   }
   return last!;
 }
-
-function byName(a: [string, unknown], b: [string, unknown]): number {
-  return a[0] < b[0] ? -1 : 1;
-}
--- a/test/control/rolloutengine.ts
+++ b/tools/sim/rollout-engine.ts
@@ -5,7 +5,7 @@
 import { sendJson, readJsonBody } from '../../src/shared/transport/http-handlers';
 import { IncomingRequest } from '../../src/shared/ports/network';
 import { Ports } from '../../src/shared/ports/ports';
-import { World } from '../../tools/sim/simworld';
+import { World } from './simworld';
 
 /** How long a load takes while few engines load, in ms. */
 const LOAD_MS = 400;
@@ -16,7 +16,6 @@
 export interface OrderedEngine {
   id: string;
   weights: number;
-  loadedAt?: number;
   /** Takes orders, and replies to none of them. */
   mute: boolean;
   /** How long its runs last when an order comes, in ms. */
@@ -131,9 +130,8 @@
   }
 
   private finish(weights: number): void {
-    const { engine, world } = this.dependencies;
+    const { engine } = this.dependencies;
     engine.busy = false;
     engine.weights = weights;
-    engine.loadedAt = world.now();
   }
 }
--- a/test/control/rolloutrig.ts
+++ b/tools/sim/rollout-rig.ts
@@ -8,10 +8,10 @@
 import { errorOrValue } from '../../src/shared/errors/errors';
 import { defaultSettings, Settings } from '../../src/shared/settings/settings';
 import { Engine } from '../../src/shared/state/engines';
-import { makeNet, SimNet } from '../../tools/sim/simwire';
-import { Proc } from '../../tools/sim/process';
-import { makeWorld, World } from '../../tools/sim/simworld';
-import { EngineServer, JudgedOrder, OrderedEngine } from './rolloutengine';
+import { makeNet, SimNet } from './simwire';
+import { Proc } from './process';
+import { makeWorld, World } from './simworld';
+import { EngineServer, JudgedOrder, OrderedEngine } from './rollout-engine';
 
 /** The lease of the rollout's role, in ms. */
 const LEASE_MS = 3000;
