--- a/src/control/configuration/change-coordinator.ts
+++ b/src/control/configuration/change-coordinator.ts
@@ -15,7 +15,7 @@
 import { RandomSource } from '../../shared/ports/random';
 import { CONTROL_KEYS } from '../../shared/state/control-keys';
 import { Version, VersionedValue } from '../../shared/state/versions';
-import { notConnected } from '../../shared/transport/connections';
+import { notConnected } from '../../shared/transport/peer-channel';
 import { isApplied, nextValueInDoubt, refusalInDoubt, withDoubt } from './change-doubt';
 import { forwardChange } from './change-forwarding';
 import { checkBaseRevision, DocumentParser, operationIdentity } from './deployment-change';
--- a/src/control/configuration/owner-requests.ts
+++ b/src/control/configuration/owner-requests.ts
@@ -12,7 +12,7 @@
 import { Settings } from '../../shared/settings/settings';
 import { TimeLimits } from '../../shared/settings/time-limits';
 import { VoterSet } from '../../shared/state/voter-set';
-import { notConnected, PeerChannel } from '../../shared/transport/connections';
+import { notConnected, PeerChannel } from '../../shared/transport/peer-channel';
 import { rankByRendezvousHash } from '../../shared/util/hashing';
 import { KeyOwner } from '../consensus/key-owner';
 
--- a/src/control/connection-acceptor.ts
+++ b/src/control/connection-acceptor.ts
@@ -2,7 +2,8 @@
  * Accepts connections of peers, and closes those that are idle for too long.
  */
 
-import { closeIdleChannels, openChannel, PeerChannel } from '../shared/transport/connections';
+import { closeIdleChannels } from '../shared/transport/idle-channels';
+import { openChannel, PeerChannel } from '../shared/transport/peer-channel';
 import { Result } from '../shared/errors/errors';
 import { Connection, Listener } from '../shared/ports/network';
 import { Ports } from '../shared/ports/ports';
--- a/src/control/consensus/controller-catch-up.ts
+++ b/src/control/consensus/controller-catch-up.ts
@@ -3,7 +3,8 @@
  */
 
 import { Right } from 'purify-ts';
-import { PeerChannel, ConnectionPool } from '../../shared/transport/connections';
+import { PeerChannel } from '../../shared/transport/peer-channel';
+import { ConnectionPool } from '../../shared/transport/connection-pool';
 import { errorOrValue, Result } from '../../shared/errors/errors';
 import { CatchUp, makeCatchUp } from '../../shared/replication/catch-up';
 import {
--- a/src/control/consensus/key-maintenance.ts
+++ b/src/control/consensus/key-maintenance.ts
@@ -4,7 +4,7 @@
  */
 
 import { Result } from '../../shared/errors/errors';
-import { ConnectionPool } from '../../shared/transport/connections';
+import { ConnectionPool } from '../../shared/transport/connection-pool';
 import { TimeLimits } from '../../shared/settings/time-limits';
 import { VersionedValue } from '../../shared/state/versions';
 import { ControlStore } from '../storage/control-store';
--- a/src/control/consensus/voter-request.ts
+++ b/src/control/consensus/voter-request.ts
@@ -3,7 +3,7 @@
  */
 
 import { Left } from 'purify-ts';
-import { PeerChannel, notConnected } from '../../shared/transport/connections';
+import { PeerChannel, notConnected } from '../../shared/transport/peer-channel';
 import { Result } from '../../shared/errors/errors';
 import { requestCompressed } from '../../shared/transport/compressed-requests';
 import { Voter } from '../../shared/state/voter-set';
--- a/src/control/controller-interface.ts
+++ b/src/control/controller-interface.ts
@@ -2,7 +2,7 @@
  * The interface of a running controller, as its background tasks, its HTTP interfaces and reconfigurations use it.
  */
 
-import { Hello } from '../shared/transport/connections';
+import { Hello } from '../shared/transport/hello';
 import { Result } from '../shared/errors/errors';
 import { Metrics } from '../shared/observability/metrics';
 import { TimeLimits } from '../shared/settings/time-limits';
--- a/src/control/leases/change-sender.ts
+++ b/src/control/leases/change-sender.ts
@@ -10,7 +10,7 @@
   isAtLeast,
   targetOf,
 } from '../../shared/replication/change-message';
-import { PeerChannel } from '../../shared/transport/connections';
+import { PeerChannel } from '../../shared/transport/peer-channel';
 import { versionOf } from '../../shared/replication/delta';
 import { errorOrValue } from '../../shared/errors/errors';
 import { Logger } from '../../shared/ports/logger';
--- a/src/control/leases/lease-registry.ts
+++ b/src/control/leases/lease-registry.ts
@@ -14,7 +14,7 @@
 import { Member } from '../../shared/state/members';
 import { Version, VersionedValue } from '../../shared/state/versions';
 import { VoterSet } from '../../shared/state/voter-set';
-import { PeerChannel } from '../../shared/transport/connections';
+import { PeerChannel } from '../../shared/transport/peer-channel';
 import { HandlerResult, messageHandler } from '../../shared/transport/message-handlers';
 import { ControlStore } from '../storage/control-store';
 import { ChangeSender, makeChangeSender } from './change-sender';
--- a/src/control/leases/lease-table.ts
+++ b/src/control/leases/lease-table.ts
@@ -8,7 +8,7 @@
 import { TimeLimits } from '../../shared/settings/time-limits';
 import { incarnationOf, Member } from '../../shared/state/members';
 import { VoterSet } from '../../shared/state/voter-set';
-import { PeerChannel } from '../../shared/transport/connections';
+import { PeerChannel } from '../../shared/transport/peer-channel';
 import { ChangeSender } from './change-sender';
 import { AppliedVersions } from './lease-messages';
 import { compareNames, MembershipView } from './membership-view';
--- a/src/control/membership/reconfiguration.ts
+++ b/src/control/membership/reconfiguration.ts
@@ -7,7 +7,7 @@
 import { Left, Right } from 'purify-ts';
 import { failure, errorOrValue, Result } from '../../shared/errors/errors';
 import { Ports } from '../../shared/ports/ports';
-import { requestOnce } from '../../shared/transport/connections';
+import { requestOnce } from '../../shared/transport/peer-channel';
 import { Voter, VoterSet } from '../../shared/state/voter-set';
 import { CONTROL_KEYS } from '../../shared/state/control-keys';
 import { Version } from '../../shared/state/versions';
--- a/src/control/membership/seed-announcer.ts
+++ b/src/control/membership/seed-announcer.ts
@@ -3,7 +3,9 @@
  * know of nobody. A controller that lost the voters asks the seeds instead.
  */
 
-import { requestOnce, Hello, ConnectionPool } from '../../shared/transport/connections';
+import { requestOnce } from '../../shared/transport/peer-channel';
+import { Hello } from '../../shared/transport/hello';
+import { ConnectionPool } from '../../shared/transport/connection-pool';
 import { errorOrValue, Result } from '../../shared/errors/errors';
 import { appliedEntries } from '../../shared/replication/change-message';
 import { Ports } from '../../shared/ports/ports';
--- a/src/control/membership/voter-connections.ts
+++ b/src/control/membership/voter-connections.ts
@@ -9,13 +9,9 @@
 import { Settings } from '../../shared/settings/settings';
 import { TimeLimits } from '../../shared/settings/time-limits';
 import { addressOf, allVoters, Voter, VoterSet } from '../../shared/state/voter-set';
-import {
-  ConnectionPool,
-  Hello,
-  makeConnectionPool,
-  notConnected,
-  PeerChannel,
-} from '../../shared/transport/connections';
+import { ConnectionPool, makeConnectionPool } from '../../shared/transport/connection-pool';
+import { Hello } from '../../shared/transport/hello';
+import { notConnected, PeerChannel } from '../../shared/transport/peer-channel';
 import { requestOtherVoter } from '../consensus/voter-request';
 import { IdentifyReply } from './identify-reply';
 
--- a/src/control/membership/voter-liveness.ts
+++ b/src/control/membership/voter-liveness.ts
@@ -2,7 +2,7 @@
  * The liveness view of the voters: which are up with their own disks, which leave, and whether a quorum is up.
  */
 
-import { PeerChannel } from '../../shared/transport/connections';
+import { PeerChannel } from '../../shared/transport/peer-channel';
 import { bindMethods } from '../bind-methods';
 import { Clock } from '../../shared/ports/clock';
 import { allVoters, addressOf, isQuorum, Voter, VoterSet } from '../../shared/state/voter-set';
--- a/src/data/gateway/indexer-client.ts
+++ b/src/data/gateway/indexer-client.ts
@@ -2,12 +2,9 @@
  * What a router asks indexers and notifies them of: cached prefixes, placements, and loads.
  */
 
-import {
-  Hello,
-  ConnectionPool,
-  makeConnectionPool,
-  PeerChannel,
-} from '../../shared/transport/connections';
+import { Hello } from '../../shared/transport/hello';
+import { ConnectionPool, makeConnectionPool } from '../../shared/transport/connection-pool';
+import { PeerChannel } from '../../shared/transport/peer-channel';
 import { errorOrValue, Result } from '../../shared/errors/errors';
 import { Follower } from '../../shared/replication/follower';
 import { rankByRendezvousHash } from '../../shared/util/hashing';
--- a/src/data/gateway/load-board.ts
+++ b/src/data/gateway/load-board.ts
@@ -5,7 +5,8 @@
 
 import { errorOrValue, Result } from '../../shared/errors/errors';
 import { rankByRendezvousHash } from '../../shared/util/hashing';
-import { ConnectionPool, PeerChannel } from '../../shared/transport/connections';
+import { ConnectionPool } from '../../shared/transport/connection-pool';
+import { PeerChannel } from '../../shared/transport/peer-channel';
 import { EngineLoad, LoadReply, LoadReport } from '../../shared/contracts/indexer';
 import { EngineLoads } from './engine-loads';
 
--- a/src/data/overlap-client.ts
+++ b/src/data/overlap-client.ts
@@ -7,12 +7,9 @@
 import { rankByRendezvousHash } from '../shared/util/hashing';
 import { Ports } from '../shared/ports/ports';
 import { TimeLimits } from '../shared/settings/time-limits';
-import {
-  ConnectionPool,
-  Hello,
-  makeConnectionPool,
-  PeerChannel,
-} from '../shared/transport/connections';
+import { ConnectionPool, makeConnectionPool } from '../shared/transport/connection-pool';
+import { Hello } from '../shared/transport/hello';
+import { PeerChannel } from '../shared/transport/peer-channel';
 import { addressOf } from '../shared/state/voter-set';
 import { Member } from '../shared/state/members';
 
--- a/src/data/platform-router.ts
+++ b/src/data/platform-router.ts
@@ -8,7 +8,7 @@
 import { Connection } from '../shared/ports/network';
 import { timeLimitsOf } from '../shared/settings/time-limits';
 import { Settings } from '../shared/settings/settings';
-import { openChannel } from '../shared/transport/connections';
+import { openChannel } from '../shared/transport/peer-channel';
 import { PlatformAdapter } from '../shared/platform-adapter/platform-adapter';
 import { startGateway } from './gateway/gateway';
 import { joinAsRouter } from './router-identity';
--- a/src/data/router.ts
+++ b/src/data/router.ts
@@ -10,7 +10,7 @@
 import { Connection, Listener } from '../shared/ports/network';
 import { timeLimitsOf } from '../shared/settings/time-limits';
 import { Settings } from '../shared/settings/settings';
-import { openChannel } from '../shared/transport/connections';
+import { openChannel } from '../shared/transport/peer-channel';
 import { IntentsValue } from '../shared/state/intents';
 import { CONTROL_KEYS } from '../shared/state/control-keys';
 import { Member } from '../shared/state/members';
--- a/test/compatibility/wire.test.ts
+++ b/test/compatibility/wire.test.ts
@@ -21,7 +21,7 @@
 import { IndexHandlers } from '../../src/index/index-handlers';
 import { OverlapHandlers } from '../../src/index/overlap-handlers';
 import { SourceContentHandlers } from '../../src/index/source-repair';
-import { HelloHandlers } from '../../src/shared/transport/connections';
+import { HelloHandlers } from '../../src/shared/transport/hello-handlers';
 import { dispatch } from '../../src/shared/transport/message-handlers';
 import { FollowerHandlers } from '../../src/shared/replication/follower-handlers';
 import { CompressedRequestHandlers } from '../../src/shared/transport/compressed-requests';
--- a/test/control/change-forwarding.test.ts
+++ b/test/control/change-forwarding.test.ts
@@ -2,7 +2,7 @@
 import { forwardChange } from '../../src/control/configuration/change-forwarding';
 import { makeDeploymentOperation } from '../../src/control/configuration/deployment-change';
 import { timeLimitsOf } from '../../src/shared/settings/time-limits';
-import { PeerChannel } from '../../src/shared/transport/connections';
+import { PeerChannel } from '../../src/shared/transport/peer-channel';
 import { failure, Result } from '../../src/shared/errors/errors';
 import { Clock } from '../../src/shared/ports/clock';
 import { defaultSettings } from '../../src/shared/settings/settings';
--- a/test/control/change-sender.test.ts
+++ b/test/control/change-sender.test.ts
@@ -2,7 +2,7 @@
 import { makeChangeSender, ChangeSender } from '../../src/control/leases/change-sender';
 import { makeVersionHistory } from '../../src/control/leases/version-history';
 import { AppliedEntry, ChangeMessage, targetOf } from '../../src/shared/replication/change-message';
-import { PeerChannel } from '../../src/shared/transport/connections';
+import { PeerChannel } from '../../src/shared/transport/peer-channel';
 import { makeError, Result } from '../../src/shared/errors/errors';
 import { Logger } from '../../src/shared/ports/logger';
 import { VersionedValue, Version } from '../../src/shared/state/versions';
--- a/test/control/lease-after-power-loss.test.ts
+++ b/test/control/lease-after-power-loss.test.ts
@@ -1,8 +1,6 @@
-import {
-  openChannel,
-  HelloHandlers,
-  PROTOCOL_VERSION,
-} from '../../src/shared/transport/connections';
+import { openChannel } from '../../src/shared/transport/peer-channel';
+import { HelloHandlers } from '../../src/shared/transport/hello-handlers';
+import { PROTOCOL_VERSION } from '../../src/shared/transport/hello';
 import { followCore, Follower } from '../../src/shared/replication/follower';
 import { timeLimitsOf } from '../../src/shared/settings/time-limits';
 import { defaultSettings } from '../../src/shared/settings/settings';
--- a/test/control/lease-renewal.test.ts
+++ b/test/control/lease-renewal.test.ts
@@ -4,7 +4,7 @@
 import { PeerHandlers } from '../../src/control/peer-handlers';
 import { ControlStore } from '../../src/control/storage/control-store';
 import { AppliedEntry, ChangeMessage } from '../../src/shared/replication/change-message';
-import { PeerChannel } from '../../src/shared/transport/connections';
+import { PeerChannel } from '../../src/shared/transport/peer-channel';
 import { errorOrValue } from '../../src/shared/errors/errors';
 import { FollowerHandlers } from '../../src/shared/replication/follower-handlers';
 import { makeKeyJournal } from '../../src/shared/replication/key-journal';
--- a/test/control/leases.test.ts
+++ b/test/control/leases.test.ts
@@ -2,7 +2,7 @@
 import { openControlStore } from '../../src/control/storage/control-store';
 import { errorOrValue } from '../../src/shared/errors/errors';
 import { timeLimitsOf } from '../../src/shared/settings/time-limits';
-import { PeerChannel } from '../../src/shared/transport/connections';
+import { PeerChannel } from '../../src/shared/transport/peer-channel';
 import { VersionedValue } from '../../src/shared/state/versions';
 import { makeSimFleet } from '../../tools/sim/simfleet';
 import { makeNet } from '../../tools/sim/simwire';
--- a/test/index/index-loads.test.ts
+++ b/test/index/index-loads.test.ts
@@ -2,7 +2,7 @@
 import { makeLoadBoard } from '../../src/index/load-board';
 import { computeOverlap } from '../../src/index/overlap';
 import { OverlapHandlers } from '../../src/index/overlap-handlers';
-import { PeerChannel } from '../../src/shared/transport/connections';
+import { PeerChannel } from '../../src/shared/transport/peer-channel';
 import { makePrefixTrees, PrefixTrees, Rows } from '../../src/index/prefix-trees';
 import { EngineLoad, WireBlock } from '../../src/shared/contracts/indexer';
 
--- a/test/shared/chunk-fetcher.test.ts
+++ b/test/shared/chunk-fetcher.test.ts
@@ -2,7 +2,7 @@
 import { makeVersionHistory } from '../../src/control/leases/version-history';
 import { ChangeOffer, readChange } from '../../src/shared/replication/change-message';
 import { makeCatchUp } from '../../src/shared/replication/catch-up';
-import { PeerChannel } from '../../src/shared/transport/connections';
+import { PeerChannel } from '../../src/shared/transport/peer-channel';
 import { makeError, Result } from '../../src/shared/errors/errors';
 import {
   makeChunkFetcher,
--- a/test/shared/connections.test.ts
+++ b/test/shared/connections.test.ts
@@ -1,12 +1,8 @@
 import { errorOrValue } from '../../src/shared/errors/errors';
-import {
-  PeerChannel,
-  Hello,
-  HelloHandlers,
-  openChannel,
-  maintainConnection,
-  PROTOCOL_VERSION,
-} from '../../src/shared/transport/connections';
+import { PeerChannel, openChannel } from '../../src/shared/transport/peer-channel';
+import { Hello, PROTOCOL_VERSION } from '../../src/shared/transport/hello';
+import { HelloHandlers } from '../../src/shared/transport/hello-handlers';
+import { maintainConnection } from '../../src/shared/transport/maintained-connection';
 import { Connection, Message } from '../../src/shared/ports/network';
 import { makeNet } from '../../tools/sim/simwire';
 import { makeWorld } from '../../tools/sim/simworld';
--- a/tools/capacity/load.ts
+++ b/tools/capacity/load.ts
@@ -1,10 +1,10 @@
 import { PromptBlock } from '../../src/shared/contracts/engine';
+import { HelloHandlers } from '../../src/shared/transport/hello-handlers';
 import {
-  HelloHandlers,
   maintainConnection,
   MaintainedConnection,
-  PROTOCOL_VERSION,
-} from '../../src/shared/transport/connections';
+} from '../../src/shared/transport/maintained-connection';
+import { PROTOCOL_VERSION } from '../../src/shared/transport/hello';
 import { Hollow, MODEL, SALT } from './hollow-fleet';
 import { CHAIN, hollowHash } from './sources';
 
--- a/tools/capacity/role.ts
+++ b/tools/capacity/role.ts
@@ -13,7 +13,8 @@
 import { startIndexer, Indexer } from '../../src/index/indexer';
 import { errorOrValue } from '../../src/shared/errors/errors';
 import { followCore, Follower } from '../../src/shared/replication/follower';
-import { HelloHandlers, PROTOCOL_VERSION } from '../../src/shared/transport/connections';
+import { HelloHandlers } from '../../src/shared/transport/hello-handlers';
+import { PROTOCOL_VERSION } from '../../src/shared/transport/hello';
 import { Ports } from '../../src/shared/ports/ports';
 import { makeSystemClock } from '../../src/shared/system/system-clock';
 import { makeSystemRandom } from '../../src/shared/system/system-random';
--- a/tools/compatibility/controller-asks.ts
+++ b/tools/compatibility/controller-asks.ts
@@ -7,7 +7,7 @@
 import { Operation } from '../../src/control/configuration/operations';
 import { readReplicaProgress } from '../../src/control/consensus/replica-sync';
 import { timeLimitsOf } from '../../src/shared/settings/time-limits';
-import { openChannel } from '../../src/shared/transport/connections';
+import { openChannel } from '../../src/shared/transport/peer-channel';
 import { Result } from '../../src/shared/errors/errors';
 import { allVoters, Voter } from '../../src/shared/state/voter-set';
 import { asked, isFounded, procOf, until, votersOf } from '../sim/simcore';
--- a/tools/compatibility/probe.ts
+++ b/tools/compatibility/probe.ts
@@ -2,7 +2,8 @@
  * A process that asks one of ours over a connection of its own, and what has it run in virtual time.
  */
 
-import { requestOnce, Hello, PROTOCOL_VERSION } from '../../src/shared/transport/connections';
+import { requestOnce } from '../../src/shared/transport/peer-channel';
+import { Hello, PROTOCOL_VERSION } from '../../src/shared/transport/hello';
 import { Result } from '../../src/shared/errors/errors';
 import { Ports } from '../../src/shared/ports/ports';
 import { SimNet } from '../sim/simwire';
--- a/tools/model/network.ts
+++ b/tools/model/network.ts
@@ -1,7 +1,7 @@
 /** Requests between modelled processes: each request, answer, loss, duplicate and time-out is an event. */
 import { Left } from 'purify-ts';
 import { makeError, Result } from '../../src/shared/errors/errors';
-import { notConnected } from '../../src/shared/transport/connections';
+import { notConnected } from '../../src/shared/transport/peer-channel';
 import { Host, ModelEvent, Scheduler } from './scheduler';
 
 /** A process that sends and takes requests. */
--- a/tools/model/node.ts
+++ b/tools/model/node.ts
@@ -17,7 +17,7 @@
 import { VoterTransport } from '../../src/control/consensus/voter-transport';
 import { makeKeyOwner, KeyOwner } from '../../src/control/consensus/key-owner';
 import { openControlStore, ControlStore } from '../../src/control/storage/control-store';
-import { PeerChannel } from '../../src/shared/transport/connections';
+import { PeerChannel } from '../../src/shared/transport/peer-channel';
 import { dispatch } from '../../src/shared/transport/message-handlers';
 import { failure, errorOrValue, Result } from '../../src/shared/errors/errors';
 import { RandomSource } from '../../src/shared/ports/random';
--- a/tools/sim/news/rig.ts
+++ b/tools/sim/news/rig.ts
@@ -1,11 +1,8 @@
 import { Controller, startController } from '../../../src/control/controller';
 import { DeploymentValue } from '../../../src/shared/state/deployment';
-import {
-  Hello,
-  HelloHandlers,
-  openChannel,
-  PROTOCOL_VERSION,
-} from '../../../src/shared/transport/connections';
+import { Hello, PROTOCOL_VERSION } from '../../../src/shared/transport/hello';
+import { HelloHandlers } from '../../../src/shared/transport/hello-handlers';
+import { openChannel } from '../../../src/shared/transport/peer-channel';
 import { errorOrValue, Result } from '../../../src/shared/errors/errors';
 import { sha256Hex } from '../../../src/shared/util/hashing';
 import { followCore, Follower } from '../../../src/shared/replication/follower';
--- a/tools/standins/core.ts
+++ b/tools/standins/core.ts
@@ -1,11 +1,7 @@
 import { Right } from 'purify-ts';
-import {
-  openChannel,
-  PeerChannel,
-  Hello,
-  HelloHandlers,
-  PROTOCOL_VERSION,
-} from '../../src/shared/transport/connections';
+import { openChannel, PeerChannel } from '../../src/shared/transport/peer-channel';
+import { Hello, PROTOCOL_VERSION } from '../../src/shared/transport/hello';
+import { HelloHandlers } from '../../src/shared/transport/hello-handlers';
 import { HandlerResult, messageHandler } from '../../src/shared/transport/message-handlers';
 import { Connection } from '../../src/shared/ports/network';
 import { Ports } from '../../src/shared/ports/ports';
