--- a/src/control/controller-node.ts
+++ b/src/control/controller-node.ts
@@ -15,8 +15,9 @@
 import { VersionedValue } from '../shared/state/versions';
 import { Voter, VoterSet } from '../shared/state/voter-set';
 import { CompressedRequestHandlers } from '../shared/transport/compressed-requests';
-import { Hello, HelloHandlers, PeerChannel } from '../shared/transport/connections';
-import { helloOf } from '../shared/transport/hello';
+import { Hello, helloOf } from '../shared/transport/hello';
+import { HelloHandlers } from '../shared/transport/hello-handlers';
+import { PeerChannel } from '../shared/transport/peer-channel';
 import { dispatch, HandlerResult } from '../shared/transport/message-handlers';
 import { rankByRendezvousHash } from '../shared/util/hashing';
 import { bindMethods } from './bind-methods';
@@ -51,6 +52,7 @@
 import { IdempotencyVotes } from './storage/idempotency-votes';
 import { learnedValues } from './storage/register-state';
 import { StoredVotes } from './storage/vote-files';
+import { drawRunId } from '../shared/state/members';
 
 /** What a controller is made of. */
 export interface ControllerNodeOptions {
@@ -119,7 +121,7 @@
     this.timeLimits = timeLimitsOf(settings);
     this.hello = helloOf(settings, 'controller', store.diskId);
     this.self = { disk: store.diskId, at: settings.wire };
-    this.ownerId = `${settings.name}.${ports.random.uuid().slice(0, 8)}`;
+    this.ownerId = `${settings.name}.${drawRunId(ports.random)}`;
     this.wakers = makeWakerGroup(ports.clock);
     const transport = this.makeVoterTransport();
     this.acceptor = new Acceptor(store, transport, ports);
--- a/src/control/membership/seed-announcer.ts
+++ b/src/control/membership/seed-announcer.ts
@@ -3,7 +3,9 @@
  * know of nobody. A controller that lost the voters asks the seeds instead.
  */
 
-import { requestOnce, Hello, ConnectionPool } from '../../shared/transport/connections';
+import { requestOnce } from '../../shared/transport/peer-channel';
+import { Hello } from '../../shared/transport/hello';
+import { ConnectionPool } from '../../shared/transport/connection-pool';
 import { errorOrValue, Result } from '../../shared/errors/errors';
 import { appliedEntries } from '../../shared/replication/change-message';
 import { Ports } from '../../shared/ports/ports';
@@ -11,7 +13,7 @@
 import { Settings } from '../../shared/settings/settings';
 import { allVoters, VoterSet } from '../../shared/state/voter-set';
 import { VersionedValue } from '../../shared/state/versions';
-import { jittered } from '../maintenance-pause';
+import { jittered } from '../../shared/concurrency/jitter';
 
 /** What announcing to the seeds needs of its controller. */
 export interface SeedAnnouncerDependencies {
--- a/src/data/gateway/indexer-client.ts
+++ b/src/data/gateway/indexer-client.ts
@@ -2,12 +2,9 @@
  * What a router asks indexers and notifies them of: cached prefixes, placements, and loads.
  */
 
-import {
-  Hello,
-  ConnectionPool,
-  makeConnectionPool,
-  PeerChannel,
-} from '../../shared/transport/connections';
+import { Hello } from '../../shared/transport/hello';
+import { ConnectionPool, makeConnectionPool } from '../../shared/transport/connection-pool';
+import { PeerChannel } from '../../shared/transport/peer-channel';
 import { errorOrValue, Result } from '../../shared/errors/errors';
 import { Follower } from '../../shared/replication/follower';
 import { rankByRendezvousHash } from '../../shared/util/hashing';
@@ -16,6 +13,7 @@
 import { TimeLimits } from '../../shared/settings/time-limits';
 import { EngineLoads } from './engine-loads';
 import { LoadBoard } from './load-board';
+import { jittered } from '../../shared/concurrency/jitter';
 
 /** Queries in a row that fail before an indexer is left out for a while. */
 const MAX_CONSECUTIVE_FAILURES = 3;
@@ -23,9 +21,6 @@
 const REPORT_PAUSE_RATIO = 0.4;
 /** How many routers report at the usual pause; more report less often, in proportion. */
 const ROUTERS_AT_USUAL_PAUSE = 16;
-/** The pause lies between these multiples of itself. */
-const JITTER_MIN_RATIO = 0.8;
-const JITTER_SPAN_RATIO = 0.4;
 
 /** Failed queries of one indexer. */
 interface QueryFailures {
@@ -161,11 +156,8 @@
 
   private reportPauseMs(): number {
     const { ports, timeLimits, routerCount } = this.dependencies;
-    return (
-      timeLimits.indexQueryTimeoutMs *
-      REPORT_PAUSE_RATIO *
-      Math.max(1, (routerCount() ?? 1) / ROUTERS_AT_USUAL_PAUSE) *
-      (JITTER_MIN_RATIO + JITTER_SPAN_RATIO * ports.random.next())
-    );
+    const crowdRatio = Math.max(1, (routerCount() ?? 1) / ROUTERS_AT_USUAL_PAUSE);
+    const averageMs = timeLimits.indexQueryTimeoutMs * REPORT_PAUSE_RATIO * crowdRatio;
+    return jittered(ports.random, averageMs);
   }
 }
--- a/tools/compatibility/scenarios.ts
+++ b/tools/compatibility/scenarios.ts
@@ -2,11 +2,12 @@
  * The runs whose messages are recorded. All are in virtual time and give the same messages each time.
  */
 
-import { makeRolloutRig } from '../../test/control/rolloutrig';
+import { makeRolloutRig } from '../sim/rollout-rig';
 import { IndexerClient } from '../../src/data/gateway/indexer-client';
 import { EngineLoads } from '../../src/data/gateway/engine-loads';
 import { timeLimitsOf } from '../../src/shared/settings/time-limits';
-import { openChannel, HelloHandlers } from '../../src/shared/transport/connections';
+import { openChannel } from '../../src/shared/transport/peer-channel';
+import { HelloHandlers } from '../../src/shared/transport/hello-handlers';
 import { followCore, Follower } from '../../src/shared/replication/follower';
 import { makePushStream } from '../../src/shared/util/push-stream';
 import { EngineLoad } from '../../src/shared/contracts/indexer';
